--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -61,12 +61,12 @@
   out.leadership.member.name = s.name;
   out.leadership.member.address = s.peer_address;
   out.leadership.seeds = s.seeds;
-  out.leadership.hello_period = Millis(s.hello_ms);
-  out.leadership.silence = Millis(s.silence_ms);
+  out.leadership.heartbeat_interval = Millis(s.hello_ms);
+  out.leadership.leader_suspect_after = Millis(s.silence_ms);
   out.leadership.renew_period = Millis(s.renew_ms);
-  out.leadership.quiet = Millis(s.quiet_ms);
-  out.leadership.store_silence = Millis(s.store_silence_ms);
-  out.leadership.trust = Millis(s.trust_ms);
+  out.leadership.election_timeout = Millis(s.quiet_ms);
+  out.leadership.store_unreachable_after = Millis(s.store_silence_ms);
+  out.leadership.leader_lease = Millis(s.trust_ms);
   out.leadership.member.fitness = static_cast<int32_t>(s.cpu_percent);
   out.coordinator.lease = Millis(s.lease_ms);
   out.coordinator.earlier_leader = Millis(s.trust_ms);
--- a/src/coordinator/advice_lanes.cc
+++ b/src/coordinator/advice_lanes.cc
@@ -37,7 +37,7 @@
   Keep(now);
   scheduling::AdviceBudget out;
   for (const auto& [address, lane] : lanes_) {
-    if (lane.busy || now < lane.rest_until) continue;
+    if (lane.busy || now < lane.backoff_until) continue;
     ++(lane.urgent ? out.urgent_only : out.any);
   }
   return out;
@@ -47,7 +47,7 @@
   Lane* best = nullptr;
   std::string address;
   for (auto& [name, lane] : lanes_) {
-    if (lane.busy || now < lane.rest_until) continue;
+    if (lane.busy || now < lane.backoff_until) continue;
     if (lane.urgent && priority != 0) continue;
     if (best != nullptr && !lane.urgent) continue;
     best = &lane;
@@ -63,7 +63,7 @@
   const auto lane = lanes_.find(address);
   if (lane == lanes_.end()) return;
   lane->second.busy = false;
-  if (failed) lane->second.rest_until = now + kRest;
+  if (failed) lane->second.backoff_until = now + kRest;
 }
 
 }  // namespace mimosarail::coordinator
--- a/src/coordinator/advice_lanes.h
+++ b/src/coordinator/advice_lanes.h
@@ -54,7 +54,7 @@
     bool urgent = false;
     /// Its call is for urgent work.
     bool urgent_call = false;
-    TimePoint rest_until{};
+    TimePoint backoff_until{};
   };
   std::map<std::string, Lane> lanes_;
   double urgent_peak_ = 0;
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -155,7 +155,8 @@
   // Without the store's word this leader may have a successor, which took jobs
   // that are not known here, whatever other entries say. The caller's entry
   // asks again, and finds who leads.
-  return deps_.confirmed() ? JobVerdict::kNoSuchJob : JobVerdict::kNotLeading;
+  return deps_.lease_confirmed_by_store() ? JobVerdict::kNoSuchJob
+                                          : JobVerdict::kNotLeading;
 }
 
 wire::JobStateReply Coordinator::State(JobId id) const {
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -83,9 +83,9 @@
     /// Pools that the configuration names; null while none is known.
     std::function<const std::set<std::string>*()> pools;
     /// Whether orders may be given now.
-    std::function<bool()> trusted;
+    std::function<bool()> lease_valid;
     /// Whether the store has lately said that nobody else leads.
-    std::function<bool()> confirmed;
+    std::function<bool()> lease_confirmed_by_store;
     /// What is stored has been taken over: calls are taken from now on.
     std::function<void()> loaded;
     /// Another leader was found.
@@ -134,7 +134,7 @@
   maintenance::HostWork WorkOn(const std::string& upstream) override;
   int64_t FreeMillicores() override;
   void Withhold(const std::set<std::string>& upstreams) override;
-  void Vacate(const std::string& upstream, bool all) override;
+  void EvictTasks(const std::string& upstream, bool all) override;
   void LifeEnded(const std::string& upstream) override;
   bool MayOrder() override { return loaded_ && MayGiveOrders(); }
 
@@ -155,7 +155,7 @@
     /// The only jobs that may run something there.
     std::unordered_set<JobId> jobs;
     /// What it may have crashed with.
-    scheduling::SilentRuns runs;
+    scheduling::SuspectRuns runs;
   };
   struct FinalJob {
     JobState state = JobState::kComplete;
--- a/src/coordinator/job_table.cc
+++ b/src/coordinator/job_table.cc
@@ -23,7 +23,7 @@
   return out;
 }
 
-std::vector<wire::RunRecord> ToRecords(const scheduling::SilentRuns& runs) {
+std::vector<wire::RunRecord> ToRecords(const scheduling::SuspectRuns& runs) {
   std::vector<wire::RunRecord> out;
   for (const auto& [run, early] : runs) {
     wire::RunRecord& record = out.emplace_back();
@@ -34,8 +34,8 @@
   return out;
 }
 
-scheduling::SilentRuns RunsFromRecord(const wire::UpstreamRecord& record) {
-  scheduling::SilentRuns out;
+scheduling::SuspectRuns RunsFromRecord(const wire::UpstreamRecord& record) {
+  scheduling::SuspectRuns out;
   for (const wire::RunRecord& run : record.runs) {
     const auto task = ParseTaskId(run.task);
     if (!task || run.attempt < 1) continue;
--- a/src/coordinator/job_table.h
+++ b/src/coordinator/job_table.h
@@ -28,9 +28,9 @@
 std::string ProgressKey(JobId id);
 std::string EndKey(const TaskId& task, int64_t attempt);
 wire::UpstreamRecord ToRecord(const ports::UpstreamEntry& entry);
-std::vector<wire::RunRecord> ToRecords(const scheduling::SilentRuns& runs);
+std::vector<wire::RunRecord> ToRecords(const scheduling::SuspectRuns& runs);
 /// The runs that the record keeps; those that can't be read are left out.
-scheduling::SilentRuns RunsFromRecord(const wire::UpstreamRecord& record);
+scheduling::SuspectRuns RunsFromRecord(const wire::UpstreamRecord& record);
 /// An upstream as a record keeps it; not listed until the list names it.
 ports::UpstreamEntry FromRecord(const wire::UpstreamRecord& record);
 
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -104,7 +104,7 @@
   // known. Stopped or forgotten instead, its tasks would be lost to one odd
   // entry.
   pool.at(known).listed = true;
-  pool.at(known).withheld = true;
+  pool.at(known).entry_malformed = true;
 }
 
 bool Coordinator::Named(const std::string& pool) const {
@@ -146,7 +146,7 @@
   if (left != left_closed_.end()) scheduler_.pool().at(index).closed = true;
   if (links_.count(index) > 0) return;
   if (left != left_closed_.end()) {
-    scheduler_.pool().at(index).unexplained = left->second.runs;
+    scheduler_.pool().at(index).suspect_runs = left->second.runs;
   }
   auto link = std::make_shared<fleet::UpstreamLink>(
       deps_.executor, deps_.tasks, *this,
@@ -240,7 +240,7 @@
   Pump(orders);
 }
 
-bool Coordinator::MayGiveOrders() { return !closed_ && deps_.trusted(); }
+bool Coordinator::MayGiveOrders() { return !closed_ && deps_.lease_valid(); }
 
 void Coordinator::OnReport(UpstreamIndex upstream,
                            const std::vector<ports::RunningTask>& running,
@@ -301,8 +301,8 @@
   // One that left the list for its silence is kept until it is known whether it
   // has crashed with what it ran.
   const scheduling::Upstream& it = scheduler_.pool().at(upstream);
-  const bool over = why != UpstreamLoss::kLeasesOver ||
-                    (!it.listed && it.unexplained.empty());
+  const bool over = why != UpstreamLoss::kLeasesExpired ||
+                    (!it.listed && it.suspect_runs.empty());
   if (over) DropUpstream(upstream, why);
   CheckResolved();
   PlaceSoon();
@@ -373,7 +373,7 @@
   return {.known = it.listed && it.reachable && scheduler_.resolved() && noted,
           .tasks = work.tasks,
           .bound_tasks = work.bound_tasks,
-          .empties_in = work.empties_in,
+          .drained_in = work.drained_in,
           .millicores = work.millicores};
 }
 
@@ -390,16 +390,16 @@
 void Coordinator::Withhold(const std::set<std::string>& upstreams) {
   scheduling::UpstreamPool& pool = scheduler_.pool();
   for (const UpstreamIndex index : pool.all()) {
-    pool.at(index).vacating = upstreams.count(pool.at(index).entry.id) > 0;
+    pool.at(index).cordoned = upstreams.count(pool.at(index).entry.id) > 0;
   }
   PlaceSoon();
 }
 
-void Coordinator::Vacate(const std::string& upstream, bool all) {
+void Coordinator::EvictTasks(const std::string& upstream, bool all) {
   const UpstreamIndex index = scheduler_.pool().Find(upstream);
   if (index == kNoUpstream || !scheduler_.resolved()) return;
   Orders orders;
-  scheduler_.Vacate(index, all, deps_.executor.Now(), orders);
+  scheduler_.EvictTasks(index, all, deps_.executor.Now(), orders);
   Pump(orders);
 }
 
@@ -407,7 +407,7 @@
   const UpstreamIndex index = scheduler_.pool().Find(upstream);
   ended_.insert(upstream);
   if (index != kNoUpstream && links_.count(index) > 0) {
-    OnEmpty(index, UpstreamLoss::kUpkeep);
+    OnEmpty(index, UpstreamLoss::kMaintenance);
   }
 }
 
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -189,7 +189,7 @@
                    {{"upstream", options_.target.id}});
     emptied_ = true;
     doubts_.clear();
-    events_.OnEmpty(options_.index, scheduling::UpstreamLoss::kLeasesOver);
+    events_.OnEmpty(options_.index, scheduling::UpstreamLoss::kLeasesExpired);
   }
   constexpr Millis kCheck{100};
   executor_.RunAfter(kCheck, [weak = weak_from_this()] {
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -108,11 +108,11 @@
       leadership_(
           deps_.executor, deps_.store, deps_.peers, faults_,
           options_.leadership,
-          {.lead = [this](int64_t term) { Lead(term); },
-           .lost = [this] { Lost(); },
-           .serves = [this] { waiting_.ReleaseAll(); },
-           .heard =
-               [this](const wire::HelloReply& hello) {
+          {.on_elected = [this](int64_t term) { Lead(term); },
+           .on_leadership_lost = [this] { Lost(); },
+           .on_leader_ready = [this] { waiting_.ReleaseAll(); },
+           .on_heartbeat_reply =
+               [this](const wire::HeartbeatReply& hello) {
                  heard_ = deps_.executor.Now();
                  // A leader that cannot reach the store may be behind; it is
                  // no source for an entry that knows nothing itself.
@@ -159,9 +159,10 @@
           .metrics = deps_.metrics,
           .faults = faults_,
           .pools = [this] { return KnownPools(); },
-          .trusted = [this] { return leadership_.trusted(); },
-          .confirmed = [this] { return leadership_.confirmed(); },
-          .loaded = [this] { leadership_.Serve(); },
+          .lease_valid = [this] { return leadership_.lease_valid(); },
+          .lease_confirmed_by_store =
+              [this] { return leadership_.lease_confirmed_by_store(); },
+          .loaded = [this] { leadership_.MarkReady(); },
           .deposed =
               [this](const std::string& cause) {
                 // Never inside a call of the coordinator itself.
@@ -283,7 +284,7 @@
     }
     call->done(out);
   };
-  if (!leadership_.leader_serves()) {
+  if (!leadership_.leader_ready()) {
     // A leader that still loads can only turn the call away. Repeated every
     // 50 ms by 18 entries, such calls took half of a leader's link of 2 Mbit/s:
     // its renewals came too late, the next one led and loaded everything again,
@@ -442,8 +443,8 @@
       });
 }
 
-wire::HelloReply JobEntry::OnHello(const wire::HelloCall& call) {
-  return leadership_.OnHello(call);
+wire::HeartbeatReply JobEntry::OnHeartbeat(const wire::HeartbeatCall& call) {
+  return leadership_.OnHeartbeat(call);
 }
 
 wire::AnnounceReply JobEntry::OnAnnounce(const wire::AnnounceCall& call) {
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -82,7 +82,7 @@
            Callback<ports::Advice> done) override;
 
   /// Calls of other entries.
-  wire::HelloReply OnHello(const wire::HelloCall& call);
+  wire::HeartbeatReply OnHeartbeat(const wire::HeartbeatCall& call);
   wire::AnnounceReply OnAnnounce(const wire::AnnounceCall& call);
   void OnSubmit(const wire::SubmitJobCall& call,
                 std::function<void(wire::SubmitJobReply)> done);
--- a/src/jobentry/job_peer_server.cc
+++ b/src/jobentry/job_peer_server.cc
@@ -30,7 +30,7 @@
 
 void ServeJobPeers(rpc::Server& server, Executor& executor, JobEntry& entry) {
   using rpc::Method;
-  ServeNow(server, executor, Method::kHello, entry, &JobEntry::OnHello);
+  ServeNow(server, executor, Method::kHeartbeat, entry, &JobEntry::OnHeartbeat);
   ServeNow(server, executor, Method::kAnnounce, entry, &JobEntry::OnAnnounce);
   Serve(server, executor, Method::kSubmitJob, entry, &JobEntry::OnSubmit);
   Serve(server, executor, Method::kJobState, entry, &JobEntry::OnState);
--- a/src/jobs/gen/jobs_types.cpp
+++ b/src/jobs/gen/jobs_types.cpp
@@ -2212,33 +2212,33 @@
 }
 
 
-HelloCall::~HelloCall() noexcept {
+HeartbeatCall::~HeartbeatCall() noexcept {
 }
 
 
-void HelloCall::__set_caller(const Member& val) {
+void HeartbeatCall::__set_caller(const Member& val) {
   this->caller = val;
 }
 
-void HelloCall::__set_term(const int64_t val) {
+void HeartbeatCall::__set_term(const int64_t val) {
   this->term = val;
 }
 
-void HelloCall::__set_config_version(const int64_t val) {
+void HeartbeatCall::__set_config_version(const int64_t val) {
   this->config_version = val;
 }
 
-void HelloCall::__set_members_known(const int64_t val) {
+void HeartbeatCall::__set_members_known(const int64_t val) {
   this->members_known = val;
 }
-std::ostream& operator<<(std::ostream& out, const HelloCall& obj)
+std::ostream& operator<<(std::ostream& out, const HeartbeatCall& obj)
 {
   obj.printTo(out);
   return out;
 }
 
 
-uint32_t HelloCall::read(::apache::thrift::protocol::TProtocol* iprot) {
+uint32_t HeartbeatCall::read(::apache::thrift::protocol::TProtocol* iprot) {
 
   ::apache::thrift::protocol::TInputRecursionTracker tracker(*iprot);
   uint32_t xfer = 0;
@@ -2303,10 +2303,10 @@
   return xfer;
 }
 
-uint32_t HelloCall::write(::apache::thrift::protocol::TProtocol* oprot) const {
+uint32_t HeartbeatCall::write(::apache::thrift::protocol::TProtocol* oprot) const {
   uint32_t xfer = 0;
   ::apache::thrift::protocol::TOutputRecursionTracker tracker(*oprot);
-  xfer += oprot->writeStructBegin("HelloCall");
+  xfer += oprot->writeStructBegin("HeartbeatCall");
 
   xfer += oprot->writeFieldBegin("caller", ::apache::thrift::protocol::T_STRUCT, 1);
   xfer += this->caller.write(oprot);
@@ -2329,7 +2329,7 @@
   return xfer;
 }
 
-void swap(HelloCall &a, HelloCall &b) {
+void swap(HeartbeatCall &a, HeartbeatCall &b) {
   using ::std::swap;
   swap(a.caller, b.caller);
   swap(a.term, b.term);
@@ -2338,21 +2338,21 @@
   swap(a.__isset, b.__isset);
 }
 
-HelloCall::HelloCall(const HelloCall& other86) {
+HeartbeatCall::HeartbeatCall(const HeartbeatCall& other86) {
   caller = other86.caller;
   term = other86.term;
   config_version = other86.config_version;
   members_known = other86.members_known;
   __isset = other86.__isset;
 }
-HelloCall::HelloCall(HelloCall&& other87) noexcept {
+HeartbeatCall::HeartbeatCall(HeartbeatCall&& other87) noexcept {
   caller = std::move(other87.caller);
   term = other87.term;
   config_version = other87.config_version;
   members_known = other87.members_known;
   __isset = other87.__isset;
 }
-HelloCall& HelloCall::operator=(const HelloCall& other88) {
+HeartbeatCall& HeartbeatCall::operator=(const HeartbeatCall& other88) {
   caller = other88.caller;
   term = other88.term;
   config_version = other88.config_version;
@@ -2360,7 +2360,7 @@
   __isset = other88.__isset;
   return *this;
 }
-HelloCall& HelloCall::operator=(HelloCall&& other89) noexcept {
+HeartbeatCall& HeartbeatCall::operator=(HeartbeatCall&& other89) noexcept {
   caller = std::move(other89.caller);
   term = other89.term;
   config_version = other89.config_version;
@@ -2368,9 +2368,9 @@
   __isset = other89.__isset;
   return *this;
 }
-void HelloCall::printTo(std::ostream& out) const {
+void HeartbeatCall::printTo(std::ostream& out) const {
   using ::apache::thrift::to_string;
-  out << "HelloCall(";
+  out << "HeartbeatCall(";
   out << "caller=" << to_string(caller);
   out << ", " << "term=" << to_string(term);
   out << ", " << "config_version=" << to_string(config_version);
@@ -2379,57 +2379,57 @@
 }
 
 
-HelloReply::~HelloReply() noexcept {
+HeartbeatReply::~HeartbeatReply() noexcept {
 }
 
 
-void HelloReply::__set_leading(const bool val) {
+void HeartbeatReply::__set_leading(const bool val) {
   this->leading = val;
 }
 
-void HelloReply::__set_term(const int64_t val) {
+void HeartbeatReply::__set_term(const int64_t val) {
   this->term = val;
 }
 
-void HelloReply::__set_leader(const Member& val) {
+void HeartbeatReply::__set_leader(const Member& val) {
   this->leader = val;
 }
 
-void HelloReply::__set_store_reachable(const bool val) {
+void HeartbeatReply::__set_store_reachable(const bool val) {
   this->store_reachable = val;
 }
 
-void HelloReply::__set_members(const std::vector<Member> & val) {
+void HeartbeatReply::__set_members(const std::vector<Member> & val) {
   this->members = val;
 }
 
-void HelloReply::__set_config_version(const int64_t val) {
+void HeartbeatReply::__set_config_version(const int64_t val) {
   this->config_version = val;
 }
 
-void HelloReply::__set_config(const std::string& val) {
+void HeartbeatReply::__set_config(const std::string& val) {
   this->config = val;
 }
 
-void HelloReply::__set_leader_silent_ms(const int64_t val) {
-  this->leader_silent_ms = val;
+void HeartbeatReply::__set_leader_unresponsive_ms(const int64_t val) {
+  this->leader_unresponsive_ms = val;
 }
 
-void HelloReply::__set_loading(const bool val) {
+void HeartbeatReply::__set_loading(const bool val) {
   this->loading = val;
 }
 
-void HelloReply::__set_members_known(const int64_t val) {
+void HeartbeatReply::__set_members_known(const int64_t val) {
   this->members_known = val;
 }
-std::ostream& operator<<(std::ostream& out, const HelloReply& obj)
+std::ostream& operator<<(std::ostream& out, const HeartbeatReply& obj)
 {
   obj.printTo(out);
   return out;
 }
 
 
-uint32_t HelloReply::read(::apache::thrift::protocol::TProtocol* iprot) {
+uint32_t HeartbeatReply::read(::apache::thrift::protocol::TProtocol* iprot) {
 
   ::apache::thrift::protocol::TInputRecursionTracker tracker(*iprot);
   uint32_t xfer = 0;
@@ -2520,8 +2520,8 @@
         break;
       case 8:
         if (ftype == ::apache::thrift::protocol::T_I64) {
-          xfer += iprot->readI64(this->leader_silent_ms);
-          this->__isset.leader_silent_ms = true;
+          xfer += iprot->readI64(this->leader_unresponsive_ms);
+          this->__isset.leader_unresponsive_ms = true;
         } else {
           xfer += iprot->skip(ftype);
         }
@@ -2554,10 +2554,10 @@
   return xfer;
 }
 
-uint32_t HelloReply::write(::apache::thrift::protocol::TProtocol* oprot) const {
+uint32_t HeartbeatReply::write(::apache::thrift::protocol::TProtocol* oprot) const {
   uint32_t xfer = 0;
   ::apache::thrift::protocol::TOutputRecursionTracker tracker(*oprot);
-  xfer += oprot->writeStructBegin("HelloReply");
+  xfer += oprot->writeStructBegin("HeartbeatReply");
 
   xfer += oprot->writeFieldBegin("leading", ::apache::thrift::protocol::T_BOOL, 1);
   xfer += oprot->writeBool(this->leading);
@@ -2595,8 +2595,8 @@
   xfer += oprot->writeBinary(this->config);
   xfer += oprot->writeFieldEnd();
 
-  xfer += oprot->writeFieldBegin("leader_silent_ms", ::apache::thrift::protocol::T_I64, 8);
-  xfer += oprot->writeI64(this->leader_silent_ms);
+  xfer += oprot->writeFieldBegin("leader_unresponsive_ms", ::apache::thrift::protocol::T_I64, 8);
+  xfer += oprot->writeI64(this->leader_unresponsive_ms);
   xfer += oprot->writeFieldEnd();
 
   xfer += oprot->writeFieldBegin("loading", ::apache::thrift::protocol::T_BOOL, 9);
@@ -2612,7 +2612,7 @@
   return xfer;
 }
 
-void swap(HelloReply &a, HelloReply &b) {
+void swap(HeartbeatReply &a, HeartbeatReply &b) {
   using ::std::swap;
   swap(a.leading, b.leading);
   swap(a.term, b.term);
@@ -2621,13 +2621,13 @@
   swap(a.members, b.members);
   swap(a.config_version, b.config_version);
   swap(a.config, b.config);
-  swap(a.leader_silent_ms, b.leader_silent_ms);
+  swap(a.leader_unresponsive_ms, b.leader_unresponsive_ms);
   swap(a.loading, b.loading);
   swap(a.members_known, b.members_known);
   swap(a.__isset, b.__isset);
 }
 
-HelloReply::HelloReply(const HelloReply& other96) {
+HeartbeatReply::HeartbeatReply(const HeartbeatReply& other96) {
   leading = other96.leading;
   term = other96.term;
   leader = other96.leader;
@@ -2635,12 +2635,12 @@
   members = other96.members;
   config_version = other96.config_version;
   config = other96.config;
-  leader_silent_ms = other96.leader_silent_ms;
+  leader_unresponsive_ms = other96.leader_unresponsive_ms;
   loading = other96.loading;
   members_known = other96.members_known;
   __isset = other96.__isset;
 }
-HelloReply::HelloReply(HelloReply&& other97) noexcept {
+HeartbeatReply::HeartbeatReply(HeartbeatReply&& other97) noexcept {
   leading = other97.leading;
   term = other97.term;
   leader = std::move(other97.leader);
@@ -2648,12 +2648,12 @@
   members = std::move(other97.members);
   config_version = other97.config_version;
   config = std::move(other97.config);
-  leader_silent_ms = other97.leader_silent_ms;
+  leader_unresponsive_ms = other97.leader_unresponsive_ms;
   loading = other97.loading;
   members_known = other97.members_known;
   __isset = other97.__isset;
 }
-HelloReply& HelloReply::operator=(const HelloReply& other98) {
+HeartbeatReply& HeartbeatReply::operator=(const HeartbeatReply& other98) {
   leading = other98.leading;
   term = other98.term;
   leader = other98.leader;
@@ -2661,13 +2661,13 @@
   members = other98.members;
   config_version = other98.config_version;
   config = other98.config;
-  leader_silent_ms = other98.leader_silent_ms;
+  leader_unresponsive_ms = other98.leader_unresponsive_ms;
   loading = other98.loading;
   members_known = other98.members_known;
   __isset = other98.__isset;
   return *this;
 }
-HelloReply& HelloReply::operator=(HelloReply&& other99) noexcept {
+HeartbeatReply& HeartbeatReply::operator=(HeartbeatReply&& other99) noexcept {
   leading = other99.leading;
   term = other99.term;
   leader = std::move(other99.leader);
@@ -2675,15 +2675,15 @@
   members = std::move(other99.members);
   config_version = other99.config_version;
   config = std::move(other99.config);
-  leader_silent_ms = other99.leader_silent_ms;
+  leader_unresponsive_ms = other99.leader_unresponsive_ms;
   loading = other99.loading;
   members_known = other99.members_known;
   __isset = other99.__isset;
   return *this;
 }
-void HelloReply::printTo(std::ostream& out) const {
+void HeartbeatReply::printTo(std::ostream& out) const {
   using ::apache::thrift::to_string;
-  out << "HelloReply(";
+  out << "HeartbeatReply(";
   out << "leading=" << to_string(leading);
   out << ", " << "term=" << to_string(term);
   out << ", " << "leader=" << to_string(leader);
@@ -2691,7 +2691,7 @@
   out << ", " << "members=" << to_string(members);
   out << ", " << "config_version=" << to_string(config_version);
   out << ", " << "config=" << to_string(config);
-  out << ", " << "leader_silent_ms=" << to_string(leader_silent_ms);
+  out << ", " << "leader_unresponsive_ms=" << to_string(leader_unresponsive_ms);
   out << ", " << "loading=" << to_string(loading);
   out << ", " << "members_known=" << to_string(members_known);
   out << ")";
@@ -2718,12 +2718,12 @@
   this->loading = val;
 }
 
-void AnnounceCall::__set_settled(const bool val) {
-  this->settled = val;
+void AnnounceCall::__set_stable(const bool val) {
+  this->stable = val;
 }
 
-void AnnounceCall::__set_unsettled_terms(const int32_t val) {
-  this->unsettled_terms = val;
+void AnnounceCall::__set_unstable_terms(const int32_t val) {
+  this->unstable_terms = val;
 }
 std::ostream& operator<<(std::ostream& out, const AnnounceCall& obj)
 {
@@ -2787,16 +2787,16 @@
         break;
       case 5:
         if (ftype == ::apache::thrift::protocol::T_BOOL) {
-          xfer += iprot->readBool(this->settled);
-          this->__isset.settled = true;
+          xfer += iprot->readBool(this->stable);
+          this->__isset.stable = true;
         } else {
           xfer += iprot->skip(ftype);
         }
         break;
       case 6:
         if (ftype == ::apache::thrift::protocol::T_I32) {
-          xfer += iprot->readI32(this->unsettled_terms);
-          this->__isset.unsettled_terms = true;
+          xfer += iprot->readI32(this->unstable_terms);
+          this->__isset.unstable_terms = true;
         } else {
           xfer += iprot->skip(ftype);
         }
@@ -2834,12 +2834,12 @@
   xfer += oprot->writeBool(this->loading);
   xfer += oprot->writeFieldEnd();
 
-  xfer += oprot->writeFieldBegin("settled", ::apache::thrift::protocol::T_BOOL, 5);
-  xfer += oprot->writeBool(this->settled);
+  xfer += oprot->writeFieldBegin("stable", ::apache::thrift::protocol::T_BOOL, 5);
+  xfer += oprot->writeBool(this->stable);
   xfer += oprot->writeFieldEnd();
 
-  xfer += oprot->writeFieldBegin("unsettled_terms", ::apache::thrift::protocol::T_I32, 6);
-  xfer += oprot->writeI32(this->unsettled_terms);
+  xfer += oprot->writeFieldBegin("unstable_terms", ::apache::thrift::protocol::T_I32, 6);
+  xfer += oprot->writeI32(this->unstable_terms);
   xfer += oprot->writeFieldEnd();
 
   xfer += oprot->writeFieldStop();
@@ -2853,8 +2853,8 @@
   swap(a.leader, b.leader);
   swap(a.resigned, b.resigned);
   swap(a.loading, b.loading);
-  swap(a.settled, b.settled);
-  swap(a.unsettled_terms, b.unsettled_terms);
+  swap(a.stable, b.stable);
+  swap(a.unstable_terms, b.unstable_terms);
   swap(a.__isset, b.__isset);
 }
 
@@ -2863,8 +2863,8 @@
   leader = other100.leader;
   resigned = other100.resigned;
   loading = other100.loading;
-  settled = other100.settled;
-  unsettled_terms = other100.unsettled_terms;
+  stable = other100.stable;
+  unstable_terms = other100.unstable_terms;
   __isset = other100.__isset;
 }
 AnnounceCall::AnnounceCall(AnnounceCall&& other101) noexcept {
@@ -2872,8 +2872,8 @@
   leader = std::move(other101.leader);
   resigned = other101.resigned;
   loading = other101.loading;
-  settled = other101.settled;
-  unsettled_terms = other101.unsettled_terms;
+  stable = other101.stable;
+  unstable_terms = other101.unstable_terms;
   __isset = other101.__isset;
 }
 AnnounceCall& AnnounceCall::operator=(const AnnounceCall& other102) {
@@ -2881,8 +2881,8 @@
   leader = other102.leader;
   resigned = other102.resigned;
   loading = other102.loading;
-  settled = other102.settled;
-  unsettled_terms = other102.unsettled_terms;
+  stable = other102.stable;
+  unstable_terms = other102.unstable_terms;
   __isset = other102.__isset;
   return *this;
 }
@@ -2891,8 +2891,8 @@
   leader = std::move(other103.leader);
   resigned = other103.resigned;
   loading = other103.loading;
-  settled = other103.settled;
-  unsettled_terms = other103.unsettled_terms;
+  stable = other103.stable;
+  unstable_terms = other103.unstable_terms;
   __isset = other103.__isset;
   return *this;
 }
@@ -2903,8 +2903,8 @@
   out << ", " << "leader=" << to_string(leader);
   out << ", " << "resigned=" << to_string(resigned);
   out << ", " << "loading=" << to_string(loading);
-  out << ", " << "settled=" << to_string(settled);
-  out << ", " << "unsettled_terms=" << to_string(unsettled_terms);
+  out << ", " << "stable=" << to_string(stable);
+  out << ", " << "unstable_terms=" << to_string(unstable_terms);
   out << ")";
 }
 
--- a/src/jobs/gen/jobs_types.h
+++ b/src/jobs/gen/jobs_types.h
@@ -37,9 +37,9 @@
 
 class Member;
 
-class HelloCall;
+class HeartbeatCall;
 
-class HelloReply;
+class HeartbeatReply;
 
 class AnnounceCall;
 
@@ -906,31 +906,31 @@
 
 std::ostream& operator<<(std::ostream& out, const Member& obj);
 
-typedef struct _HelloCall__isset {
-  _HelloCall__isset() : caller(false), term(false), config_version(false), members_known(false) {}
+typedef struct _HeartbeatCall__isset {
+  _HeartbeatCall__isset() : caller(false), term(false), config_version(false), members_known(false) {}
   bool caller :1;
   bool term :1;
   bool config_version :1;
   bool members_known :1;
-} _HelloCall__isset;
+} _HeartbeatCall__isset;
 
 /**
  * An entry greets the one that it takes for the leader.
  */
-class HelloCall : public virtual ::apache::thrift::TBase {
+class HeartbeatCall : public virtual ::apache::thrift::TBase {
  public:
 
-  HelloCall(const HelloCall&);
-  HelloCall(HelloCall&&) noexcept;
-  HelloCall& operator=(const HelloCall&);
-  HelloCall& operator=(HelloCall&&) noexcept;
-  HelloCall() noexcept
-            : term(0),
-              config_version(0),
-              members_known(0) {
+  HeartbeatCall(const HeartbeatCall&);
+  HeartbeatCall(HeartbeatCall&&) noexcept;
+  HeartbeatCall& operator=(const HeartbeatCall&);
+  HeartbeatCall& operator=(HeartbeatCall&&) noexcept;
+  HeartbeatCall() noexcept
+                : term(0),
+                  config_version(0),
+                  members_known(0) {
   }
 
-  virtual ~HelloCall() noexcept;
+  virtual ~HeartbeatCall() noexcept;
   Member caller;
   int64_t term;
   int64_t config_version;
@@ -940,7 +940,7 @@
    */
   int64_t members_known;
 
-  _HelloCall__isset __isset;
+  _HeartbeatCall__isset __isset;
 
   void __set_caller(const Member& val);
 
@@ -950,7 +950,7 @@
 
   void __set_members_known(const int64_t val);
 
-  bool operator == (const HelloCall & rhs) const
+  bool operator == (const HeartbeatCall & rhs) const
   {
     if (!(caller == rhs.caller))
       return false;
@@ -962,11 +962,11 @@
       return false;
     return true;
   }
-  bool operator != (const HelloCall &rhs) const {
+  bool operator != (const HeartbeatCall &rhs) const {
     return !(*this == rhs);
   }
 
-  bool operator < (const HelloCall & ) const;
+  bool operator < (const HeartbeatCall & ) const;
 
   uint32_t read(::apache::thrift::protocol::TProtocol* iprot) override;
   uint32_t write(::apache::thrift::protocol::TProtocol* oprot) const override;
@@ -974,12 +974,12 @@
   virtual void printTo(std::ostream& out) const;
 };
 
-void swap(HelloCall &a, HelloCall &b);
+void swap(HeartbeatCall &a, HeartbeatCall &b);
 
-std::ostream& operator<<(std::ostream& out, const HelloCall& obj);
+std::ostream& operator<<(std::ostream& out, const HeartbeatCall& obj);
 
-typedef struct _HelloReply__isset {
-  _HelloReply__isset() : leading(false), term(false), leader(false), store_reachable(false), members(false), config_version(false), config(false), leader_silent_ms(false), loading(false), members_known(false) {}
+typedef struct _HeartbeatReply__isset {
+  _HeartbeatReply__isset() : leading(false), term(false), leader(false), store_reachable(false), members(false), config_version(false), config(false), leader_unresponsive_ms(false), loading(false), members_known(false) {}
   bool leading :1;
   bool term :1;
   bool leader :1;
@@ -987,30 +987,30 @@
   bool members :1;
   bool config_version :1;
   bool config :1;
-  bool leader_silent_ms :1;
+  bool leader_unresponsive_ms :1;
   bool loading :1;
   bool members_known :1;
-} _HelloReply__isset;
+} _HeartbeatReply__isset;
 
-class HelloReply : public virtual ::apache::thrift::TBase {
+class HeartbeatReply : public virtual ::apache::thrift::TBase {
  public:
 
-  HelloReply(const HelloReply&);
-  HelloReply(HelloReply&&) noexcept;
-  HelloReply& operator=(const HelloReply&);
-  HelloReply& operator=(HelloReply&&) noexcept;
-  HelloReply() noexcept
-             : leading(0),
-               term(0),
-               store_reachable(0),
-               config_version(0),
-               config(),
-               leader_silent_ms(0),
-               loading(0),
-               members_known(0) {
-  }
-
-  virtual ~HelloReply() noexcept;
+  HeartbeatReply(const HeartbeatReply&);
+  HeartbeatReply(HeartbeatReply&&) noexcept;
+  HeartbeatReply& operator=(const HeartbeatReply&);
+  HeartbeatReply& operator=(HeartbeatReply&&) noexcept;
+  HeartbeatReply() noexcept
+                 : leading(0),
+                   term(0),
+                   store_reachable(0),
+                   config_version(0),
+                   config(),
+                   leader_unresponsive_ms(0),
+                   loading(0),
+                   members_known(0) {
+  }
+
+  virtual ~HeartbeatReply() noexcept;
   bool leading;
   int64_t term;
   Member leader;
@@ -1031,7 +1031,7 @@
   /**
    * How long a follower has not heard of its leader, in ms.
    */
-  int64_t leader_silent_ms;
+  int64_t leader_unresponsive_ms;
   /**
    * The leader still takes over what is stored, and takes no calls.
    */
@@ -1041,7 +1041,7 @@
    */
   int64_t members_known;
 
-  _HelloReply__isset __isset;
+  _HeartbeatReply__isset __isset;
 
   void __set_leading(const bool val);
 
@@ -1057,13 +1057,13 @@
 
   void __set_config(const std::string& val);
 
-  void __set_leader_silent_ms(const int64_t val);
+  void __set_leader_unresponsive_ms(const int64_t val);
 
   void __set_loading(const bool val);
 
   void __set_members_known(const int64_t val);
 
-  bool operator == (const HelloReply & rhs) const
+  bool operator == (const HeartbeatReply & rhs) const
   {
     if (!(leading == rhs.leading))
       return false;
@@ -1079,7 +1079,7 @@
       return false;
     if (!(config == rhs.config))
       return false;
-    if (!(leader_silent_ms == rhs.leader_silent_ms))
+    if (!(leader_unresponsive_ms == rhs.leader_unresponsive_ms))
       return false;
     if (!(loading == rhs.loading))
       return false;
@@ -1087,11 +1087,11 @@
       return false;
     return true;
   }
-  bool operator != (const HelloReply &rhs) const {
+  bool operator != (const HeartbeatReply &rhs) const {
     return !(*this == rhs);
   }
 
-  bool operator < (const HelloReply & ) const;
+  bool operator < (const HeartbeatReply & ) const;
 
   uint32_t read(::apache::thrift::protocol::TProtocol* iprot) override;
   uint32_t write(::apache::thrift::protocol::TProtocol* oprot) const override;
@@ -1099,18 +1099,18 @@
   virtual void printTo(std::ostream& out) const;
 };
 
-void swap(HelloReply &a, HelloReply &b);
+void swap(HeartbeatReply &a, HeartbeatReply &b);
 
-std::ostream& operator<<(std::ostream& out, const HelloReply& obj);
+std::ostream& operator<<(std::ostream& out, const HeartbeatReply& obj);
 
 typedef struct _AnnounceCall__isset {
-  _AnnounceCall__isset() : term(false), leader(false), resigned(false), loading(false), settled(false), unsettled_terms(false) {}
+  _AnnounceCall__isset() : term(false), leader(false), resigned(false), loading(false), stable(false), unstable_terms(false) {}
   bool term :1;
   bool leader :1;
   bool resigned :1;
   bool loading :1;
-  bool settled :1;
-  bool unsettled_terms :1;
+  bool stable :1;
+  bool unstable_terms :1;
 } _AnnounceCall__isset;
 
 /**
@@ -1127,8 +1127,8 @@
                : term(0),
                  resigned(0),
                  loading(0),
-                 settled(0),
-                 unsettled_terms(0) {
+                 stable(0),
+                 unstable_terms(0) {
   }
 
   virtual ~AnnounceCall() noexcept;
@@ -1146,11 +1146,11 @@
    * It has served for a while: should it fall silent, the next leader needs
    * no more than the usual patience.
    */
-  bool settled;
+  bool stable;
   /**
    * Terms right before this one, one after the other, that ended unsettled.
    */
-  int32_t unsettled_terms;
+  int32_t unstable_terms;
 
   _AnnounceCall__isset __isset;
 
@@ -1162,9 +1162,9 @@
 
   void __set_loading(const bool val);
 
-  void __set_settled(const bool val);
+  void __set_stable(const bool val);
 
-  void __set_unsettled_terms(const int32_t val);
+  void __set_unstable_terms(const int32_t val);
 
   bool operator == (const AnnounceCall & rhs) const
   {
@@ -1176,9 +1176,9 @@
       return false;
     if (!(loading == rhs.loading))
       return false;
-    if (!(settled == rhs.settled))
+    if (!(stable == rhs.stable))
       return false;
-    if (!(unsettled_terms == rhs.unsettled_terms))
+    if (!(unstable_terms == rhs.unstable_terms))
       return false;
     return true;
   }
--- a/src/jobs/jobs.thrift
+++ b/src/jobs/jobs.thrift
@@ -124,7 +124,7 @@
 }
 
 /** An entry greets the one that it takes for the leader. */
-struct HelloCall {
+struct HeartbeatCall {
   1: Member caller
   2: i64 term
   3: i64 config_version
@@ -133,7 +133,7 @@
   4: i64 members_known
 }
 
-struct HelloReply {
+struct HeartbeatReply {
   1: bool leading
   2: i64 term
   3: Member leader
@@ -146,7 +146,7 @@
   6: i64 config_version
   7: binary config
   /** How long a follower has not heard of its leader, in ms. */
-  8: i64 leader_silent_ms
+  8: i64 leader_unresponsive_ms
   /** The leader still takes over what is stored, and takes no calls. */
   9: bool loading
   /** Number of the last of these changes. */
@@ -163,9 +163,9 @@
   4: bool loading
   /** It has served for a while: should it fall silent, the next leader needs
    *  no more than the usual patience. */
-  5: bool settled
+  5: bool stable
   /** Terms right before this one, one after the other, that ended unsettled. */
-  6: i32 unsettled_terms
+  6: i32 unstable_terms
 }
 struct AnnounceReply { 1: i64 term }
 
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -76,7 +76,7 @@
   Millis last_took() const { return last_took_; }
   int64_t appends() const { return appends_; }
   /// Appends that are not known to be stored yet.
-  size_t under_way() const { return in_flight_.size(); }
+  size_t in_flight() const { return in_flight_.size(); }
 
  private:
   struct Batch {
--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -64,16 +64,16 @@
                     });
 }
 
-Millis Leadership::QuietFor(
+Millis Leadership::ElectionTimeoutFor(
     Suspicion suspicion,
     const std::optional<wire::AnnounceCall>& record) const {
   switch (suspicion) {
-    case Suspicion::kSilent:
-      return Patience(options_.quiet, record);
+    case Suspicion::kUnresponsive:
+      return ElectionTimeout(options_.election_timeout, record);
     case Suspicion::kCutFromStore:
-      return Patience(options_.quiet_admitted, record);
+      return ElectionTimeout(options_.election_timeout_store_lost, record);
     case Suspicion::kEnded:
-      return options_.quiet;
+      return options_.election_timeout;
     case Suspicion::kResigned:
       break;
   }
@@ -107,7 +107,7 @@
     // Its own record of an earlier life: nobody else leads.
     if (own && may_claim) {
       term_ = record->term;
-      return Claim(record->term + 1, end, UnsettledTerms(record));
+      return Claim(record->term + 1, end, UnstableTerms(record));
     }
     Follow(record->term, record->leader, record->loading);
     return EndLook(own ? kLookAgain : Millis(0));
@@ -122,8 +122,8 @@
   // Who has ended or resigned was not replaced for want of patience.
   const bool gone = certain || suspicion == Suspicion::kEnded;
   const int32_t unsettled =
-      gone ? UnsettledTerms(record) : UnsettledTermsAfter(record);
-  if (answered_at_ > asked && !certain && !admitted) {
+      gone ? UnstableTerms(record) : UnstableTermsAfter(record);
+  if (last_ack_sent_ > asked && !certain && !admitted) {
     return EndLook(kLookAgain);  // the leader was heard of meanwhile
   }
   if (certain || (seen_end && *seen_end == end)) {
@@ -143,7 +143,7 @@
   }
   if (seen_end) return EndLook(kLookAgain);  // it is alive at the store
   const auto delay = std::chrono::duration_cast<Millis>(now - asked);
-  executor_.RunAfter(QuietFor(suspicion, record) + 2 * delay,
+  executor_.RunAfter(ElectionTimeoutFor(suspicion, record) + 2 * delay,
                      [this, suspicion, end] { Look(suspicion, end); });
 }
 
@@ -170,18 +170,18 @@
 }
 
 void Leadership::Claim(int64_t term, int64_t end_offset,
-                       int32_t unsettled_terms) {
+                       int32_t unstable_terms) {
   store_.Append({.table = options_.table,
-                 .records = {{kLeaderKey, Record(term, unsettled_terms)}},
+                 .records = {{kLeaderKey, Record(term, unstable_terms)}},
                  .only_at = end_offset},
                 kStoreTimeout,
-                [this, term, unsettled_terms,
+                [this, term, unstable_terms,
                  asked = AskedNow()](const ports::AppendReply& reply) {
-                  OnClaim(term, unsettled_terms, asked, reply);
+                  OnClaim(term, unstable_terms, asked, reply);
                 });
 }
 
-void Leadership::OnClaim(int64_t term, int32_t unsettled_terms,
+void Leadership::OnClaim(int64_t term, int32_t unstable_terms,
                          const Asked& asked, const ports::AppendReply& reply) {
   if (reply.verdict != ports::AppendVerdict::kStored ||
       role_ != Role::kFollowing || term <= term_) {
@@ -191,7 +191,7 @@
     return EndLook(kLookAgain);
   }
   EndLook(Millis(0));
-  Lead(term, unsettled_terms, asked, reply.end_offset);
+  Lead(term, unstable_terms, asked, reply.end_offset);
 }
 
 }  // namespace mimosarail::leadership
--- a/src/leadership/take_over_patience.h
+++ b/src/leadership/election_timeout.h
@@ -20,18 +20,19 @@
 /// that holds, whatever the table, the link and the processor.
 ///
 /// Safe from any thread.
-Millis Patience(Millis usual, const std::optional<wire::AnnounceCall>& record);
+Millis ElectionTimeout(Millis usual,
+                       const std::optional<wire::AnnounceCall>& record);
 
 /// Terms in a row that had ended unsettled when the leader of this record began
 /// its own; 0 if it has settled since.
-int32_t UnsettledTerms(const std::optional<wire::AnnounceCall>& record);
+int32_t UnstableTerms(const std::optional<wire::AnnounceCall>& record);
 
 /// The same once that leader has been replaced for its silence.
-int32_t UnsettledTermsAfter(const std::optional<wire::AnnounceCall>& record);
+int32_t UnstableTermsAfter(const std::optional<wire::AnnounceCall>& record);
 
 /// Most doublings: 16 times 450 ms is longer than 5,000 jobs take over a link
 /// of 2 Mbit/s (4.5 s), and short against a day without service should the
 /// fleet's fifth leader in a row die as well.
-inline constexpr int32_t kMostPatienceDoublings = 4;
+inline constexpr int32_t kMaxTimeoutDoublings = 4;
 
 }  // namespace mimosarail::leadership
--- a/src/leadership/job_peer_port.h
+++ b/src/leadership/job_peer_port.h
@@ -13,8 +13,9 @@
 class JobPeerPort {
  public:
   virtual ~JobPeerPort() = default;
-  virtual void Hello(const std::string& address, const wire::HelloCall& call,
-                     Millis timeout, Callback<wire::HelloReply> done) = 0;
+  virtual void Heartbeat(const std::string& address,
+                         const wire::HeartbeatCall& call, Millis timeout,
+                         Callback<wire::HeartbeatReply> done) = 0;
   virtual void Announce(const std::string& address,
                         const wire::AnnounceCall& call, Millis timeout,
                         Callback<wire::AnnounceReply> done) = 0;
--- a/src/leadership/job_peers.cc
+++ b/src/leadership/job_peers.cc
@@ -4,11 +4,12 @@
 
 namespace mimosarail::leadership {
 
-void JobPeers::Hello(const std::string& address, const wire::HelloCall& call,
-                     Millis timeout, Callback<wire::HelloReply> done) {
-  rpc::CallTyped<wire::HelloReply>(client_, executor_, address,
-                                   rpc::Method::kHello, call, timeout,
-                                   std::move(done));
+void JobPeers::Heartbeat(const std::string& address,
+                         const wire::HeartbeatCall& call, Millis timeout,
+                         Callback<wire::HeartbeatReply> done) {
+  rpc::CallTyped<wire::HeartbeatReply>(client_, executor_, address,
+                                       rpc::Method::kHeartbeat, call, timeout,
+                                       std::move(done));
 }
 
 void JobPeers::Announce(const std::string& address,
--- a/src/leadership/job_peers.h
+++ b/src/leadership/job_peers.h
@@ -12,8 +12,8 @@
   JobPeers(rpc::Client& client, Executor& executor)
       : client_(client), executor_(executor) {}
 
-  void Hello(const std::string& address, const wire::HelloCall& call,
-             Millis timeout, Callback<wire::HelloReply> done) override;
+  void Heartbeat(const std::string& address, const wire::HeartbeatCall& call,
+                 Millis timeout, Callback<wire::HeartbeatReply> done) override;
   void Announce(const std::string& address, const wire::AnnounceCall& call,
                 Millis timeout, Callback<wire::AnnounceReply> done) override;
   void SubmitJob(const std::string& address, const wire::SubmitJobCall& call,
--- a/src/leadership/waiting_votes.cc
+++ b/src/leadership/leader_timeout_votes.cc
@@ -1,8 +1,8 @@
-#include "src/leadership/waiting_votes.h"
+#include "src/leadership/leader_timeout_votes.h"
 
 namespace mimosarail::leadership {
 
-bool WaitingVotes::MostWait(TimePoint now) const {
+bool LeaderTimeoutVotes::HasMajority(TimePoint now) const {
   size_t heard = 0;
   size_t waiting = 0;
   for (const auto& [follower, vote] : votes_) {
--- a/src/leadership/waiting_votes.h
+++ b/src/leadership/leader_timeout_votes.h
@@ -10,7 +10,7 @@
 
 /// What other followers said of late: whether they wait for the leader's
 /// answers. Not thread-safe.
-class WaitingVotes {
+class LeaderTimeoutVotes {
  public:
   void Note(const std::string& follower, TimePoint now, bool waits) {
     votes_[follower] = {now, waits};
@@ -18,7 +18,7 @@
   /// Precondition: another leader, so that all said before is of no use.
   void Clear() { votes_.clear(); }
   /// Whether more than half of those heard lately wait, and enough were heard.
-  bool MostWait(TimePoint now) const;
+  bool HasMajority(TimePoint now) const;
 
   /// What was said counts for this long: the others are asked every 250 ms.
   static constexpr Millis kAge{700};
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /// A follower that has not greeted for this long is not counted on.
-constexpr Millis kFollowerSilence{1000};
+constexpr Millis kFollowerTimeout{1000};
 /// Refused connections in a row after which a leader is suspected.
 constexpr int kRefusals = 2;
 constexpr Millis kTick{50};
@@ -50,30 +50,30 @@
 
 void Leadership::Start() {
   last_tick_ = executor_.Now();
-  Suspect(Suspicion::kSilent, "start");
+  Suspect(Suspicion::kUnresponsive, "start");
   RunEvery(executor_, kTick, [this] { Tick(); });
 }
 
-std::string Leadership::Record(int64_t term, int32_t unsettled_terms) const {
+std::string Leadership::Record(int64_t term, int32_t unstable_terms) const {
   wire::AnnounceCall record;
   record.term = term;
   record.leader = options_.member;
   record.loading = role_ != Role::kLeading || leader_loading_;
-  record.settled = settled();
-  record.unsettled_terms = unsettled_terms;
+  record.stable = stable();
+  record.unstable_terms = unstable_terms;
   return rpc::Encode(record);
 }
 
-bool Leadership::settled() const {
+bool Leadership::stable() const {
   return role_ == Role::kLeading && !leader_loading_ &&
-         executor_.Now() - serving_since_ >= options_.settled_after;
+         executor_.Now() - serving_since_ >= options_.stable_after;
 }
 
 std::vector<wire::Member> Leadership::followers() const {
   std::vector<wire::Member> out;
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
-    if (now - follower.heard < kFollowerSilence) out.push_back(follower.member);
+    if (now - follower.heard < kFollowerTimeout) out.push_back(follower.member);
   }
   return out;
 }
@@ -82,39 +82,42 @@
   const TimePoint last = std::max(last_renewed_, events_.last_stored());
   // While the store is slow for all, whoever leads next is no better off.
   const Millis next = options_.renew_period + 2 * renewal_took_;
-  return executor_.Now() - last < std::max(options_.store_silence, next);
+  return executor_.Now() - last <
+         std::max(options_.store_unreachable_after, next);
 }
 
-bool Leadership::confirmed() const {
-  return trusted() && confirmed_.sent >= awake_since_ &&
-         executor_.Now() - last_proof() < options_.trust;
+bool Leadership::lease_confirmed_by_store() const {
+  return lease_valid() && confirmed_.sent >= resumed_at_ &&
+         executor_.Now() - last_confirmation() < options_.leader_lease;
 }
 
-bool Leadership::trusted() const {
+bool Leadership::lease_valid() const {
   if (role_ != Role::kLeading) return false;
   // A machine that was suspended has missed time that its clock does not show;
   // somebody else may lead by now, which the next renewal tells.
   if (executor_.Suspended() - confirmed_.suspended > kSuspension) return false;
   const TimePoint now = executor_.Now();
-  if (now - last_tick_ > options_.trust) return false;  // it just stood still
-  const bool confirmed = confirmed_.sent >= awake_since_;
-  return (confirmed && now - last_proof() < options_.trust) || MostFollow();
+  if (now - last_tick_ > options_.leader_lease)
+    return false;  // it just stood still
+  const bool confirmed = confirmed_.sent >= resumed_at_;
+  return (confirmed && now - last_confirmation() < options_.leader_lease) ||
+         HasFollowerQuorum();
 }
 
-TimePoint Leadership::last_proof() const {
+TimePoint Leadership::last_confirmation() const {
   // Dated when it was read, a word of the store that was under way for a second
   // would count for longer than the next leader waits.
   return std::max(confirmed_.sent, events_.last_stored_sent());
 }
 
-bool Leadership::MostFollow() const {
+bool Leadership::HasFollowerQuorum() const {
   const TimePoint now = executor_.Now();
   // What waited for a process that stood still says nothing of now: a greeting
   // counts if the store has answered since, or if it can't have been under way.
-  const bool confirmed = confirmed_.sent >= awake_since_;
+  const bool confirmed = confirmed_.sent >= resumed_at_;
   // Only while the store answers can an entry be counted out: one that is
   // behind a cut may have taken over, however long ago it was heard of.
-  const TimePoint counted_from = last_proof() - options_.counted;
+  const TimePoint counted_from = last_confirmation() - options_.counted;
   size_t entries = 1;
   size_t following = 1;
   if (leading_since_ >= counted_from) entries += NotHeardOfYet();
@@ -122,8 +125,8 @@
     if (follower.heard < counted_from) continue;
     ++entries;
     const bool fresh =
-        confirmed || follower.heard - awake_since_ >= options_.hello_timeout;
-    if (fresh && now - follower.heard < options_.trust) ++following;
+        confirmed || follower.heard - resumed_at_ >= options_.heartbeat_timeout;
+    if (fresh && now - follower.heard < options_.leader_lease) ++following;
   }
   return following > 1 && 2 * following > entries;
 }
@@ -141,62 +144,63 @@
   return {.sent = executor_.Now(), .suspended = executor_.Suspended()};
 }
 
-void Leadership::NoteStandstill() {
+void Leadership::NoteProcessPause() {
   const TimePoint now = executor_.Now();
   const TimePoint before = std::exchange(last_tick_, now);
   // Less than that is within the trust of a leader, as any silence is.
-  if (now - before <= options_.trust) return;
+  if (now - before <= options_.leader_lease) return;
   logging::Event(
       Level::kWarning, "stood still",
       {{"for_ms",
         Text(std::chrono::duration_cast<Millis>(now - before).count())}});
-  awake_since_ = now;
+  resumed_at_ = now;
 }
 
 void Leadership::Tick() {
-  NoteStandstill();
+  NoteProcessPause();
   const TimePoint now = executor_.Now();
   if (role_ == Role::kLeading) {
     const bool due = now - last_renewed_ >= options_.renew_period ||
-                     confirmed_.sent < awake_since_;
+                     confirmed_.sent < resumed_at_;
     if (due && !renewing_) Renew();
     // Another may have taken over while the announcement could not get here.
     // With the store out of reach nothing else would tell of it, and callers
     // here would be refused for as long.
-    if (!trusted()) AskAround();
+    if (!lease_valid()) AskAround();
     NoteGoneFollowers();
     return YieldIfWeak();
   }
   if (leader_.address.empty()) {
     AskAround();
-    return Suspect(Suspicion::kSilent, "no leader known");
+    return Suspect(Suspicion::kUnresponsive, "no leader known");
   }
-  if (now - answered_at_ > options_.unanswered) AskWitnesses();
-  const bool silent = now - answered_at_ > options_.silence;
-  if (silent) Suspect(Suspicion::kSilent, "leader not heard of");
-  if (greeting_) return;
+  if (now - last_ack_sent_ > options_.unresponsive_after) SendIndirectProbes();
+  const bool silent = now - last_ack_sent_ > options_.leader_suspect_after;
+  if (silent) Suspect(Suspicion::kUnresponsive, "leader not heard of");
+  if (heartbeat_in_flight_) return;
   // A next leader announces itself once. An entry that missed that and has lost
   // the store would greet a dead leader for ever, and refuse its callers though
   // the others know the living one. By turns, since the leader may be back.
   if (silent && std::exchange(others_next_, !others_next_)) return AskAround();
-  if (now - last_heard_ >= options_.hello_period) Greet(leader_.address);
+  if (now - last_heard_ >= options_.heartbeat_interval)
+    SendHeartbeat(leader_.address);
 }
 
 void Leadership::AskAround() {
   const TimePoint now = executor_.Now();
-  if (greeting_ || now < ask_after_) return;
+  if (heartbeat_in_flight_ || now < ask_after_) return;
   const std::vector<std::string> others = KnownAddresses();
   if (others.empty()) return;
   ask_after_ = now + kAskPeriod;
   // In turn: one that is gone for good must not hide those that know.
-  Greet(others[asked_++ % others.size()]);
+  SendHeartbeat(others[asked_++ % others.size()]);
 }
 
-void Leadership::AskWitnesses() {
+void Leadership::SendIndirectProbes() {
   const TimePoint now = executor_.Now();
   if (role_ != Role::kFollowing || now < witnesses_after_) return;
   witnesses_after_ = now + kWitnessPeriod;
-  const wire::HelloCall call = Greeting();
+  const wire::HeartbeatCall call = MakeHeartbeat();
   const std::vector<wire::Member>& members = members_.all();
   const size_t count = std::min(kWitnesses, members.size());
   for (size_t i = 0; i < count; ++i) {
@@ -205,31 +209,34 @@
     if (address == options_.member.address || address == leader_.address) {
       continue;
     }
-    peers_.Hello(address, call, options_.hello_timeout,
-                 [this, address, sent = executor_.Now()](
-                     const Result<wire::HelloReply>& reply) {
-                   OnWitness(address, sent, reply);
-                 });
+    peers_.Heartbeat(address, call, options_.heartbeat_timeout,
+                     [this, address, sent = executor_.Now()](
+                         const Result<wire::HeartbeatReply>& reply) {
+                       OnIndirectProbeReply(address, sent, reply);
+                     });
   }
 }
 
-void Leadership::OnWitness(const std::string& address, TimePoint sent,
-                           const Result<wire::HelloReply>& reply) {
+void Leadership::OnIndirectProbeReply(
+    const std::string& address, TimePoint sent,
+    const Result<wire::HeartbeatReply>& reply) {
   if (role_ != Role::kFollowing || !reply.ok()) return;
-  const wire::HelloReply& hello = reply.value();
+  const wire::HeartbeatReply& hello = reply.value();
   if (hello.term != term_ || hello.leading) {
-    return OnHelloReply(address, sent, reply);
+    return OnHeartbeatReply(address, sent, reply);
   }
-  votes_.Note(address, executor_.Now(),
-              Millis(hello.leader_silent_ms) >= options_.unanswered);
+  votes_.Note(
+      address, executor_.Now(),
+      Millis(hello.leader_unresponsive_ms) >= options_.unresponsive_after);
 }
 
 bool Leadership::LeaderIsSlow(
     const std::optional<wire::AnnounceCall>& record) const {
   const TimePoint now = executor_.Now();
-  return now - answered_at_ >= options_.unanswered &&
-         now - following_since_ >= Patience(options_.least_term, record) &&
-         votes_.MostWait(now);
+  return now - last_ack_sent_ >= options_.unresponsive_after &&
+         now - following_since_ >=
+             ElectionTimeout(options_.least_term, record) &&
+         votes_.HasMajority(now);
 }
 
 std::vector<std::string> Leadership::KnownAddresses() const {
@@ -248,8 +255,8 @@
   return {out.begin(), out.end()};
 }
 
-wire::HelloCall Leadership::Greeting() const {
-  wire::HelloCall call;
+wire::HeartbeatCall Leadership::MakeHeartbeat() const {
+  wire::HeartbeatCall call;
   call.caller = options_.member;
   call.term = term_;
   call.config_version = events_.config_version();
@@ -257,21 +264,21 @@
   return call;
 }
 
-void Leadership::Greet(const std::string& address) {
-  greeting_ = true;
-  const wire::HelloCall call = Greeting();
-  peers_.Hello(address, call, options_.hello_timeout,
-               [this, address,
-                sent = executor_.Now()](const Result<wire::HelloReply>& reply) {
-                 greeting_ = false;
-                 const TimePoint before = last_heard_;
-                 OnHelloReply(address, sent, reply);
-                 if (last_heard_ != before) answered_at_ = sent;
-               });
+void Leadership::SendHeartbeat(const std::string& address) {
+  heartbeat_in_flight_ = true;
+  const wire::HeartbeatCall call = MakeHeartbeat();
+  peers_.Heartbeat(address, call, options_.heartbeat_timeout,
+                   [this, address, sent = executor_.Now()](
+                       const Result<wire::HeartbeatReply>& reply) {
+                     heartbeat_in_flight_ = false;
+                     const TimePoint before = last_heard_;
+                     OnHeartbeatReply(address, sent, reply);
+                     if (last_heard_ != before) last_ack_sent_ = sent;
+                   });
 }
 
-void Leadership::OnHelloReply(const std::string& address, TimePoint sent,
-                              const Result<wire::HelloReply>& reply) {
+void Leadership::OnHeartbeatReply(const std::string& address, TimePoint sent,
+                                  const Result<wire::HeartbeatReply>& reply) {
   if (role_ == Role::kLeading) {
     if (reply.ok() && reply.value().term > term_) {
       StepDown("another entry knows a later term");
@@ -293,7 +300,7 @@
     return;
   }
   refused_ = 0;
-  const wire::HelloReply& hello = reply.value();
+  const wire::HeartbeatReply& hello = reply.value();
   if (!Plausible(hello.term, address)) return;
   if (hello.term > term_ || (hello.term == term_ && leader_.address.empty() &&
                              !hello.leader.address.empty())) {
@@ -319,14 +326,14 @@
   if (hello.members.empty() && now - following_since_ > kTermKnown) {
     members_.DropEarlier();
   }
-  events_.heard(hello);
+  events_.on_heartbeat_reply(hello);
   if (!hello.store_reachable) {
     Suspect(Suspicion::kCutFromStore, "leader cannot reach the store");
   }
 }
 
 void Leadership::NoteLeaderServes() {
-  if (std::exchange(leader_loading_, false)) events_.serves();
+  if (std::exchange(leader_loading_, false)) events_.on_leader_ready();
 }
 
 void Leadership::Follow(int64_t term, const wire::Member& leader,
@@ -343,7 +350,7 @@
   leader_ = leader;
   leader_loading_ = true;
   last_heard_ = executor_.Now();
-  answered_at_ = last_heard_;
+  last_ack_sent_ = last_heard_;
   following_since_ = last_heard_;
   members_.BeginTerm();
   votes_.Clear();
@@ -355,7 +362,7 @@
                   {"loading", loading ? "yes" : "no"}});
   if (led) {
     role_ = Role::kFollowing;
-    events_.lost();
+    events_.on_leadership_lost();
   }
   if (!loading) NoteLeaderServes();
 }
@@ -367,7 +374,7 @@
   role_ = Role::kFollowing;
   leader_ = {};
   look_after_ = executor_.Now() + kLookAgain;
-  events_.lost();
+  events_.on_leadership_lost();
 }
 
 void Leadership::Resign() {
@@ -384,13 +391,13 @@
   look_after_ = executor_.Now() + kLookAfterYield;
   logging::Event(Level::kInfo, "leadership resigned",
                  {{"term", Text(term_)}, {"cause", cause}});
-  events_.lost();
+  events_.on_leadership_lost();
   wire::AnnounceCall call;
   call.term = term_;
   call.leader = options_.member;
   call.resigned = true;
   for (const wire::Member& member : followers()) {
-    peers_.Announce(member.address, call, options_.hello_timeout,
+    peers_.Announce(member.address, call, options_.heartbeat_timeout,
                     [](const Result<wire::AnnounceReply>&) {
                       // Those that do not hear it find out by greeting.
                     });
@@ -400,7 +407,7 @@
 void Leadership::NoteGoneFollowers() {
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
-    if (now - follower.heard >= kFollowerSilence) changes_.Leave(name);
+    if (now - follower.heard >= kFollowerTimeout) changes_.Leave(name);
   }
 }
 
@@ -410,9 +417,9 @@
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
     if (follower.member.fitness < options_.enough_fitness) continue;
-    if (now - follower.heard > kFollowerSilence) continue;
+    if (now - follower.heard > kFollowerTimeout) continue;
     // The others must have heard of it too, or they claim before it can.
-    if (now - follower.since < options_.silence) continue;
+    if (now - follower.since < options_.leader_suspect_after) continue;
     return GiveUpOffice(Role::kFollowing, "a fitter entry is there");
   }
 }
@@ -423,11 +430,11 @@
   return false;
 }
 
-void Leadership::Lead(int64_t term, int32_t unsettled_terms, const Asked& asked,
+void Leadership::Lead(int64_t term, int32_t unstable_terms, const Asked& asked,
                       int64_t end_offset) {
   role_ = Role::kLeading;
   term_ = term;
-  unsettled_terms_ = unsettled_terms;
+  unstable_terms_ = unstable_terms;
   leader_ = options_.member;
   leader_loading_ = true;
   end_offset_ = end_offset;
@@ -441,12 +448,12 @@
   changes_.Join(options_.member);
   logging::Event(
       Level::kInfo, "leading",
-      {{"term", Text(term)}, {"unsettled_terms", Text(unsettled_terms)}});
+      {{"term", Text(term)}, {"unsettled_terms", Text(unstable_terms)}});
   AnnounceLead();
-  events_.lead(term);
+  events_.on_elected(term);
 }
 
-void Leadership::Serve() {
+void Leadership::MarkReady() {
   if (role_ != Role::kLeading) return;
   serving_since_ = executor_.Now();
   const auto took =
@@ -463,7 +470,7 @@
   call.leader = options_.member;
   call.loading = leader_loading_;
   for (const std::string& address : KnownAddresses()) {
-    peers_.Announce(address, call, options_.hello_timeout,
+    peers_.Announce(address, call, options_.heartbeat_timeout,
                     [](const Result<wire::AnnounceReply>&) {
                       // Those that do not hear it find the record.
                     });
@@ -473,7 +480,7 @@
 void Leadership::Renew() {
   renewing_ = true;
   store_.Append({.table = options_.table,
-                 .records = {{kLeaderKey, Record(term_, unsettled_terms_)}},
+                 .records = {{kLeaderKey, Record(term_, unstable_terms_)}},
                  .only_at = end_offset_},
                 kStoreTimeout,
                 [this, asked = AskedNow()](const ports::AppendReply& reply) {
@@ -519,8 +526,8 @@
                     });
 }
 
-wire::HelloReply Leadership::OnHello(const wire::HelloCall& call) {
-  wire::HelloReply reply;
+wire::HeartbeatReply Leadership::OnHeartbeat(const wire::HeartbeatCall& call) {
+  wire::HeartbeatReply reply;
   if (Plausible(call.term, call.caller.name) && call.term > term_ &&
       role_ == Role::kLeading) {
     StepDown("a follower knows a later term");
@@ -531,15 +538,15 @@
   reply.loading = leader_loading_;
   if (!leading()) {
     const auto silent =
-        std::chrono::duration_cast<Millis>(executor_.Now() - answered_at_);
-    reply.leader_silent_ms = leader_.address.empty() ? 0 : silent.count();
+        std::chrono::duration_cast<Millis>(executor_.Now() - last_ack_sent_);
+    reply.leader_unresponsive_ms = leader_.address.empty() ? 0 : silent.count();
     return reply;
   }
   // Operators' tools ask without an address of their own.
   if (!call.caller.address.empty()) {
     const TimePoint now = executor_.Now();
     auto& follower = followers_.try_emplace(call.caller.name).first->second;
-    if (now - follower.heard > kFollowerSilence) follower.since = now;
+    if (now - follower.heard > kFollowerTimeout) follower.since = now;
     follower.member = call.caller;
     follower.heard = now;
     changes_.Join(call.caller);
--- a/src/leadership/member_list.cc
+++ b/src/leadership/member_list.cc
@@ -35,7 +35,7 @@
 std::vector<wire::Member> MemberChanges::After(int64_t& known) const {
   std::vector<wire::Member> out;
   for (auto at = changes_.upper_bound(known);
-       at != changes_.end() && out.size() < kMostTold; ++at) {
+       at != changes_.end() && out.size() < kMaxChangesPerReply; ++at) {
     out.push_back(at->second);
     known = at->first;
   }
--- a/src/leadership/member_list.h
+++ b/src/leadership/member_list.h
@@ -24,14 +24,14 @@
   void Leave(const std::string& name);
   void Clear();
 
-  /// The oldest changes after the one with the number `known`, kMostTold of
-  /// them; `known` becomes the number of the last one.
+  /// The oldest changes after the one with the number `known`,
+  /// kMaxChangesPerReply of them; `known` becomes the number of the last one.
   std::vector<wire::Member> After(int64_t& known) const;
 
   /// A change takes some 50 bytes: while 300 entries learn of each other, at
   /// five greetings a second each, their leader sends 0.6 MB a second, a
   /// quarter of a link of 20 Mbit/s, for 8 s.
-  static constexpr size_t kMostTold = 8;
+  static constexpr size_t kMaxChangesPerReply = 8;
 
  private:
   void Note(const wire::Member& member);
--- a/src/maintenance/wave_keeper.cc
+++ b/src/maintenance/wave_keeper.cc
@@ -391,7 +391,7 @@
   for (const std::string& name : decision.drain) {
     const Listed* listed = FindListed(name);
     if (listed == nullptr) continue;
-    deps_.workload.Vacate(listed->entry.upstream, clear.count(name) > 0);
+    deps_.workload.EvictTasks(listed->entry.upstream, clear.count(name) > 0);
   }
 }
 
--- a/src/maintenance/wave_keeper.h
+++ b/src/maintenance/wave_keeper.h
@@ -30,7 +30,7 @@
   virtual void Withhold(const std::set<std::string>& upstreams) = 0;
   /// Stops what may go on elsewhere, or with `all` what may not as well; to be
   /// called until the upstream is empty.
-  virtual void Vacate(const std::string& upstream, bool all) = 0;
+  virtual void EvictTasks(const std::string& upstream, bool all) = 0;
   /// The upstream ended with all that ran there, and never comes back.
   virtual void LifeEnded(const std::string& upstream) = 0;
   /// Whether orders may be given now.
--- a/src/maintenance/wave_plan.cc
+++ b/src/maintenance/wave_plan.cc
@@ -89,7 +89,7 @@
   const auto rank = [](const HostView* host) {
     return std::tuple(host->progress != UpkeepProgress::kOrdered,
                       !host->draining, host->work.bound_tasks,
-                      host->work.empties_in, host->work.tasks);
+                      host->work.drained_in, host->work.tasks);
   };
   std::stable_sort(
       out.begin(), out.end(),
--- a/src/maintenance/wave_plan.h
+++ b/src/maintenance/wave_plan.h
@@ -38,7 +38,7 @@
   /// after the other and never ended by the upkeep itself.
   int32_t bound_tasks = 0;
   /// When the last task that can't go on elsewhere is expected to end.
-  Millis empties_in{0};
+  Millis drained_in{0};
   int64_t millicores = 0;
 };
 
--- a/src/scheduling/asking.cc
+++ b/src/scheduling/asking.cc
@@ -75,13 +75,13 @@
   const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
   const double rate = std::max(kLeastRate, rates_.Rate(entry.job.queue().name));
   const TimePoint soon = now + kLearnAhead;
-  const std::set<UpstreamIndex>& avoided =
-      entry.unit(id.occurrence, id.step).restraint.avoided;
+  const std::set<UpstreamIndex>& excluded =
+      entry.unit(id.occurrence, id.step).exclusion.excluded;
   std::vector<std::tuple<int32_t, int32_t, UpstreamIndex>> unknown;
   double known = 0;
   for (const UpstreamIndex upstream : pool_.all()) {
     if (!pool_.Usable(upstream, now) || !Suits(upstream, entry, step)) continue;
-    if (avoided.count(upstream) > 0) continue;
+    if (excluded.count(upstream) > 0) continue;
     const int32_t whole = Fit(upstream, entry, id, pool_.at(upstream).capacity);
     if (whole == 0) continue;
     const auto said = advice.upstreams.find(upstream);
@@ -119,8 +119,8 @@
   const wire::StepSpec& step = entry.job.step(id.step);
   const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
   const double rate = std::max(kLeastRate, rates_.Rate(entry.job.queue().name));
-  const std::set<UpstreamIndex>& avoided =
-      entry.unit(id.occurrence, id.step).restraint.avoided;
+  const std::set<UpstreamIndex>& excluded =
+      entry.unit(id.occurrence, id.step).exclusion.excluded;
   const Amount size = TaskRoom(step);
   // A gang starts when the answer comes, and needs all of its tickets then. One
   // that has run out by then is renewed with what is missing: asked for when it
@@ -137,7 +137,7 @@
     const auto said = advice.upstreams.find(upstream);
     const bool known = said != advice.upstreams.end();
     if (known && !said->second.allowed) continue;
-    if (step.gang && avoided.count(upstream) > 0) continue;
+    if (step.gang && excluded.count(upstream) > 0) continue;
     const Amount room =
         RoomFor(step, upstream, pool_.at(upstream).free, now, reserved);
     const int32_t fit = Fit(upstream, entry, id, room);
@@ -148,7 +148,7 @@
     if (!coming && !valid) {
       out.push_back(
           {.upstream = upstream,
-           .avoided = avoided.count(upstream) > 0,
+           .excluded = excluded.count(upstream) > 0,
            .awaited = TakesAwaited(upstream, size),
            .option = {.fit = fit * Unclaimed(upstream), .rate = sure}});
     } else if (coming || step.gang) {
@@ -158,7 +158,7 @@
   }
   std::sort(out.begin(), out.end(), [](const AskChoice& a, const AskChoice& b) {
     const auto order = [](const AskChoice& c) {
-      return std::tuple(c.avoided, c.awaited, -c.option.rate, -c.option.fit,
+      return std::tuple(c.excluded, c.awaited, -c.option.rate, -c.option.fit,
                         c.upstream);
     };
     return order(a) < order(b);
--- a/src/scheduling/crashes.cc
+++ b/src/scheduling/crashes.cc
@@ -38,7 +38,7 @@
 
 /// Whether the run is known to have begun, and not to have gone on for longer
 /// than its first moments when its upstream fell silent.
-bool InFirstMoments(const HeldRoom& run, TimePoint silent_since) {
+bool InFirstMoments(const Reservation& run, TimePoint silent_since) {
   if (!run.began) return false;
   if (run.listed && *run.listed - *run.began >= kFirstMoments) return false;
   return silent_since - *run.began < kFirstMoments;
@@ -48,21 +48,21 @@
 
 void Scheduler::OnUpstreamEmpty(UpstreamIndex upstream, UpstreamLoss why,
                                 TimePoint now, Orders& orders) {
-  SilentRuns runs = std::exchange(pool_.at(upstream).unexplained, {});
+  SuspectRuns runs = std::exchange(pool_.at(upstream).suspect_runs, {});
   runs.merge(RunsOf(upstream, now));
   LoseRuns(upstream, why, now, orders);
   // Whether it has crashed is told later: cut off, it runs on and answers
   // again.
   if (why == UpstreamLoss::kCrashed) CountCrash(runs, now, orders);
-  if (why == UpstreamLoss::kLeasesOver) {
-    pool_.at(upstream).unexplained = std::move(runs);
+  if (why == UpstreamLoss::kLeasesExpired) {
+    pool_.at(upstream).suspect_runs = std::move(runs);
   }
 }
 
 void Scheduler::LoseRuns(UpstreamIndex upstream, UpstreamLoss why,
                          TimePoint now, Orders& orders) {
   stops_.erase(upstream);
-  const HeldRuns lost = pool_.at(upstream).held;
+  const Reservations lost = pool_.at(upstream).held;
   for (const auto& [run, room] : lost) {
     const auto& [id, attempt] = run;
     pool_.Release(upstream, id, attempt);
@@ -85,16 +85,16 @@
   }
 }
 
-SilentRuns Scheduler::RunsOf(UpstreamIndex upstream, TimePoint now) const {
+SuspectRuns Scheduler::RunsOf(UpstreamIndex upstream, TimePoint now) const {
   const Upstream& it = pool_.at(upstream);
-  SilentRuns out;
+  SuspectRuns out;
   for (const auto& [run, room] : it.held) {
     out.emplace(run, InFirstMoments(room, it.silent_since.value_or(now)));
   }
   return out;
 }
 
-void Scheduler::CountCrash(const SilentRuns& runs, TimePoint now,
+void Scheduler::CountCrash(const SuspectRuns& runs, TimePoint now,
                            Orders& orders) {
   std::set<JobId> suspects;
   for (const auto& [run, early] : runs) {
@@ -126,11 +126,11 @@
   StopAll(entry, StopReason::kJobFailed, now, orders);
 }
 
-void Scheduler::Acquit(Entry& entry, UpstreamIndex upstream,
-                       const ports::RunningTask& running) {
+void Scheduler::ClearSuspicion(Entry& entry, UpstreamIndex upstream,
+                               const ports::RunningTask& running) {
   CrashCounts& crashes = entry.job.task(running.task).crashes;
   if (crashes.total() == 0) return;
-  const HeldRuns& held = pool_.at(upstream).held;
+  const Reservations& held = pool_.at(upstream).held;
   const auto run = held.find({running.task, running.attempt});
   if (run == held.end() || !run->second.began) return;
   const auto worked = *run->second.listed - *run->second.began;
@@ -171,7 +171,8 @@
     if (candidate.fit <= 0) continue;
     const Upstream& it = pool_.at(candidate.upstream);
     const std::tuple rank(
-        !pool_.QuietFor(candidate.upstream, entry.job.id(), kFirstMoments, now),
+        !pool_.HasNoRecentStarts(candidate.upstream, entry.job.id(),
+                                 kFirstMoments, now),
         now - it.known_since < kEstablished, it.held.size());
     if (best != nullptr && best_rank <= rank) continue;
     best = &candidate;
@@ -188,8 +189,8 @@
                                   std::vector<Candidate>& found,
                                   TimePoint now) {
   const auto quiet = [&](const Candidate& candidate) {
-    return pool_.QuietFor(candidate.upstream, entry.job.id(), kFirstMoments,
-                          now);
+    return pool_.HasNoRecentStarts(candidate.upstream, entry.job.id(),
+                                   kFirstMoments, now);
   };
   std::stable_sort(found.begin(), found.end(),
                    [&](const Candidate& a, const Candidate& b) {
--- a/src/scheduling/vacating.cc
+++ b/src/scheduling/evicting.cc
@@ -20,11 +20,13 @@
 
 }  // namespace
 
-Scheduler::Leaving Scheduler::LeavingOf(const wire::StepSpec& step) {
+Scheduler::EvictionMode Scheduler::EvictionModeOf(const wire::StepSpec& step) {
   if (step.lasting) {
-    return step.max_unavailable > 0 ? Leaving::kBound : Leaving::kLasting;
+    return step.max_unavailable > 0 ? EvictionMode::kBound
+                                    : EvictionMode::kLasting;
   }
-  return step.checkpoints ? Leaving::kFromCheckpoint : Leaving::kByItsEnd;
+  return step.checkpoints ? EvictionMode::kFromCheckpoint
+                          : EvictionMode::kByItsEnd;
 }
 
 UpstreamWork Scheduler::WorkOn(UpstreamIndex upstream, TimePoint now) const {
@@ -35,18 +37,18 @@
     const auto found = jobs_.find(run.first.job);
     if (found == jobs_.end() || !found->second->job.Has(run.first)) continue;
     const Job& job = found->second->job;
-    const Leaving leaving = LeavingOf(job.step(run.first.step));
+    const EvictionMode leaving = EvictionModeOf(job.step(run.first.step));
     // One that is being stopped counts until its end is listed.
-    if (leaving == Leaving::kBound && !job.final()) ++out.bound_tasks;
-    const bool stays = leaving == Leaving::kByItsEnd;
+    if (leaving == EvictionMode::kBound && !job.final()) ++out.bound_tasks;
+    const bool stays = leaving == EvictionMode::kByItsEnd;
     const Millis left = stays ? Left(room.ends, now) : Millis(0);
-    out.empties_in = std::max(out.empties_in, left);
+    out.drained_in = std::max(out.drained_in, left);
   }
   return out;
 }
 
-void Scheduler::Vacate(UpstreamIndex upstream, bool all, TimePoint now,
-                       Orders& orders) {
+void Scheduler::EvictTasks(UpstreamIndex upstream, bool all, TimePoint now,
+                           Orders& orders) {
   // A copy: stopping a gang may touch what is held.
   const auto held = pool_.at(upstream).held;
   for (const auto& [run, room] : held) {
@@ -56,39 +58,40 @@
     const bool present =
         task.upstream == upstream && task.attempt == run.second;
     if (!present || task.phase != TaskPhase::kRunning) continue;
-    VacateTask(*entry, run.first, room, all, now, orders);
+    EvictTask(*entry, run.first, room, all, now, orders);
   }
 }
 
-void Scheduler::VacateTask(Entry& entry, const TaskId& id, const HeldRoom& room,
-                           bool all, TimePoint now, Orders& orders) {
+void Scheduler::EvictTask(Entry& entry, const TaskId& id,
+                          const Reservation& room, bool all, TimePoint now,
+                          Orders& orders) {
   const wire::StepSpec& step = entry.job.step(id.step);
-  const Leaving leaving = LeavingOf(step);
+  const EvictionMode leaving = EvictionModeOf(step);
   if (!step.lasting) {
     const Millis least = step.gang ? kWorthMovingGang : kWorthMoving;
-    const bool worth_moving =
-        leaving == Leaving::kFromCheckpoint && Left(room.ends, now) >= least;
+    const bool worth_moving = leaving == EvictionMode::kFromCheckpoint &&
+                              Left(room.ends, now) >= least;
     if (!all && !worth_moving) return;
     const StopReason reason =
-        step.checkpoints ? StopReason::kMoved : StopReason::kCleared;
-    if (step.gang) return VacateGang(entry, id.step_id(), reason, now, orders);
+        step.checkpoints ? StopReason::kMoved : StopReason::kEvicted;
+    if (step.gang) return EvictGang(entry, id.step_id(), reason, now, orders);
     return StopTask(entry, id, reason, now, orders);
   }
   // Stopped without a place to go on, it would be away for nothing; one without
   // a bound goes all the same when the time is over.
-  const bool must_go = all && leaving == Leaving::kLasting;
+  const bool must_go = all && leaving == EvictionMode::kLasting;
   if (!must_go && !RoomElsewhere(entry, id, now)) return;
   // Others of its step may be away for any cause; whichever it is, one more
   // than the step allows would be our doing.
-  if (leaving == Leaving::kBound &&
+  if (leaving == EvictionMode::kBound &&
       OthersAway(entry, id) >= step.max_unavailable) {
     return;
   }
   StopTask(entry, id, StopReason::kMoved, now, orders);
 }
 
-void Scheduler::VacateGang(Entry& entry, const StepId& id, StopReason reason,
-                           TimePoint now, Orders& orders) {
+void Scheduler::EvictGang(Entry& entry, const StepId& id, StopReason reason,
+                          TimePoint now, Orders& orders) {
   Unit& unit = entry.unit(id.occurrence, id.step);
   if (unit.aborting) return;
   unit.aborting = true;
--- a/src/scheduling/gang_plan.cc
+++ b/src/scheduling/gang_plan.cc
@@ -18,7 +18,7 @@
   SlotTimes out{.upstream = upstream};
   Amount room = it.free;
   room -= blocked;
-  const TimePoint earliest = std::max(now, it.health.rest_until);
+  const TimePoint earliest = std::max(now, it.health.backoff_until);
   const auto take = [&](TimePoint when) {
     while (static_cast<int32_t>(out.times.size()) < most && size.FitsIn(room)) {
       room -= size;
--- a/src/scheduling/orders.h
+++ b/src/scheduling/orders.h
@@ -30,9 +30,9 @@
   kGangBroken,
   kStalled,
   kMoved,
-  kCleared,
+  kEvicted,
   kUnknownJob,  ///< No such job is open, or its tasks are forgotten.
-  kStray,       ///< The job goes on, but not with this run.
+  kOrphaned,    ///< The job goes on, but not with this run.
 };
 
 inline constexpr EnumTable kStopReasonNames{std::array{
@@ -43,8 +43,8 @@
     EnumName{StopReason::kStalled, "task stands still"},
     EnumName{StopReason::kUnknownJob, "no such job"},
     EnumName{StopReason::kMoved, "goes on elsewhere"},
-    EnumName{StopReason::kCleared, "its upstream is to end"},
-    EnumName{StopReason::kStray, "not a run of ours"},
+    EnumName{StopReason::kEvicted, "its upstream is to end"},
+    EnumName{StopReason::kOrphaned, "not a run of ours"},
 }};
 
 /// Why a run that a job in this state is not to go on with is stopped. Safe
@@ -55,7 +55,7 @@
   UpstreamIndex upstream = kNoUpstream;
   TaskId task;
   int64_t attempt = 0;
-  StopReason reason = StopReason::kStray;
+  StopReason reason = StopReason::kOrphaned;
   /// Found in the upstream's list without an earlier stop of it; once a run.
   bool unasked = false;
   /// How long the job has been final, where its end was seen here.
@@ -87,17 +87,17 @@
 
 /// Why nothing runs at an upstream any more.
 enum class UpstreamLoss {
-  kLeasesOver,  ///< It does not answer, and its leases have run out.
-  kCrashed,     ///< Another life answers, or it is silent and not listed.
-  kLeft,        ///< The same, after it had said that it would leave.
-  kUpkeep,      ///< Its host was taken for its upkeep.
+  kLeasesExpired,  ///< It does not answer, and its leases have run out.
+  kCrashed,        ///< Another life answers, or it is silent and not listed.
+  kLeft,           ///< The same, after it had said that it would leave.
+  kMaintenance,    ///< Its host was taken for its upkeep.
 };
 
 inline constexpr EnumTable kUpstreamLossNames{std::array{
-    EnumName{UpstreamLoss::kLeasesOver, "leases over"},
+    EnumName{UpstreamLoss::kLeasesExpired, "leases over"},
     EnumName{UpstreamLoss::kCrashed, "crashed"},
     EnumName{UpstreamLoss::kLeft, "left"},
-    EnumName{UpstreamLoss::kUpkeep, "upkeep"},
+    EnumName{UpstreamLoss::kMaintenance, "upkeep"},
 }};
 
 /// A run that was lost with its upstream.
@@ -105,7 +105,7 @@
   UpstreamIndex upstream = kNoUpstream;
   TaskId task;
   int64_t attempt = 0;
-  UpstreamLoss why = UpstreamLoss::kLeasesOver;
+  UpstreamLoss why = UpstreamLoss::kLeasesExpired;
   /// How long ago its start was answered, or a report first listed it; unset if
   /// neither ever came.
   std::optional<Millis> began_ago{};
--- a/src/scheduling/placing.cc
+++ b/src/scheduling/placing.cc
@@ -30,7 +30,7 @@
 constexpr Millis kPlanAge{20};
 /// What a waiting step is kept from is looked at again after this. It changes
 /// with failures, which make it due at once, and with answers of the adviser.
-constexpr Millis kRestraintAge{500};
+constexpr Millis kExclusionAge{500};
 
 int32_t Times(const Amount& room, const Amount& size) {
   int32_t fit = kMaxStepTasks;
@@ -68,15 +68,15 @@
   if (step.max_per_upstream > 0 && fit > 0) {
     fit = std::min(fit, step.max_per_upstream - pool_.HeldOf(upstream, id));
   }
-  if (!entry.unit(id.occurrence, id.step).restraint.trusts_suspects) {
-    fit = std::min(fit, pool_.TrialsLeft(upstream));
+  if (!entry.unit(id.occurrence, id.step).exclusion.trusts_suspects) {
+    fit = std::min(fit, pool_.ProbesLeft(upstream));
   }
   return std::max(0, fit);
 }
 
 bool Scheduler::TakesAwaited(UpstreamIndex upstream, const Amount& size) const {
-  const auto awaited = awaited_.find(upstream);
-  if (awaited == awaited_.end()) return false;
+  const auto awaited = gang_reserved_.find(upstream);
+  if (awaited == gang_reserved_.end()) return false;
   Amount left = pool_.at(upstream).free;
   left -= awaited->second;
   return !size.FitsIn(left);
@@ -157,10 +157,10 @@
     ++at;
     PlaceUnit(*jobs_.at(id.job), id, now, reserved, orders);
   }
-  awaited_.clear();
+  gang_reserved_.clear();
   awaited_cores_ = 0;
   for (const auto& [upstream, held_back] : reserved) {
-    awaited_.emplace(upstream, held_back.amount);
+    gang_reserved_.emplace(upstream, held_back.amount);
     awaited_cores_ +=
         std::clamp(held_back.amount[Dimension::kCores], 0,
                    std::max(0, pool_.at(upstream).free[Dimension::kCores]));
@@ -170,7 +170,7 @@
 bool Scheduler::PlaceUnit(Entry& entry, const StepId& id, TimePoint now,
                           Reserved& reserved, Orders& orders) {
   const bool gang = entry.job.step(id.step).gang;
-  UpdateRestraint(entry, id, now);
+  UpdateExclusion(entry, id, now);
   if (gang) {
     if (PlaceGang(entry, id, now, reserved, orders)) return true;
   } else {
@@ -188,10 +188,10 @@
   return false;
 }
 
-void Scheduler::DropAvoided(const Restraint& restraint,
-                            std::vector<Candidate>& candidates) {
+void Scheduler::DropExcluded(const PlacementExclusion& exclusion,
+                             std::vector<Candidate>& candidates) {
   std::erase_if(candidates, [&](const Candidate& candidate) {
-    return restraint.avoided.count(candidate.upstream) > 0;
+    return exclusion.excluded.count(candidate.upstream) > 0;
   });
 }
 
@@ -212,7 +212,7 @@
                               room[pool_.at(b.upstream).entry.rack];
                      });
   }
-  DropAvoided(unit.restraint, found);
+  DropExcluded(unit.exclusion, found);
   int64_t total = 0;
   for (const Candidate& candidate : found) total += candidate.fit;
   if (total < step.tasks) return false;
@@ -240,7 +240,7 @@
   std::vector<Candidate> found =
       Candidates(entry, id, unit.advice, now, reserved);
   std::vector<Candidate> retries = found;
-  DropAvoided(unit.restraint, retries);
+  DropExcluded(unit.exclusion, retries);
   const auto next = [](std::vector<Candidate>& from) -> Candidate* {
     for (Candidate& candidate : from) {
       if (candidate.fit > 0) return &candidate;
@@ -284,14 +284,14 @@
   return out;
 }
 
-void Scheduler::UpdateRestraint(Entry& entry, const StepId& id, TimePoint now) {
+void Scheduler::UpdateExclusion(Entry& entry, const StepId& id, TimePoint now) {
   const wire::StepSpec& step = entry.job.step(id.step);
   Unit& unit = entry.unit(id.occurrence, id.step);
-  if (now < unit.restraint.until) return;
+  if (now < unit.exclusion.until) return;
   StepFailures failures = FailuresOf(entry, id);
   if (!failures.any && !step.gang) return;
-  unit.restraint = {.until = now + kRestraintAge};
-  std::set<UpstreamIndex>& avoided = failures.places;
+  unit.exclusion = {.until = now + kExclusionAge};
+  std::set<UpstreamIndex>& excluded = failures.places;
   const bool advised = entry.job.queue().advised;
   int64_t elsewhere = 0;
   int64_t with_trials = 0;
@@ -301,18 +301,18 @@
     const bool unknown = unit.advice.upstreams.count(upstream) == 0;
     if (advised && !unknown && !unit.advice.Allowed(upstream)) continue;
     const int32_t most = MostTasks(step, it.capacity);
-    const bool suspect = it.health.streak > 0;
+    const bool suspect = it.health.consecutive_failures > 0;
     with_trials += suspect ? std::min(most, 1) : most;
-    if (suspect) avoided.insert(upstream);
-    if (avoided.count(upstream) == 0) elsewhere += most;
+    if (suspect) excluded.insert(upstream);
+    if (excluded.count(upstream) == 0) elsewhere += most;
   }
   // With nothing better to be had, now or by asking, anything will do: a step
   // that never tried again would wait for ever.
   const int32_t needed = step.gang ? step.tasks : 1;
   if (failures.any && elsewhere >= needed) {
-    unit.restraint.avoided = std::move(avoided);
+    unit.exclusion.excluded = std::move(excluded);
   }
-  unit.restraint.trusts_suspects = step.gang && with_trials < needed;
+  unit.exclusion.trusts_suspects = step.gang && with_trials < needed;
 }
 
 void Scheduler::StartTask(Entry& entry, const TaskId& id,
@@ -327,10 +327,10 @@
   job.SetPhase(id, TaskPhase::kStarting);
   task.paced_from = {};
   task.own_end = ExpectedEnd(job.step(id.step), now);
-  pool_.Hold(upstream, id, attempt,
-             {.amount = TaskRoom(job.step(id.step)),
-              .ends = task.own_end,
-              .since = now});
+  pool_.Reserve(upstream, id, attempt,
+                {.amount = TaskRoom(job.step(id.step)),
+                 .ends = task.own_end,
+                 .since = now});
   pool_.NoteStart(upstream);
   StartOrder order{.upstream = upstream,
                    .task = id,
@@ -364,15 +364,15 @@
   const auto consider = [&](UpstreamIndex upstream) {
     const Upstream& it = pool_.at(upstream);
     if (!it.TakesWork()) return;
-    if (unit.restraint.avoided.count(upstream) > 0) return;
+    if (unit.exclusion.excluded.count(upstream) > 0) return;
     if (!Suits(upstream, entry, step)) return;
     const auto held_back = reserved.find(upstream);
     const Amount blocked =
         held_back == reserved.end() ? Amount{} : held_back->second.amount;
     int32_t most =
         step.max_per_upstream > 0 ? step.max_per_upstream : step.tasks;
-    if (!unit.restraint.trusts_suspects) {
-      most = std::min(most, std::max(1, pool_.TrialsLeft(upstream)));
+    if (!unit.exclusion.trusts_suspects) {
+      most = std::min(most, std::max(1, pool_.ProbesLeft(upstream)));
     }
     slots.push_back(FindSlots(pool_, upstream, size, blocked, most, now));
   };
--- a/src/scheduling/running.cc
+++ b/src/scheduling/running.cc
@@ -64,13 +64,13 @@
                           const std::vector<ports::RunningTask>& running,
                           TimePoint now, Orders& orders) {
   // It answers, so that it has not crashed with what it was given.
-  pool_.at(upstream).unexplained.clear();
+  pool_.at(upstream).suspect_runs.clear();
   for (const ports::RunningTask& run : running) {
     Entry* entry = FindEntry(run.task.job);
     if (entry != nullptr && !entry->job.Has(run.task)) entry = nullptr;
     if (entry != nullptr) TakeIn(*entry, upstream, run, now);
     if (entry != nullptr && Wanted(entry->job, upstream, run)) {
-      Acquit(*entry, upstream, run);
+      ClearSuspicion(*entry, upstream, run);
       CheckStall(*entry, upstream, run, now, orders);
     } else {
       StopUnwanted(entry, upstream, run, now, orders);
@@ -82,7 +82,7 @@
                        const ports::RunningTask& running, TimePoint now) {
   // What runs takes room, whoever started it.
   const wire::StepSpec& step = entry.job.step(running.task.step);
-  pool_.Hold(
+  pool_.Reserve(
       upstream, running.task, running.attempt,
       {.amount = TaskRoom(step), .ends = ExpectedEnd(step, now), .since = now});
   pool_.NoteListed(upstream, running.task, running.attempt, now);
@@ -107,7 +107,7 @@
                                    : ReasonToStop(entry->job.state());
   }
   if (found && entry != nullptr && EndsByItself(entry->job, running)) {
-    note.due = now + kRepeatStop;
+    note.due = now + kStopRetryInterval;
   }
   if (now < note.due) return;
   StopOrder stop{.upstream = upstream,
@@ -119,7 +119,7 @@
     stop.since_end = std::chrono::duration_cast<Millis>(now - *entry->ended);
   }
   note.ordered = true;
-  note.due = now + kRepeatStop;
+  note.due = now + kStopRetryInterval;
   orders.stops.push_back(stop);
 }
 
@@ -160,7 +160,7 @@
   const Millis limit =
       std::max(kStallAtLeast, Millis(step.estimate_ms / kStallEstimateDivisor));
   if (now - task.moved < limit) return;
-  pool_.NoteFailure(upstream, now, UpstreamPool::kRestAfter);
+  pool_.NoteFailure(upstream, now, UpstreamPool::kBackoffAfterFailures);
   if (step.gang) {
     return AbortGang(entry, running.task.step_id(), now, orders);
   }
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -32,7 +32,7 @@
     case JobState::kRunning:
       break;
   }
-  return StopReason::kStray;
+  return StopReason::kOrphaned;
 }
 
 TimePoint ExpectedEnd(const wire::StepSpec& step, TimePoint now) {
@@ -175,7 +175,7 @@
   if (!task.active() || task.phase == TaskPhase::kStopping) return;
   entry.job.SetPhase(id, TaskPhase::kStopping);
   stops_[task.upstream][{id, task.attempt}] = {
-      .reason = reason, .ordered = true, .due = now + kRepeatStop};
+      .reason = reason, .ordered = true, .due = now + kStopRetryInterval};
   orders.stops.push_back({.upstream = task.upstream,
                           .task = id,
                           .attempt = task.attempt,
@@ -234,7 +234,7 @@
   if (verdict == CallVerdict::kUnhealthy) {
     pool_.NoteFailure(order.upstream, now);
   } else {
-    pool_.at(order.upstream).health.trials = 0;
+    pool_.at(order.upstream).health.in_flight_probes = 0;
   }
   if (!ours || !entry->job.task(order.task).active()) return;
   Unit& unit = entry->unit(order.task.occurrence, order.task.step);
@@ -278,7 +278,7 @@
   if (!job.CountFailure(id, attempt)) return;
   Changed(entry);
   job.task(id).failed_at = upstream;
-  entry.unit(id.occurrence, id.step).restraint.until = {};
+  entry.unit(id.occurrence, id.step).exclusion.until = {};
   pool_.NoteFailure(upstream, now);
   if (job.step(id.step).lasting) return;
   if (job.Failures(id) < job.queue().max_attempts) return;
@@ -292,7 +292,7 @@
   pool_.Release(upstream, end.task, end.attempt);
   stops_[upstream].erase({end.task, end.attempt});
   UpstreamHealth& health = pool_.at(upstream).health;
-  if (end.kind != EndKind::kFailed) health.trials = 0;
+  if (end.kind != EndKind::kFailed) health.in_flight_probes = 0;
   Entry* entry = FindEntry(end.task.job);
   if (entry == nullptr || !entry->job.Has(end.task)) return;
   Job& job = entry->job;
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -28,8 +28,8 @@
   int32_t tasks = 0;
   /// Lasting tasks of steps that bound how many may be away.
   int32_t bound_tasks = 0;
-  /// When the last task that Vacate() leaves to its end is expected to end.
-  Millis empties_in{0};
+  /// When the last task that EvictTasks() leaves to its end is expected to end.
+  Millis drained_in{0};
   int64_t millicores = 0;
 };
 
@@ -86,7 +86,7 @@
   void OnUpstreamEmpty(UpstreamIndex upstream, UpstreamLoss why, TimePoint now,
                        Orders& orders);
   /// What an upstream that has fallen silent may crash with.
-  SilentRuns RunsOf(UpstreamIndex upstream, TimePoint now) const;
+  SuspectRuns RunsOf(UpstreamIndex upstream, TimePoint now) const;
   /// `advice` null when the call failed; `asked` as ordered.
   void OnAdvice(const AdviceOrder& asked, const ports::Advice* advice,
                 TimePoint now);
@@ -102,7 +102,8 @@
   /// these no more at a time than their step allows to be away. The rest is
   /// left to its end, or with `all` stopped as well, its work lost. To be
   /// called again until the upstream is empty.
-  void Vacate(UpstreamIndex upstream, bool all, TimePoint now, Orders& orders);
+  void EvictTasks(UpstreamIndex upstream, bool all, TimePoint now,
+                  Orders& orders);
 
   /// Jobs whose progress has changed since the last call.
   std::vector<JobId> TakeChanged();
@@ -121,7 +122,7 @@
  private:
   /// A stop whose end is not listed after this is sent again; a stop takes up
   /// to 0.9 s where tasks are slow to end.
-  static constexpr Millis kRepeatStop{1200};
+  static constexpr Millis kStopRetryInterval{1200};
 
   /// What its caller can still get from a step that starts now.
   enum class Outlook : uint8_t { kInTime, kLate, kWorthless };
@@ -139,10 +140,10 @@
   /// same: where one of them counted on places that another left out, a gang
   /// asked about too few others and waited for ever beside free upstreams (26
   /// of 284 random pools).
-  struct Restraint {
+  struct PlacementExclusion {
     /// Where a step that has failed before does not go: upstreams that failed
     /// it, and those that fail others. Empty if the rest can't take it.
-    std::set<UpstreamIndex> avoided;
+    std::set<UpstreamIndex> excluded;
     /// Suspects get more than one trial: else there are too few for the gang,
     /// and with nothing else to run they would stay suspects.
     bool trusts_suspects = false;
@@ -153,7 +154,7 @@
     bool queued = false;
     UnitKey key;
     StepAdvice advice;
-    Restraint restraint;
+    PlacementExclusion exclusion;
     /// As a gang that waits: where and when it could start, as looked at last.
     GangPlan plan;
     TimePoint plan_until{};
@@ -221,11 +222,11 @@
                 Orders& orders);
   /// Counts the crash of an upstream under what it ran, and gives up what is
   /// taken for its cause.
-  void CountCrash(const SilentRuns& runs, TimePoint now, Orders& orders);
+  void CountCrash(const SuspectRuns& runs, TimePoint now, Orders& orders);
   void GiveUp(Entry& entry, const TaskId& id, TimePoint now, Orders& orders);
   /// A report lists the run: clears what it shows to be unfounded.
-  void Acquit(Entry& entry, UpstreamIndex upstream,
-              const ports::RunningTask& running);
+  void ClearSuspicion(Entry& entry, UpstreamIndex upstream,
+                      const ports::RunningTask& running);
   void AbortGang(Entry& entry, const StepId& id, TimePoint now, Orders& orders);
   void StopAll(Entry& entry, StopReason reason, TimePoint now, Orders& orders);
   void StopTask(Entry& entry, const TaskId& id, StopReason reason,
@@ -239,12 +240,12 @@
                     const ports::RunningTask& running, TimePoint now,
                     Orders& orders);
   /// How a run makes way for its upstream's upkeep.
-  enum class Leaving { kByItsEnd, kFromCheckpoint, kLasting, kBound };
-  static Leaving LeavingOf(const wire::StepSpec& step);
-  void VacateTask(Entry& entry, const TaskId& id, const HeldRoom& room,
-                  bool all, TimePoint now, Orders& orders);
-  void VacateGang(Entry& entry, const StepId& id, StopReason reason,
-                  TimePoint now, Orders& orders);
+  enum class EvictionMode { kByItsEnd, kFromCheckpoint, kLasting, kBound };
+  static EvictionMode EvictionModeOf(const wire::StepSpec& step);
+  void EvictTask(Entry& entry, const TaskId& id, const Reservation& room,
+                 bool all, TimePoint now, Orders& orders);
+  void EvictGang(Entry& entry, const StepId& id, StopReason reason,
+                 TimePoint now, Orders& orders);
   /// Other tasks of the same step that are not at work.
   int32_t OthersAway(const Entry& entry, const TaskId& id) const;
   bool RoomElsewhere(const Entry& entry, const TaskId& id, TimePoint now) const;
@@ -271,8 +272,8 @@
   bool AdviceCallLeft(int32_t priority) const;
   bool PlaceUnit(Entry& entry, const StepId& id, TimePoint now,
                  Reserved& reserved, Orders& orders);
-  static void DropAvoided(const Restraint& restraint,
-                          std::vector<Candidate>& candidates);
+  static void DropExcluded(const PlacementExclusion& exclusion,
+                           std::vector<Candidate>& candidates);
   bool PlaceGang(Entry& entry, const StepId& id, TimePoint now,
                  const Reserved& reserved, Orders& orders);
   bool HasCrashSuspect(const Entry& entry, const StepId& id) const;
@@ -289,7 +290,7 @@
   void PlaceTasks(Entry& entry, const StepId& id, TimePoint now,
                   const Reserved& reserved, Orders& orders);
   /// Looks anew at what a step is kept from, once that is due.
-  void UpdateRestraint(Entry& entry, const StepId& id, TimePoint now);
+  void UpdateExclusion(Entry& entry, const StepId& id, TimePoint now);
   void StartTask(Entry& entry, const TaskId& id, UpstreamIndex upstream,
                  int64_t attempt, TimePoint now, Orders& orders);
   /// The unit's plan, made anew where it is too old.
@@ -318,8 +319,8 @@
   /// An upstream that a call to start a step could name.
   struct AskChoice {
     UpstreamIndex upstream = kNoUpstream;
-    /// See Restraint.
-    bool avoided = false;
+    /// See PlacementExclusion.
+    bool excluded = false;
     /// A gang waits for the room.
     bool awaited = false;
     AskOption option;
@@ -359,13 +360,13 @@
   /// others ask about it last.
   std::unordered_map<UpstreamIndex, Amount> claimed_;
   /// Room that the last pass held back for gangs.
-  std::unordered_map<UpstreamIndex, Amount> awaited_;
+  std::unordered_map<UpstreamIndex, Amount> gang_reserved_;
   /// Free cores among that room, in thousandths.
   int64_t awaited_cores_ = 0;
   AllowanceRates rates_;
   /// What is known of the stop of one run.
   struct StopNote {
-    StopReason reason = StopReason::kStray;
+    StopReason reason = StopReason::kOrphaned;
     bool ordered = false;
     /// It is ordered when a report lists the run at this time or later.
     TimePoint due{};
--- a/src/scheduling/upstream_pool.cc
+++ b/src/scheduling/upstream_pool.cc
@@ -7,7 +7,7 @@
 namespace mimosarail::scheduling {
 namespace {
 
-constexpr int32_t kTrustedTrials = 1 << 20;
+constexpr int32_t kTrustedProbes = 1 << 20;
 
 Amount CapacityOf(const ports::UpstreamSize& size) {
   Amount out;
@@ -39,7 +39,7 @@
     upstream.capacity = capacity;
     upstream.entry = entry;
     upstream.listed = true;
-    upstream.withheld = false;
+    upstream.entry_malformed = false;
     return known->second;
   }
   const auto index = static_cast<UpstreamIndex>(upstreams_.size());
@@ -58,7 +58,7 @@
   index_.erase(upstream.entry.id);
   std::erase(live_, index);
   upstream.held.clear();
-  upstream.unexplained.clear();
+  upstream.suspect_runs.clear();
   upstream.listed = false;
   upstream.reachable = false;
 }
@@ -76,8 +76,8 @@
   if (!reachable) upstream.silent_since = now;
 }
 
-void UpstreamPool::Hold(UpstreamIndex index, const TaskId& task,
-                        int64_t attempt, const HeldRoom& room) {
+void UpstreamPool::Reserve(UpstreamIndex index, const TaskId& task,
+                           int64_t attempt, const Reservation& room) {
   Upstream& upstream = upstreams_[index];
   if (upstream.held.emplace(std::pair(task, attempt), room).second) {
     upstream.free -= room.amount;
@@ -144,9 +144,9 @@
   return quarantine && quarantine->job != job && now < quarantine->until;
 }
 
-bool UpstreamPool::QuietFor(UpstreamIndex index, JobId job, Millis span,
-                            TimePoint now) const {
-  const HeldRuns& held = upstreams_[index].held;
+bool UpstreamPool::HasNoRecentStarts(UpstreamIndex index, JobId job,
+                                     Millis span, TimePoint now) const {
+  const Reservations& held = upstreams_[index].held;
   return std::all_of(held.begin(), held.end(), [&](const auto& run) {
     return run.first.first.job == job || now - run.second.since >= span;
   });
@@ -154,38 +154,40 @@
 
 void UpstreamPool::NoteSuccess(UpstreamIndex index) {
   UpstreamHealth& health = upstreams_[index].health;
-  health.streak = 0;
-  health.trials = 0;
-  health.last_rest = Millis(0);
-  health.rest_until = {};
+  health.consecutive_failures = 0;
+  health.in_flight_probes = 0;
+  health.last_backoff = Millis(0);
+  health.backoff_until = {};
 }
 
 void UpstreamPool::NoteFailure(UpstreamIndex index, TimePoint now,
                                int32_t weight) {
   UpstreamHealth& health = upstreams_[index].health;
-  health.streak += weight;
-  health.trials = 0;
-  if (health.streak < kRestAfter || now < health.rest_until) return;
-  health.last_rest = health.last_rest == Millis(0)
-                         ? kFirstRest
-                         : std::min(kLongestRest, health.last_rest * 2);
-  health.rest_until = now + health.last_rest;
+  health.consecutive_failures += weight;
+  health.in_flight_probes = 0;
+  if (health.consecutive_failures < kBackoffAfterFailures ||
+      now < health.backoff_until)
+    return;
+  health.last_backoff = health.last_backoff == Millis(0)
+                            ? kInitialBackoff
+                            : std::min(kMaxBackoff, health.last_backoff * 2);
+  health.backoff_until = now + health.last_backoff;
 }
 
 void UpstreamPool::NoteStart(UpstreamIndex index) {
-  ++upstreams_[index].health.trials;
+  ++upstreams_[index].health.in_flight_probes;
 }
 
 bool UpstreamPool::Usable(UpstreamIndex index, TimePoint now) const {
   const Upstream& upstream = upstreams_[index];
-  return upstream.TakesWork() && now >= upstream.health.rest_until &&
-         TrialsLeft(index) > 0;
+  return upstream.TakesWork() && now >= upstream.health.backoff_until &&
+         ProbesLeft(index) > 0;
 }
 
-int32_t UpstreamPool::TrialsLeft(UpstreamIndex index) const {
+int32_t UpstreamPool::ProbesLeft(UpstreamIndex index) const {
   const UpstreamHealth& health = upstreams_[index].health;
-  if (health.streak == 0) return kTrustedTrials;
-  return std::max(0, 1 - health.trials);
+  if (health.consecutive_failures == 0) return kTrustedProbes;
+  return std::max(0, 1 - health.in_flight_probes);
 }
 
 }  // namespace mimosarail::scheduling
--- a/src/scheduling/upstream_pool.h
+++ b/src/scheduling/upstream_pool.h
@@ -20,16 +20,16 @@
 /// that it is well and fail all that it starts.
 struct UpstreamHealth {
   /// Failed or stalled tasks since the last success.
-  int32_t streak = 0;
+  int32_t consecutive_failures = 0;
   /// Nothing new before this.
-  TimePoint rest_until{};
-  Millis last_rest{0};
+  TimePoint backoff_until{};
+  Millis last_backoff{0};
   /// Starts since the last result; a suspect gets one at a time.
-  int32_t trials = 0;
+  int32_t in_flight_probes = 0;
 };
 
 /// One run, by the room that it takes.
-struct HeldRoom {
+struct Reservation {
   Amount amount;
   /// When the run is expected to end; an estimate that only serves to foresee
   /// room. The maximum for a run that lasts.
@@ -43,10 +43,10 @@
 };
 
 /// What takes room at an upstream, by task and attempt.
-using HeldRuns = std::map<std::pair<TaskId, int64_t>, HeldRoom>;
+using Reservations = std::map<std::pair<TaskId, int64_t>, Reservation>;
 
 /// Runs of an upstream that fell silent, and whether they had only just begun.
-using SilentRuns = std::map<std::pair<TaskId, int64_t>, bool>;
+using SuspectRuns = std::map<std::pair<TaskId, int64_t>, bool>;
 
 /// Only this job's tasks start at an upstream meanwhile, since one of them is
 /// suspected to crash it.
@@ -64,19 +64,19 @@
   bool listed = true;
   /// Its newest entry can't be used: nothing new goes there until a later one
   /// can be, and what runs there is held, listed and stopped as before.
-  bool withheld = false;
+  bool entry_malformed = false;
   /// The store says that nothing new starts there, so that a later leader knows
   /// what it may run at most.
   bool closed = false;
   /// Kept free of new work, since its host is to have its upkeep.
-  bool vacating = false;
+  bool cordoned = false;
   UpstreamHealth health;
   /// Freed only when the upstream has listed the end, or its leases have surely
   /// run out.
-  HeldRuns held;
+  Reservations held;
   /// What it ran when it fell silent or its leases ran out, until it is known
   /// whether it has crashed.
-  SilentRuns unexplained;
+  SuspectRuns suspect_runs;
   std::optional<Quarantine> quarantine{};
   /// When it was first heard of.
   TimePoint known_since{};
@@ -85,7 +85,7 @@
 
   /// Whether new work may go there as far as its entry and its answers say.
   bool TakesWork() const {
-    return reachable && listed && !withheld && !closed && !vacating &&
+    return reachable && listed && !entry_malformed && !closed && !cordoned &&
            !entry.draining;
   }
 };
@@ -108,8 +108,8 @@
   const std::vector<UpstreamIndex>& all() const { return live_; }
 
   /// Takes room, even past the capacity: what runs there runs.
-  void Hold(UpstreamIndex index, const TaskId& task, int64_t attempt,
-            const HeldRoom& room);
+  void Reserve(UpstreamIndex index, const TaskId& task, int64_t attempt,
+               const Reservation& room);
   /// The upstream has confirmed the start of a run.
   void NoteBegan(UpstreamIndex index, const TaskId& task, int64_t attempt,
                  TimePoint now);
@@ -130,8 +130,8 @@
   bool InQuarantineOfAnother(UpstreamIndex index, JobId job,
                              TimePoint now) const;
   /// Whether all that other jobs run there began at least `span` ago.
-  bool QuietFor(UpstreamIndex index, JobId job, Millis span,
-                TimePoint now) const;
+  bool HasNoRecentStarts(UpstreamIndex index, JobId job, Millis span,
+                         TimePoint now) const;
 
   void NoteSuccess(UpstreamIndex index);
   /// `weight` 2 sends the upstream to rest at once.
@@ -141,16 +141,16 @@
   /// Whether it may be given something new.
   bool Usable(UpstreamIndex index, TimePoint now) const;
   /// Most new tasks that its record allows at this moment.
-  int32_t TrialsLeft(UpstreamIndex index) const;
+  int32_t ProbesLeft(UpstreamIndex index) const;
 
   /// A failing upstream rests this long, then twice as long each time. Faults
   /// of a machine last seconds; a longer first rest would cost more room than
   /// the few tasks that a trial loses.
-  static constexpr Millis kFirstRest{1000};
-  static constexpr Millis kLongestRest{8000};
+  static constexpr Millis kInitialBackoff{1000};
+  static constexpr Millis kMaxBackoff{8000};
   /// Failures in a row after which it rests. One alone is often the task's
   /// own fault (1 to 5 % of tasks fail anywhere).
-  static constexpr int32_t kRestAfter = 2;
+  static constexpr int32_t kBackoffAfterFailures = 2;
 
  private:
   std::vector<Upstream> upstreams_;
--- a/src/tool/job_commands.cc
+++ b/src/tool/job_commands.cc
@@ -74,11 +74,13 @@
 }
 
 /// Where the leader is, as the entry at `peer` knows it.
-Result<wire::HelloReply> AskLeader(Caller& caller, const std::string& peer) {
-  wire::HelloCall hello;
+Result<wire::HeartbeatReply> AskLeader(Caller& caller,
+                                       const std::string& peer) {
+  wire::HeartbeatCall hello;
   // A greeting without an address only asks.
   hello.config_version = INT64_MAX;
-  return caller.Call<wire::HelloReply>(peer, rpc::Method::kHello, hello);
+  return caller.Call<wire::HeartbeatReply>(peer, rpc::Method::kHeartbeat,
+                                           hello);
 }
 
 template <typename Reply, typename Message>
--- a/tests/accepted_jobs_test.cc
+++ b/tests/accepted_jobs_test.cc
@@ -666,7 +666,7 @@
       ReplaceLeader(cell);
       const std::string second = cell.Leader();
       cell.RunFor(Millis(100));
-      BOOST_REQUIRE(!cell.entry(second)->leadership().leader_serves());
+      BOOST_REQUIRE(!cell.entry(second)->leadership().leader_ready());
       if (wakes) {
         cell.Pause(second);
         cell.RunFor(Millis(1));
--- a/tests/foreign_entries_test.cc
+++ b/tests/foreign_entries_test.cc
@@ -33,7 +33,7 @@
 }
 
 int64_t ConfigVersion(JobCell& cell) {
-  return cell.entry(cell.Leader())->OnHello({}).config_version;
+  return cell.entry(cell.Leader())->OnHeartbeat({}).config_version;
 }
 
 }  // namespace
@@ -373,9 +373,9 @@
   const int64_t term = entry.leadership().term();
   for (const int64_t odd :
        {INT64_MIN, int64_t{-1}, int64_t{1} << 53, INT64_MAX}) {
-    wire::HelloCall hello;
+    wire::HeartbeatCall hello;
     hello.term = odd;
-    entry.OnHello(hello);
+    entry.OnHeartbeat(hello);
     wire::AnnounceCall call;
     call.term = odd;
     call.leader.address = "stranger:1";
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -508,8 +508,8 @@
   return rpc::Encode(out);
 }
 
-std::string Hello() {
-  wire::HelloReply out;
+std::string Heartbeat() {
+  wire::HeartbeatReply out;
   out.leading = true;
   out.term = 7;
   out.members.resize(3);
@@ -632,7 +632,7 @@
       {"stored progress", {Progress()}, false, CheckProgressBytes},
       {"roster", {Roster()}, false, CheckThrift<wire::UpstreamRecord>},
       {"leader", {Announce()}, false, CheckThrift<wire::AnnounceCall>},
-      {"greeting", {Hello()}, false, CheckThrift<wire::HelloReply>},
+      {"greeting", {Heartbeat()}, false, CheckThrift<wire::HeartbeatReply>},
       {"peer's advice", {Advised()}, false, CheckThrift<wire::AdviseReply>},
       {"peer's job", {SubmitCall()}, false, CheckThrift<wire::SubmitJobCall>},
   };
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -436,11 +436,12 @@
                  [&there, bytes, arrive] { there.Receive(bytes, arrive); });
 }
 
-void PeerAccess::Hello(const std::string& address, const wire::HelloCall& call,
-                       Millis timeout, Callback<wire::HelloReply> done) {
-  Call<wire::HelloReply>(
+void PeerAccess::Heartbeat(const std::string& address,
+                           const wire::HeartbeatCall& call, Millis timeout,
+                           Callback<wire::HeartbeatReply> done) {
+  Call<wire::HeartbeatReply>(
       address, WireBytes(call), timeout, std::move(done),
-      [call](auto& entry, auto reply) { reply(entry.OnHello(call)); });
+      [call](auto& entry, auto reply) { reply(entry.OnHeartbeat(call)); });
 }
 void PeerAccess::Announce(const std::string& address,
                           const wire::AnnounceCall& call, Millis timeout,
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cell.h
@@ -26,8 +26,8 @@
   PeerAccess(JobCell& cell, Executor& executor, std::string self)
       : cell_(cell), executor_(executor), self_(std::move(self)) {}
 
-  void Hello(const std::string& address, const wire::HelloCall& call,
-             Millis timeout, Callback<wire::HelloReply> done) override;
+  void Heartbeat(const std::string& address, const wire::HeartbeatCall& call,
+                 Millis timeout, Callback<wire::HeartbeatReply> done) override;
   void Announce(const std::string& address, const wire::AnnounceCall& call,
                 Millis timeout, Callback<wire::AnnounceReply> done) override;
   void SubmitJob(const std::string& address, const wire::SubmitJobCall& call,
--- a/tests/journal_test.cc
+++ b/tests/journal_test.cc
@@ -123,7 +123,7 @@
       BOOST_TEST(std::stoi(found->second) >= i);
     });
     clock.RunFor(Millis(random() % 40));
-    most_under_way = std::max(most_under_way, journal->under_way());
+    most_under_way = std::max(most_under_way, journal->in_flight());
   }
   store.unruly = false;
   clock.RunFor(Millis(20000));
--- a/tests/late_word_test.cc
+++ b/tests/late_word_test.cc
@@ -51,7 +51,7 @@
       store.turned_away.insert(old);
       BOOST_REQUIRE(RunUntilSucceeded(cell, old));
       cell.RunFor(kEarlierLeader);
-      BOOST_TEST(!cell.entry(old)->leadership().trusted());
+      BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
     }
   }
 }
@@ -110,7 +110,7 @@
       cell.Part({old, other}, {upstream});
       BOOST_REQUIRE(RunUntilSucceeded(cell, old));
       cell.RunFor(Millis(30000));
-      BOOST_TEST(!cell.entry(old)->leadership().trusted());
+      BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
       for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
     }
   }
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -16,10 +16,10 @@
 /// Greetings to other entries, which the test answers when and as it likes.
 class HeldGreetings final : public leadership::JobPeerPort {
  public:
-  using Done = Callback<wire::HelloReply>;
+  using Done = Callback<wire::HeartbeatReply>;
 
-  void Hello(const std::string& address, const wire::HelloCall&, Millis,
-             Done done) override {
+  void Heartbeat(const std::string& address, const wire::HeartbeatCall&, Millis,
+                 Done done) override {
     held[address].push_back(std::move(done));
   }
   void Announce(const std::string&, const wire::AnnounceCall&, Millis,
@@ -36,7 +36,7 @@
               Callback<wire::AdviseReply>) override {}
 
   /// Answers the oldest greeting to this address. Precondition: there is one.
-  void Answer(const std::string& address, Result<wire::HelloReply> reply) {
+  void Answer(const std::string& address, Result<wire::HeartbeatReply> reply) {
     std::vector<Done>& waiting = held.at(address);
     const Done done = std::move(waiting.front());
     waiting.erase(waiting.begin());
@@ -72,19 +72,20 @@
   faults::EntryFaults faults{metrics};
   leadership::LeadershipOptions options{.member = MemberAt("self"),
                                         .seeds = {"next:1"}};
-  leadership::Leadership self{executor,
-                              store,
-                              peers,
-                              faults,
-                              options,
-                              {.lead = [](int64_t) {},
-                               .lost = [] {},
-                               .serves = [] {},
-                               .heard = [](const wire::HelloReply&) {},
-                               .config_version = [] { return int64_t{0}; },
-                               .config_document = [] { return std::string(); },
-                               .last_stored = [] { return TimePoint{}; },
-                               .last_stored_sent = [] { return TimePoint{}; }}};
+  leadership::Leadership self{
+      executor,
+      store,
+      peers,
+      faults,
+      options,
+      {.on_elected = [](int64_t) {},
+       .on_leadership_lost = [] {},
+       .on_leader_ready = [] {},
+       .on_heartbeat_reply = [](const wire::HeartbeatReply&) {},
+       .config_version = [] { return int64_t{0}; },
+       .config_document = [] { return std::string(); },
+       .last_stored = [] { return TimePoint{}; },
+       .last_stored_sent = [] { return TimePoint{}; }}};
 
   void Store(const wire::AnnounceCall& record) {
     fake.Put(options.table, leadership::kLeaderKey, rpc::Encode(record));
@@ -105,7 +106,7 @@
   // The greeting to the silent leader ends without an answer.
   for (int i = 0; i < 10 && peers.held["next:1"].empty(); ++i) {
     while (!peers.held["old:1"].empty()) {
-      peers.Answer("old:1", Result<wire::HelloReply>(Errc::kTimeout));
+      peers.Answer("old:1", Result<wire::HeartbeatReply>(Errc::kTimeout));
     }
     clock.RunFor(Millis(60));
   }
@@ -114,7 +115,7 @@
   self.OnAnnounce(Lead(2, "next"));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
   clock.RunFor(Millis(450));
-  wire::HelloReply before;
+  wire::HeartbeatReply before;
   before.term = 1;
   before.leader = MemberAt("old");
   peers.Answer("next:1", before);
@@ -130,7 +131,7 @@
   clock.RunFor(Millis(500));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
   BOOST_REQUIRE(!peers.held["next:1"].empty());
-  wire::HelloReply resigned;
+  wire::HeartbeatReply resigned;
   resigned.term = 1;
   peers.Answer("next:1", resigned);
   clock.RunFor(Millis(400));
@@ -143,7 +144,7 @@
   self.Start();
   clock.RunFor(Millis(100));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
-  wire::HelloReply leads;
+  wire::HeartbeatReply leads;
   leads.leading = true;
   leads.term = 1;
   leads.leader = MemberAt("next");
@@ -155,7 +156,7 @@
   BOOST_REQUIRE(!self.leading());
   for (int i = 0; i < 4 && !self.leading(); ++i) {
     while (!peers.held["next:1"].empty()) {
-      peers.Answer("next:1", wire::HelloReply());
+      peers.Answer("next:1", wire::HeartbeatReply());
     }
     clock.RunFor(Millis(100));
   }
@@ -173,24 +174,24 @@
       cell.clock.RunFor(Millis(1000 + moment));
       const auto greet_all = [&cell] {
         for (const char* name : {"a", "b", "c"}) {
-          wire::HelloCall greeting;
+          wire::HeartbeatCall greeting;
           greeting.caller = MemberAt(name);
           greeting.term = 1;
-          cell.self.OnHello(greeting);
+          cell.self.OnHeartbeat(greeting);
         }
       };
       greet_all();
-      BOOST_REQUIRE(cell.self.trusted());
+      BOOST_REQUIRE(cell.self.lease_valid());
       cell.executor.Pause();
       cell.clock.RunFor(Millis(5000));
       cell.fake.faults().down = true;
       cell.executor.Resume();
       greet_all();
-      BOOST_TEST(!cell.self.trusted());
+      BOOST_TEST(!cell.self.lease_valid());
       cell.clock.RunFor(Millis(1));
-      BOOST_TEST(!cell.self.trusted());
+      BOOST_TEST(!cell.self.lease_valid());
       greet_all();
-      BOOST_TEST(!cell.self.trusted());
+      BOOST_TEST(!cell.self.lease_valid());
     }
   }
 }
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -180,9 +180,9 @@
 /// Work that can't go on elsewhere is waited for, as long as the time allows.
 BOOST_AUTO_TEST_CASE(WorkDecidesWhoGoesWhen) {
   WaveView view = ThreeHosts();
-  view.hosts[0].work = {.tasks = 1, .empties_in = Millis(5000)};
-  view.hosts[1].work = {.tasks = 3, .empties_in = Millis(300)};
-  view.hosts[2].work = {.tasks = 2, .empties_in = Millis(4000)};
+  view.hosts[0].work = {.tasks = 1, .drained_in = Millis(5000)};
+  view.hosts[1].work = {.tasks = 3, .drained_in = Millis(300)};
+  view.hosts[2].work = {.tasks = 2, .drained_in = Millis(4000)};
   WaveDecision decision = DecideWave(view);
   BOOST_TEST(decision.send.empty());
   BOOST_TEST(decision.drain == Names({"b", "c"}));
@@ -208,7 +208,7 @@
 BOOST_AUTO_TEST_CASE(DrainingAheadNeedsRoomElsewhere) {
   WaveView view = ThreeHosts();
   for (HostView& host : view.hosts) {
-    host.work = {.tasks = 1, .empties_in = Millis(900), .millicores = 4000};
+    host.work = {.tasks = 1, .drained_in = Millis(900), .millicores = 4000};
   }
   view.free_millicores = 1000;
   BOOST_TEST(DecideWave(view).drain == Names({"a"}));
--- a/tests/member_list_test.cc
+++ b/tests/member_list_test.cc
@@ -18,7 +18,7 @@
   for (int answers = 1;; ++answers) {
     int64_t number = to.number();
     const std::vector<wire::Member> changes = from.After(number);
-    BOOST_TEST(changes.size() <= MemberChanges::kMostTold);
+    BOOST_TEST(changes.size() <= MemberChanges::kMaxChangesPerReply);
     to.Take(changes, number);
     if (changes.empty()) return answers;
   }
--- a/tests/rpc_server_test.cc
+++ b/tests/rpc_server_test.cc
@@ -35,7 +35,7 @@
 class Pair {
  public:
   Pair() : server_(io_), client_(io_) {
-    server_.Handle(Method::kHello, [](std::string body, Responder respond) {
+    server_.Handle(Method::kHeartbeat, [](std::string body, Responder respond) {
       respond(std::move(body));
     });
     port_ = server_.Listen("127.0.0.1:0").value();
@@ -53,7 +53,7 @@
   Result<std::string> Call(const std::string& body) {
     constexpr Millis kTimeout{2000};
     std::promise<Result<std::string>> promise;
-    client_.Call("127.0.0.1:" + std::to_string(port_), Method::kHello, body,
+    client_.Call("127.0.0.1:" + std::to_string(port_), Method::kHeartbeat, body,
                  kTimeout, [&promise](Result<std::string> reply) {
                    promise.set_value(std::move(reply));
                  });
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -147,8 +147,9 @@
 /// never given up, and starts again each time.
 BOOST_AUTO_TEST_CASE(OnlyCrashesCountAgainstATask) {
   constexpr int kUpstreams = 12;
-  constexpr UpstreamLoss kOtherLosses[]{
-      UpstreamLoss::kLeft, UpstreamLoss::kUpkeep, UpstreamLoss::kLeasesOver};
+  constexpr UpstreamLoss kOtherLosses[]{UpstreamLoss::kLeft,
+                                        UpstreamLoss::kMaintenance,
+                                        UpstreamLoss::kLeasesExpired};
   Bench b(kUpstreams);
   b.s.Add(Spec(1, 1, 1000), b.now, 0);
   for (int i = 0; i < kUpstreams; ++i) {
@@ -172,7 +173,7 @@
   BOOST_REQUIRE_EQUAL(first.starts.size(), 1U);
   const UpstreamIndex cut = first.starts[0].upstream;
   Orders more;
-  b.s.OnUpstreamEmpty(cut, UpstreamLoss::kLeasesOver, b.now, more);
+  b.s.OnUpstreamEmpty(cut, UpstreamLoss::kLeasesExpired, b.now, more);
   b.s.OnRunning(cut, {}, b.now, more);
   b.s.OnUpstreamEmpty(cut, UpstreamLoss::kCrashed, b.now, more);
   BOOST_TEST(b.s.Find(1)->task({1, 0, 0, 0}).crashes.total() == 0U);
@@ -213,7 +214,7 @@
     run.attempt = attempt;
     run.early = true;
   }
-  const SilentRuns expected{{{task, 5}, true}};
+  const SuspectRuns expected{{{task, 5}, true}};
   BOOST_TEST((coordinator::RunsFromRecord(record) == expected));
   BOOST_TEST((coordinator::ToRecords(expected).at(0) == record.runs.at(0)));
 }
--- a/tests/slow_parts_test.cc
+++ b/tests/slow_parts_test.cc
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE slow_parts
 #include <boost/test/unit_test.hpp>
 
-#include "src/leadership/waiting_votes.h"
+#include "src/leadership/leader_timeout_votes.h"
 #include "tests/jobsim/job_cell.h"
 #include "tests/jobsim/trace.h"
 
@@ -102,19 +102,19 @@
 /// or by one alone, decides nothing.
 BOOST_AUTO_TEST_CASE(VotesOfFollowers) {
   const TimePoint start = TimePoint() + std::chrono::hours(1);
-  leadership::WaitingVotes votes;
+  leadership::LeaderTimeoutVotes votes;
   votes.Note("a", start, true);
-  BOOST_TEST(!votes.MostWait(start));
+  BOOST_TEST(!votes.HasMajority(start));
   votes.Note("b", start, false);
-  BOOST_TEST(!votes.MostWait(start));
+  BOOST_TEST(!votes.HasMajority(start));
   votes.Note("c", start, true);
-  BOOST_TEST(votes.MostWait(start));
-  BOOST_TEST(!votes.MostWait(start + Millis(800)));
+  BOOST_TEST(votes.HasMajority(start));
+  BOOST_TEST(!votes.HasMajority(start + Millis(800)));
   votes.Note("b", start + Millis(800), true);
   votes.Note("c", start + Millis(800), true);
-  BOOST_TEST(votes.MostWait(start + Millis(800)));
+  BOOST_TEST(votes.HasMajority(start + Millis(800)));
   votes.Clear();
-  BOOST_TEST(!votes.MostWait(start + Millis(800)));
+  BOOST_TEST(!votes.HasMajority(start + Millis(800)));
 }
 
 /// An upstream leaves an order to start unanswered and carries it out seconds
--- a/tests/traffic_test.cc
+++ b/tests/traffic_test.cc
@@ -185,7 +185,7 @@
   Traffic here;
   Traffic there;
   rpc::Server server(io, &there);
-  server.Handle(rpc::Method::kHello,
+  server.Handle(rpc::Method::kHeartbeat,
                 [](const std::string&, const rpc::Responder& respond) {
                   respond(kBody);
                 });
@@ -193,8 +193,8 @@
   rpc::Client client(io, &here);
   const Running running(io);
   std::promise<bool> answered;
-  client.Call("127.0.0.1:" + std::to_string(port), rpc::Method::kHello, "abc",
-              kTimeout, [&](const Result<std::string>& reply) {
+  client.Call("127.0.0.1:" + std::to_string(port), rpc::Method::kHeartbeat,
+              "abc", kTimeout, [&](const Result<std::string>& reply) {
                 answered.set_value(reply.ok());
               });
   BOOST_TEST(answered.get_future().get());
