--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "platform/host_client.h"
-#include "platform/job_front.h"
+#include "platform/job_http_server.h"
 #include "platform/store_client.h"
 #include "platform/upstream_client.h"
 #include "src/jobentry/job_entry.h"
@@ -69,17 +69,17 @@
   out.leadership.leader_lease = Millis(s.trust_ms);
   out.leadership.member.fitness = static_cast<int32_t>(s.cpu_percent);
   out.coordinator.lease = Millis(s.lease_ms);
-  out.coordinator.earlier_leader = Millis(s.trust_ms);
+  out.coordinator.previous_leader_timeout = Millis(s.trust_ms);
   out.coordinator.list_period = Millis(s.list_ms);
-  out.coordinator.upkeep = Millis(s.upkeep_centis * kMsPerCenti);
+  out.coordinator.maintenance_duration = Millis(s.upkeep_centis * kMsPerCenti);
   out.coordinator.host_lists_per_s =
       static_cast<double>(s.host_lists_per_100_s) / kHundredths;
   out.coordinator.host_orders_per_s =
       static_cast<double>(s.host_orders_per_100_s) / kHundredths;
   out.coordinator.holder_lease = Millis(s.holder_lease_ms);
   out.coordinator.max_jobs = static_cast<size_t>(s.max_jobs);
-  out.patience = Millis(s.patience_ms);
-  out.last_answer = Millis(s.shutdown_ms) - kLastAnswers;
+  out.leader_wait_timeout = Millis(s.patience_ms);
+  out.shutdown_reply_deadline = Millis(s.shutdown_ms) - kLastAnswers;
   return out;
 }
 
@@ -112,7 +112,7 @@
                .peers = peers,
                .metrics = metrics,
                .hosts = s.hosts_address.empty() ? nullptr : &hosts,
-               .wave_board = &store},
+               .wave_status = &store},
               MakeOptions(s)),
         front(traffic, executor, entry,
               {.address = s.front_address,
@@ -146,7 +146,7 @@
                 static_cast<double>(upstream_http.connections_opened()));
     metrics.Set({.name = "open_requests"},
                 static_cast<double>(front.open_requests()));
-    metrics::ShowTraffic(link, metrics);
+    metrics::ExportTraffic(link, metrics);
   }
 
   /// What the link carried since the last line of this; control thread.
@@ -179,7 +179,7 @@
   leadership::JobPeers peers;
   rpc::Server peer_server;
   jobentry::JobEntry entry;
-  platform::JobFront front;
+  platform::JobHttpServer front;
   http::Server metrics_server;
 };
 
@@ -216,16 +216,16 @@
  private:
   void Look() {
     const shutdown::ShutdownView view{
-        .waited = Waited(),
+        .elapsed = Waited(),
         .open_requests =
-            daemon_.front.open_requests() + daemon_.entry.open_advice(),
+            daemon_.front.open_requests() + daemon_.entry.advice_in_flight(),
         .connections = daemon_.front.connections(),
-        .intake_ended = intake_ended_};
+        .accepting_stopped = accepting_stopped_};
     switch (shutdown::NextStep(options_, view)) {
       case shutdown::ShutdownStep::kServe:
         break;
-      case shutdown::ShutdownStep::kEndIntake:
-        EndIntake();
+      case shutdown::ShutdownStep::kStopAccepting:
+        StopAccepting();
         break;
       case shutdown::ShutdownStep::kEnd:
         daemon_.front.LogOpenRequests();
@@ -235,12 +235,13 @@
     daemon_.executor.RunAfter(kShutdownLook, [this] { Look(); });
   }
 
-  void EndIntake() {
+  void StopAccepting() {
     if (std::exchange(intake_ending_, true)) return;
     Tell("intake ends");
-    daemon_.entry.EndIntake();
-    daemon_.front.EndIntake(
-        [this] { daemon_.executor.Post([this] { intake_ended_ = true; }); });
+    daemon_.entry.StopAccepting();
+    daemon_.front.StopAccepting([this] {
+      daemon_.executor.Post([this] { accepting_stopped_ = true; });
+    });
   }
 
   void Tell(const char* what) {
@@ -259,7 +260,7 @@
   shutdown::ShutdownOptions options_;
   TimePoint since_{};
   bool intake_ending_ = false;
-  bool intake_ended_ = false;
+  bool accepting_stopped_ = false;
 };
 
 std::string ReadText(const std::string& path) {
@@ -321,7 +322,7 @@
   const auto traffic_work = asio::make_work_guard(daemon.traffic);
   std::thread traffic([&daemon] { daemon.traffic.run(); });
   asio::signal_set signals(daemon.control, SIGTERM, SIGINT);
-  Stop stop(daemon, {.unready = Millis(settings.unready_ms),
+  Stop stop(daemon, {.unready_period = Millis(settings.unready_ms),
                      .limit = Millis(settings.shutdown_ms)});
   signals.async_wait([&](std::error_code error, int) {
     if (!error) stop.Begin();
--- a/src/cellconfig/cell_config_follower.cc
+++ b/src/cellconfig/cell_config_follower.cc
@@ -8,14 +8,13 @@
 
 using logging::Level;
 
-CellConfigFollower::CellConfigFollower(Executor& executor,
-                                       ports::CellConfigPort& port,
-                                       faults::EntryFaults& faults,
-                                       FollowerOptions options,
-                                       std::function<void()> changed)
+CellConfigFollower::CellConfigFollower(
+    Executor& executor, ports::CellConfigPort& port,
+    faults::MalformedRecordReporter& bad_records, FollowerOptions options,
+    std::function<void()> changed)
     : executor_(executor),
       port_(port),
-      faults_(faults),
+      bad_records_(bad_records),
       options_(options),
       changed_(std::move(changed)) {}
 
@@ -84,7 +83,7 @@
     logging::Event(Level::kInfo, "wave asked for",
                    {{"wave", std::to_string(wave.wave)},
                     {"hosts", std::to_string(wave.hosts.size())},
-                    {"most_at_once", std::to_string(wave.most_at_once)},
+                    {"most_at_once", std::to_string(wave.max_unavailable)},
                     {"duration_ms", std::to_string(wave.duration.count())}});
   }
 }
@@ -97,8 +96,8 @@
                                 const char* source) {
   Result<ports::CellConfig> decoded = port_.Decode(document);
   if (!decoded.ok()) {
-    return faults_.Tell(faults::EntrySource::kConfiguration, source,
-                        decoded.error().message);
+    return bad_records_.Report(faults::RecordSource::kConfiguration, source,
+                               decoded.error().message);
   }
   if (decoded.value().version <= config_.version) return;
   logging::Event(Level::kInfo, "configuration in force",
--- a/src/cellconfig/cell_config_follower.h
+++ b/src/cellconfig/cell_config_follower.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "src/libs/base/executor.h"
-#include "src/libs/faults/entry_faults.h"
+#include "src/libs/faults/malformed_record_reporter.h"
 #include "src/ports/cell_config_port.h"
 
 namespace mimosarail::cellconfig {
@@ -28,8 +28,8 @@
   /// `changed` runs after each new version. Executor, port and faults outlive
   /// it.
   CellConfigFollower(Executor& executor, ports::CellConfigPort& port,
-                     faults::EntryFaults& faults, FollowerOptions options,
-                     std::function<void()> changed);
+                     faults::MalformedRecordReporter& bad_records,
+                     FollowerOptions options, std::function<void()> changed);
 
   void Start();
   /// A document that another entry passed on.
@@ -53,7 +53,7 @@
 
   Executor& executor_;
   ports::CellConfigPort& port_;
-  faults::EntryFaults& faults_;
+  faults::MalformedRecordReporter& bad_records_;
   FollowerOptions options_;
   std::function<void()> changed_;
   ports::CellConfig config_;
--- a/src/coordinator/advice_lanes.cc
+++ b/src/coordinator/advice_lanes.cc
@@ -21,15 +21,15 @@
         return lane.second.busy && lane.second.urgent_call;
       });
   const std::chrono::duration<double> aged = now - peak_at_;
-  const std::chrono::duration<double> memory = kPeakMemory;
+  const std::chrono::duration<double> memory = kPeakDecay;
   urgent_peak_ = std::max(static_cast<double>(in_use),
                           urgent_peak_ * std::exp(-(aged / memory)));
   peak_at_ = now;
   const auto count = static_cast<double>(lanes_.size());
   const int most =
       lanes_.size() < 2 ? 0 : static_cast<int>(std::ceil(kUrgentShare * count));
-  int kept =
-      std::min(most, static_cast<int>(std::ceil(urgent_peak_)) + kUrgentSpare);
+  int kept = std::min(
+      most, static_cast<int>(std::ceil(urgent_peak_)) + kUrgentHeadroom);
   for (auto& [address, lane] : lanes_) lane.urgent = kept-- > 0;
 }
 
@@ -63,7 +63,7 @@
   const auto lane = lanes_.find(address);
   if (lane == lanes_.end()) return;
   lane->second.busy = false;
-  if (failed) lane->second.backoff_until = now + kRest;
+  if (failed) lane->second.backoff_until = now + kFailureBackoff;
 }
 
 }  // namespace mimosarail::coordinator
--- a/src/coordinator/advice_lanes.h
+++ b/src/coordinator/advice_lanes.h
@@ -39,11 +39,11 @@
   static constexpr double kUrgentShare = 2.0 / 7;
   /// Kept beside the most that urgent work used lately: with 36 lanes, 9 of the
   /// 11 that the share alone kept stood idle while gangs waited for one.
-  static constexpr int kUrgentSpare = 2;
+  static constexpr int kUrgentHeadroom = 2;
   /// The most that was used counts for e times less after this.
-  static constexpr Millis kPeakMemory{8000};
+  static constexpr Millis kPeakDecay{8000};
   /// A lane whose call failed is not used for this long.
-  static constexpr Millis kRest{700};
+  static constexpr Millis kFailureBackoff{700};
 
  private:
   /// Sets which lanes are kept, by what urgent work has used lately.
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-void Coordinator::LeaveCallers() {
-  for (auto& [id, job] : arriving_) {
+void Coordinator::FailPendingCallers() {
+  for (auto& [id, job] : pending_submissions_) {
     for (auto& waiter : job.waiters) waiter(SubmitReply(JobVerdict::kUnknown));
   }
-  arriving_.clear();
+  pending_submissions_.clear();
 }
 
 void Coordinator::Submit(const wire::JobSpec& spec,
@@ -54,18 +54,19 @@
   if (unreadable_.count(id) > 0) {
     return done(SubmitReply(JobVerdict::kUnreadable));
   }
-  const auto waiting = arriving_.find(id);
-  if (waiting == arriving_.end()) {
-    const bool store_away = journal_->stalled_for() > options_.store_patience;
+  const auto waiting = pending_submissions_.find(id);
+  if (waiting == pending_submissions_.end()) {
+    const bool store_away =
+        journal_->stalled_for() > options_.append_stall_timeout;
     if (store_away ||
-        scheduler_.jobs() + arriving_.size() >= options_.max_jobs) {
+        scheduler_.jobs() + pending_submissions_.size() >= options_.max_jobs) {
       logging::Event(
           Level::kWarning, "job refused",
           {{"job", JobIdText(id)},
            {"store_stalled_ms", Text(journal_->stalled_for().count())},
            {"jobs", Text(static_cast<int64_t>(scheduler_.jobs()))}});
       return done(SubmitReply(
-          store_away ? JobVerdict::kStoreAway : JobVerdict::kRefused,
+          store_away ? JobVerdict::kStoreUnavailable : JobVerdict::kRefused,
           kRetryAfterMs));
     }
     wire::JobSpec stored = spec;
@@ -80,39 +81,41 @@
       return done(SubmitReply(JobVerdict::kRefused, kRetryAfterMs));
     }
     journal_->Put(SpecKey(id), std::move(record));
-    const int64_t number = ++hand_ins_;
-    arriving_[id].number = number;
+    const int64_t number = ++submissions_;
+    pending_submissions_[id].number = number;
     journal_->WhenStored(
         [weak = weak_from_this(), stored, id, number](bool kept) {
           const auto self = weak.lock();
           if (!kept || !self || self->closed_) return;
-          const auto still = self->arriving_.find(id);
-          if (still == self->arriving_.end()) return;
+          const auto still = self->pending_submissions_.find(id);
+          if (still == self->pending_submissions_.end()) return;
           if (still->second.number == number) self->OnJobStored(stored);
         });
   }
-  arriving_[id].waiters.push_back(AnswerInTime<wire::SubmitJobReply>(
-      std::move(done), SubmitReply(JobVerdict::kUnknown)));
+  pending_submissions_[id].waiters.push_back(
+      WithReplyDeadline<wire::SubmitJobReply>(
+          std::move(done), SubmitReply(JobVerdict::kUnknown)));
 }
 
 template <typename Reply>
-std::function<void(Reply)> Coordinator::AnswerInTime(
+std::function<void(Reply)> Coordinator::WithReplyDeadline(
     std::function<void(Reply)> done, Reply late) {
   auto answered = std::make_shared<bool>(false);
   auto once = [answered, done = std::move(done)](const Reply& reply) {
     if (std::exchange(*answered, true)) return;
     done(reply);
   };
-  deps_.executor.RunAfter(options_.answer_limit,
+  deps_.executor.RunAfter(options_.reply_deadline,
                           [once, late = std::move(late)] { once(late); });
   return once;
 }
 
 void Coordinator::RefuseUnsent() {
   const Millis patience =
-      std::max(options_.unsent_patience, 2 * journal_->last_took());
+      std::max(options_.unsent_job_timeout, 2 * journal_->last_took());
   if (journal_->stalled_for() <= patience) return;
-  for (auto at = arriving_.begin(); at != arriving_.end();) {
+  for (auto at = pending_submissions_.begin();
+       at != pending_submissions_.end();) {
     if (!journal_->Withdraw(SpecKey(at->first))) {
       ++at;
       continue;
@@ -123,9 +126,9 @@
          {"cause", "taken back before it was sent to the store"},
          {"store_stalled_ms", Text(journal_->stalled_for().count())}});
     const auto waiters = std::move(at->second.waiters);
-    at = arriving_.erase(at);
+    at = pending_submissions_.erase(at);
     for (const auto& waiter : waiters) {
-      waiter(SubmitReply(JobVerdict::kStoreAway, kRetryAfterMs));
+      waiter(SubmitReply(JobVerdict::kStoreUnavailable, kRetryAfterMs));
     }
   }
 }
@@ -141,7 +144,7 @@
                   {"priority", Text(spec.queue.priority)},
                   {"steps", Text(static_cast<int64_t>(spec.steps.size()))},
                   {"term", Text(options_.term)}});
-  const auto waiting = arriving_.extract(id);
+  const auto waiting = pending_submissions_.extract(id);
   if (!waiting.empty()) {
     for (auto& waiter : waiting.mapped().waiters) {
       waiter(SubmitReply(JobVerdict::kDone));
@@ -177,7 +180,7 @@
   const Job* job = scheduler_.Find(id);
   if (job == nullptr) {
     // Its record is on the way to the store; the caller does not know yet.
-    const bool coming = arriving_.count(id) > 0;
+    const bool coming = pending_submissions_.count(id) > 0;
     return answer(coming ? JobVerdict::kDone : VerdictOnUnknownJob(),
                   JobState::kQueued);
   }
@@ -190,16 +193,18 @@
                          std::function<void(wire::CancelJobReply)> done) {
   if (!loaded_) return done(CancelReply(JobVerdict::kNotLeading));
   if (finals_.count(id) > 0) return done(CancelReply(JobVerdict::kDone));
-  if (arriving_.count(id) > 0) return done(CancelReply(JobVerdict::kUnknown));
+  if (pending_submissions_.count(id) > 0)
+    return done(CancelReply(JobVerdict::kUnknown));
   if (unreadable_.count(id) > 0) {
     return done(CancelReply(JobVerdict::kUnreadable));
   }
-  if (scheduler_.Find(id) == nullptr) return DenyJob(id, std::move(done));
+  if (scheduler_.Find(id) == nullptr)
+    return ReplyNoSuchJob(id, std::move(done));
   Orders orders;
   scheduler_.Cancel(id, deps_.executor.Now(), orders);
   deps_.metrics.Count({.name = "jobs_cancelled"});
   Pump(orders);
-  auto once = AnswerInTime<wire::CancelJobReply>(
+  auto once = WithReplyDeadline<wire::CancelJobReply>(
       std::move(done), CancelReply(JobVerdict::kUnknown));
   journal_->WhenStored([once = std::move(once)](bool stored) {
     once(CancelReply(stored ? JobVerdict::kDone : JobVerdict::kUnknown));
@@ -208,17 +213,17 @@
 
 bool Coordinator::Knows(JobId id) const {
   return scheduler_.Find(id) != nullptr || finals_.count(id) > 0 ||
-         arriving_.count(id) > 0;
+         pending_submissions_.count(id) > 0;
 }
 
-void Coordinator::DenyJob(JobId id,
-                          std::function<void(wire::CancelJobReply)> done) {
+void Coordinator::ReplyNoSuchJob(
+    JobId id, std::function<void(wire::CancelJobReply)> done) {
   // A leader that stood still wakes up without the jobs that its successor has
   // taken. Its caller would take "no such job" for the end of one that runs on.
   // Only an append under its own term shows that nobody has succeeded it; this
   // one changes nothing, since there is no progress of such a job.
   journal_->Remove(ProgressKey(id));
-  auto once = AnswerInTime<wire::CancelJobReply>(
+  auto once = WithReplyDeadline<wire::CancelJobReply>(
       std::move(done), CancelReply(JobVerdict::kUnknown));
   journal_->WhenStored([weak = weak_from_this(), id,
                         once = std::move(once)](bool stored) {
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -33,27 +33,29 @@
       deps_.executor, deps_.store,
       journal::JournalOptions{
           .table = options_.table, .writer = "leader", .epoch = options_.term},
-      [this] { deps_.deposed("the journal was fenced"); });
-  if (deps_.hosts != nullptr) MakeWaveKeeper();
+      [this] { deps_.on_leadership_lost("the journal was fenced"); });
+  if (deps_.hosts != nullptr) MakeWaveManager();
 }
 
-void Coordinator::MakeWaveKeeper() {
-  waves_ = std::make_shared<maintenance::WaveKeeper>(
-      maintenance::WaveKeeper::Dependencies{.executor = deps_.executor,
-                                            .store = deps_.store,
-                                            .hosts = *deps_.hosts,
-                                            .board = *deps_.wave_board,
-                                            .journal = journal_,
-                                            .workload = *this,
-                                            .metrics = deps_.metrics,
-                                            .waves = deps_.waves,
-                                            .deposed = deps_.deposed},
-      maintenance::WaveKeeperOptions{.holder = options_.holder,
-                                     .term = options_.term,
-                                     .upkeep = options_.upkeep,
-                                     .lists_per_s = options_.host_lists_per_s,
-                                     .orders_per_s = options_.host_orders_per_s,
-                                     .earlier_holder = options_.holder_lease});
+void Coordinator::MakeWaveManager() {
+  waves_ = std::make_shared<maintenance::WaveManager>(
+      maintenance::WaveManager::Dependencies{
+          .executor = deps_.executor,
+          .store = deps_.store,
+          .hosts = *deps_.hosts,
+          .wave_status = *deps_.wave_status,
+          .journal = journal_,
+          .workload = *this,
+          .metrics = deps_.metrics,
+          .waves = deps_.waves,
+          .on_leadership_lost = deps_.on_leadership_lost},
+      maintenance::WaveManagerOptions{
+          .holder = options_.holder,
+          .term = options_.term,
+          .maintenance_duration = options_.maintenance_duration,
+          .lists_per_s = options_.host_lists_per_s,
+          .orders_per_s = options_.host_orders_per_s,
+          .previous_holder_timeout = options_.holder_lease});
 }
 
 void Coordinator::Start() {
@@ -68,13 +70,13 @@
   journal_->Close();
   if (waves_) waves_->Close();
   for (auto& [index, link] : links_) link->Close();
-  LeaveCallers();
+  FailPendingCallers();
 }
 
 void Coordinator::Tick() {
   if (closed_) return;
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
-  EndSilentLives();
+  DropSilentUpstreams();
   CheckResolved();
   RefuseUnsent();
   DropFinalJobs();
@@ -109,13 +111,13 @@
   const TimePoint now = deps_.executor.Now();
   for (auto at = finals_.begin(); at != finals_.end();) {
     auto& [id, job] = *at;
-    if (job.spec_kept && now - job.since > options_.keep_spec &&
+    if (job.spec_kept && now - job.since > options_.spec_retention &&
         (scheduler_.Find(id) == nullptr || scheduler_.Forgettable(id))) {
       scheduler_.Forget(id);
       journal_->Remove(SpecKey(id));
       job.spec_kept = false;
     }
-    if (!job.spec_kept && now - job.since > options_.keep_state) {
+    if (!job.spec_kept && now - job.since > options_.state_retention) {
       journal_->Remove(ProgressKey(id));
       at = finals_.erase(at);
     } else {
@@ -134,7 +136,7 @@
     const auto link = links_.find(stop.upstream);
     if (link == links_.end()) continue;
     if (stop.unasked) {
-      LogUnasked(stop);
+      LogOrphanedRun(stop);
     } else {
       LogStop(stop);
     }
@@ -191,7 +193,7 @@
        {"why", std::string(scheduling::kStopReasonNames.Name(stop.reason))}});
 }
 
-void Coordinator::LogUnasked(scheduling::StopOrder stop) {
+void Coordinator::LogOrphanedRun(scheduling::StopOrder stop) {
   // The tasks of a final job are forgotten before its state is.
   const auto final = finals_.find(stop.task.job);
   const bool forgotten = stop.reason == scheduling::StopReason::kUnknownJob &&
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -16,9 +16,9 @@
 #include "src/coordinator/job_verdicts.h"
 #include "src/fleet/upstream_link.h"
 #include "src/journal/journal.h"
-#include "src/libs/faults/entry_faults.h"
+#include "src/libs/faults/malformed_record_reporter.h"
 #include "src/libs/metrics/metrics.h"
-#include "src/maintenance/wave_keeper.h"
+#include "src/maintenance/wave_manager.h"
 #include "src/ports/record_store_port.h"
 #include "src/ports/task_port.h"
 #include "src/ports/upstream_list_port.h"
@@ -31,32 +31,32 @@
   std::string table = "jobs";
   Millis lease{4000};
   /// How long an earlier leader may go on unseen.
-  Millis earlier_leader{2000};
+  Millis previous_leader_timeout{2000};
   /// An upstream that is not listed and has not answered for this long, nor
   /// within its leases, is over. Cut off until then, it may still come back.
-  Millis silent_is_over{5000};
+  Millis dead_upstream_timeout{5000};
   /// How often the list of upstreams is read. Nothing may start on a draining
   /// one 2 s after it said so.
   Millis list_period{250};
   /// Most jobs that wait; beyond it new ones are refused. One takes some 4 KB.
   size_t max_jobs = 20000;
   /// A store that has not answered an append for this long takes no new jobs.
-  Millis store_patience{400};
+  Millis append_stall_timeout{400};
   /// Jobs that wait behind an append are taken back after this, or after twice
   /// what the last append took: a store that is slow, at some 0.4 s an append,
   /// still takes them, one that is silent does not.
-  Millis unsent_patience{700};
+  Millis unsent_job_timeout{700};
   /// A caller whose job or cancel is not stored is told "unknown" after this.
-  Millis answer_limit{900};
+  Millis reply_deadline{900};
   /// A final job's tasks may still be listed as running for this long.
-  Millis keep_spec{15000};
+  Millis spec_retention{15000};
   /// How long the state of a final job is told.
-  Millis keep_state{150000};
+  Millis state_retention{150000};
   /// Name of this entry, as the platform's API of hosts is told.
   std::string holder;
   /// How long a host is away for its upkeep, and how many calls a second its
   /// API takes.
-  Millis upkeep{2000};
+  Millis maintenance_duration{2000};
   double host_lists_per_s = 10;
   double host_orders_per_s = 10;
   /// Leaders that order the same host within this take turns, which is ruled
@@ -79,7 +79,7 @@
     ports::TaskPort& tasks;
     AdviceCaller& advice;
     metrics::Registry& metrics;
-    faults::EntryFaults& faults;
+    faults::MalformedRecordReporter& bad_records;
     /// Pools that the configuration names; null while none is known.
     std::function<const std::set<std::string>*()> pools;
     /// Whether orders may be given now.
@@ -89,11 +89,11 @@
     /// What is stored has been taken over: calls are taken from now on.
     std::function<void()> loaded;
     /// Another leader was found.
-    std::function<void(const std::string& cause)> deposed;
+    std::function<void(const std::string& cause)> on_leadership_lost;
     /// Null where hosts have no API: then there is no maintenance.
     ports::HostPort* hosts = nullptr;
-    ports::WaveBoardPort* wave_board = nullptr;
-    std::function<const maintenance::WaveKeeper::Waves&()> waves{};
+    ports::WaveStatusPort* wave_status = nullptr;
+    std::function<const maintenance::WaveManager::Waves&()> waves{};
   };
 
   Coordinator(Dependencies deps, CoordinatorOptions options);
@@ -124,7 +124,8 @@
                 const std::vector<ports::RunningTask>& running,
                 const std::vector<ports::EndedTask>& ended) override;
   void OnReachable(UpstreamIndex upstream, bool reachable) override;
-  void OnEmpty(UpstreamIndex upstream, scheduling::UpstreamLoss why) override;
+  void OnAllRunsEnded(UpstreamIndex upstream,
+                      scheduling::UpstreamLoss why) override;
   void OnStartReply(const scheduling::StartOrder& order,
                     const ports::CallReply& reply) override;
   void OnStopFailed(UpstreamIndex upstream, const TaskId& task,
@@ -133,25 +134,25 @@
 
   maintenance::HostWork WorkOn(const std::string& upstream) override;
   int64_t FreeMillicores() override;
-  void Withhold(const std::set<std::string>& upstreams) override;
+  void SetCordoned(const std::set<std::string>& upstreams) override;
   void EvictTasks(const std::string& upstream, bool all) override;
-  void LifeEnded(const std::string& upstream) override;
+  void OnUpstreamEnded(const std::string& upstream) override;
   bool MayOrder() override { return loaded_ && MayGiveOrders(); }
 
  private:
   /// A job whose record is on its way to the store.
-  struct Arriving {
+  struct PendingSubmission {
     /// Tells this hand-in from an earlier one that was taken back.
     int64_t number = 0;
     std::vector<std::function<void(wire::SubmitJobReply)>> waiters;
   };
   /// An end of a job whose records could not be read when it was told.
-  struct KeptEnd {
+  struct UnmatchedEnd {
     TaskId task;
     int64_t attempt = 0;
     bool failed = false;
   };
-  struct LeftClosed {
+  struct InheritedClosure {
     /// The only jobs that may run something there.
     std::unordered_set<JobId> jobs;
     /// What it may have crashed with.
@@ -165,7 +166,7 @@
     bool ended_here = false;
   };
 
-  void MakeWaveKeeper();
+  void MakeWaveManager();
   void Load(const std::string& after);
   void OnPage(const std::string& after, const ports::NewestPage& page);
   /// `end_offset` is the end of the table when its last page was read.
@@ -178,18 +179,18 @@
   std::string TakeProgress(JobId id, const std::string& value);
   std::string TakeEnd(const ports::KeyedRecord& record);
   /// Puts kept ends into the progress of jobs that can be read again.
-  void MergeEnds();
+  void ApplyUnmatchedEnds();
   /// Keeps an end of a job whose records can't be read.
-  void KeepEnd(const ports::EndedTask& end);
+  void StoreUnmatchedEnd(const ports::EndedTask& end);
   void LoadJobs();
   void ReadList();
   void OnList(const ports::UpstreamListUpdate& update, bool whole);
   void OnEntry(const ports::UpstreamEntry& entry);
   void OnBadEntry(const ports::UpstreamEntry& entry);
   /// Whether the configuration or a job names the pool.
-  bool Named(const std::string& pool) const;
+  bool IsPoolReferenced(const std::string& pool) const;
   /// Keeps the upstreams whose pool is named by now.
-  void KeepNamed();
+  void AdoptReferencedUpstreams();
   void KeepUpstream(const ports::UpstreamEntry& entry);
   void OpenLink(const ports::UpstreamEntry& entry);
   /// Stores that nothing new starts there, and what it may run at most.
@@ -202,20 +203,20 @@
   std::optional<std::unordered_set<JobId>> UncertainJobs() const;
   void Tick();
   /// Ends the lives of upstreams that have been silent and unlisted for long.
-  void EndSilentLives();
+  void DropSilentUpstreams();
   void DropUpstream(UpstreamIndex upstream, scheduling::UpstreamLoss why);
   void DropFinalJobs();
   void ExplainWaiting();
 
   /// A reply that is given once: by the returned function, or `late` when the
-  /// store has let the caller wait for `answer_limit`.
+  /// store has let the caller wait for `reply_deadline`.
   template <typename Reply>
-  std::function<void(Reply)> AnswerInTime(std::function<void(Reply)> done,
-                                          Reply late);
+  std::function<void(Reply)> WithReplyDeadline(std::function<void(Reply)> done,
+                                               Reply late);
   JobVerdict VerdictOnUnknownJob() const;
   /// Tells all whose jobs are on their way to the store that it is not known
   /// what becomes of them.
-  void LeaveCallers();
+  void FailPendingCallers();
   void OnJobStored(const wire::JobSpec& spec);
   /// Refuses the jobs that wait for a store that does not answer.
   void RefuseUnsent();
@@ -227,12 +228,12 @@
   bool Knows(JobId id) const;
   /// Answers that there is no such job, once it is sure that this entry still
   /// leads.
-  void DenyJob(JobId id, std::function<void(wire::CancelJobReply)> done);
+  void ReplyNoSuchJob(JobId id, std::function<void(wire::CancelJobReply)> done);
   void LogStop(const scheduling::StopOrder& stop);
   void LogLost(const scheduling::LostRun& run);
   void LogGivenUp(const scheduling::GivenUpTask& task);
   /// Tells of a run that nobody asked for and that is stopped now.
-  void LogUnasked(scheduling::StopOrder stop);
+  void LogOrphanedRun(scheduling::StopOrder stop);
   void PlaceSoon();
   void PlaceNow();
   void SendAdvice(const scheduling::AdviceOrder& order);
@@ -242,7 +243,7 @@
   scheduling::Scheduler scheduler_;
   std::shared_ptr<journal::Journal> journal_;
   /// Null where hosts have no API.
-  std::shared_ptr<maintenance::WaveKeeper> waves_;
+  std::shared_ptr<maintenance::WaveManager> waves_;
   AdviceLanes lanes_;
   bool closed_ = false;
   bool loaded_ = false;
@@ -253,17 +254,17 @@
   /// Upstreams that ended with their hosts' upkeep; the list may name them for
   /// some seconds still.
   std::set<std::string> ended_;
-  std::unordered_map<JobId, Arriving> arriving_;
-  int64_t hand_ins_ = 0;
+  std::unordered_map<JobId, PendingSubmission> pending_submissions_;
+  int64_t submissions_ = 0;
   std::unordered_map<JobId, FinalJob> finals_;
   /// While loading: records whose partner has not come yet.
   std::unordered_map<JobId, wire::JobSpec> loaded_specs_;
   std::unordered_map<JobId, wire::ProgressRecord> loaded_progress_;
-  std::unordered_map<JobId, std::vector<KeptEnd>> loaded_ends_;
-  std::vector<ports::UpstreamEntry> roster_;
+  std::unordered_map<JobId, std::vector<UnmatchedEnd>> unmatched_ends_;
+  std::vector<ports::UpstreamEntry> loaded_upstreams_;
   /// Closed upstreams as an earlier leader left them, until they have told what
   /// they run.
-  std::map<std::string, LeftClosed> left_closed_;
+  std::map<std::string, InheritedClosure> inherited_closures_;
   /// How often each was closed, so that a reopening can be overtaken.
   std::map<UpstreamIndex, int64_t> closings_;
   /// Jobs that still waited for an upstream when that was last looked at.
@@ -274,7 +275,7 @@
   /// Pools that jobs name; the configuration may not name them any more.
   std::set<std::string> job_pools_;
   /// Listed upstreams of pools that nothing names: nobody calls them.
-  std::map<std::string, ports::UpstreamEntry> unnamed_;
+  std::map<std::string, ports::UpstreamEntry> unreferenced_upstreams_;
   /// Before this, an upstream whose record can't be read may run tasks.
   TimePoint resolved_after_{};
   int64_t list_cursor_ = -1;
--- a/src/coordinator/job_verdicts.h
+++ b/src/coordinator/job_verdicts.h
@@ -19,7 +19,7 @@
   /// The entry asked does not lead, or has not loaded the jobs yet.
   kNotLeading = 4,
   /// Refused since the leader cannot reach the store; nothing was done.
-  kStoreAway = 5,
+  kStoreUnavailable = 5,
   /// The job is stored in a form that this version does not read: it is neither
   /// run nor refused here, and the same call again finds out no more.
   kUnreadable = 6,
@@ -31,7 +31,7 @@
     EnumName{JobVerdict::kUnknown, "unknown"},
     EnumName{JobVerdict::kNoSuchJob, "no such job"},
     EnumName{JobVerdict::kNotLeading, "not leading"},
-    EnumName{JobVerdict::kStoreAway, "store away"},
+    EnumName{JobVerdict::kStoreUnavailable, "store away"},
     EnumName{JobVerdict::kUnreadable, "record not readable"},
 }};
 
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -68,7 +68,7 @@
 void Coordinator::LoadRecord(const ports::KeyedRecord& record) {
   const std::string cause = TakeRecord(record);
   if (cause.empty()) return;
-  deps_.faults.Tell(faults::EntrySource::kJobs, record.key, cause);
+  deps_.bad_records.Report(faults::RecordSource::kJobs, record.key, cause);
   // A job whose record can't be read is one all the same: handed in again as if
   // it were new, it would overwrite that record and run a second time.
   const bool of_job = !record.key.empty() && (record.key[0] == kSpecPrefix ||
@@ -78,7 +78,7 @@
 }
 
 std::string Coordinator::TakeRecord(const ports::KeyedRecord& record) {
-  if (!record.fault.empty()) return record.fault;
+  if (!record.decode_error.empty()) return record.decode_error;
   if (record.value.empty()) return {};
   if (record.key.empty()) return "no key";
   const char kind = record.key[0];
@@ -100,23 +100,23 @@
   const auto upstream = rpc::Decode<wire::UpstreamRecord>(record.value);
   if (upstream.ok() && record.key.substr(1) == upstream.value().id &&
       !upstream.value().id.empty() && !upstream.value().address.empty()) {
-    roster_.push_back(FromRecord(upstream.value()));
+    loaded_upstreams_.push_back(FromRecord(upstream.value()));
     if (upstream.value().closed) {
-      LeftClosed& left = left_closed_[upstream.value().id];
+      InheritedClosure& left = inherited_closures_[upstream.value().id];
       for (const int64_t id : upstream.value().jobs) {
         left.jobs.insert(static_cast<JobId>(id));
       }
       left.runs = RunsFromRecord(upstream.value());
       if (left.runs.size() != upstream.value().runs.size()) {
-        deps_.faults.Tell(faults::EntrySource::kJobs, record.key,
-                          "names runs that are none");
+        deps_.bad_records.Report(faults::RecordSource::kJobs, record.key,
+                                 "names runs that are none");
       }
     }
     return {};
   }
   // It may run something of ours, and only the end of its leases is certain.
-  resolved_after_ = deps_.executor.Now() + options_.earlier_leader +
-                    fleet::LongestLease(options_.lease);
+  resolved_after_ = deps_.executor.Now() + options_.previous_leader_timeout +
+                    fleet::MaxLeaseDuration(options_.lease);
   return "does not decode";
 }
 
@@ -151,14 +151,14 @@
   int64_t attempt = 0;
   std::from_chars(digits.data(), digits.data() + digits.size(), attempt);
   if (!task || attempt < 1) return "names no attempt of a task";
-  loaded_ends_[task->job].push_back(
+  unmatched_ends_[task->job].push_back(
       {.task = *task,
        .attempt = attempt,
        .failed = !kept.value().failed_attempts.empty()});
   return {};
 }
 
-void Coordinator::KeepEnd(const ports::EndedTask& end) {
+void Coordinator::StoreUnmatchedEnd(const ports::EndedTask& end) {
   const bool failed = end.kind == ports::EndKind::kFailed;
   if (unreadable_.count(end.task.job) == 0) return;
   if (!failed && end.kind != ports::EndKind::kDone) return;
@@ -170,14 +170,14 @@
   journal_->Put(EndKey(end.task, end.attempt), rpc::Encode(record));
 }
 
-void Coordinator::MergeEnds() {
+void Coordinator::ApplyUnmatchedEnds() {
   std::vector<std::string> merged;
-  for (const auto& [id, ends] : std::exchange(loaded_ends_, {})) {
+  for (const auto& [id, ends] : std::exchange(unmatched_ends_, {})) {
     const auto spec = loaded_specs_.find(id);
     if (spec == loaded_specs_.end() || unreadable_.count(id) > 0) continue;
     Job job(spec->second);
     job.Restore(loaded_progress_[id]);
-    for (const KeptEnd& end : ends) {
+    for (const UnmatchedEnd& end : ends) {
       merged.push_back(EndKey(end.task, end.attempt));
       if (!job.Has(end.task)) continue;
       ApplyKeptEnd(job, end.task, end.attempt, end.failed);
@@ -202,11 +202,11 @@
     Findings findings;
     CheckProgressOf(spec, progress->second, findings);
     if (findings.empty()) continue;
-    deps_.faults.Tell(faults::EntrySource::kJobs, ProgressKey(id),
-                      findings.ToString());
+    deps_.bad_records.Report(faults::RecordSource::kJobs, ProgressKey(id),
+                             findings.ToString());
     unreadable_.insert(id);
   }
-  MergeEnds();
+  ApplyUnmatchedEnds();
   for (const auto& [id, progress] : loaded_progress_) {
     const auto state = static_cast<JobState>(progress.state);
     if (!IsFinal(state)) continue;
@@ -233,13 +233,13 @@
        {"open", Text(static_cast<int64_t>(loaded_specs_.size()))},
        {"final", Text(static_cast<int64_t>(finals_.size()))},
        {"unreadable", Text(static_cast<int64_t>(unreadable_.size()))},
-       {"upstreams", Text(static_cast<int64_t>(roster_.size()))}});
+       {"upstreams", Text(static_cast<int64_t>(loaded_upstreams_.size()))}});
   loaded_specs_.clear();
   loaded_progress_.clear();
   loaded_ = true;
   scheduler_.Tick(now, wall);
-  for (const ports::UpstreamEntry& entry : roster_) OpenLink(entry);
-  roster_.clear();
+  for (const ports::UpstreamEntry& entry : loaded_upstreams_) OpenLink(entry);
+  loaded_upstreams_.clear();
   ReadList();
   if (waves_) waves_->Start();
   Tick();
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -57,10 +57,10 @@
       if (!there) scheduler_.pool().at(index).listed = false;
     }
     list_known_ = true;
-    unnamed_.clear();
+    unreferenced_upstreams_.clear();
   }
   for (const ports::UpstreamEntry& entry : update.entries) OnEntry(entry);
-  KeepNamed();
+  AdoptReferencedUpstreams();
   CheckResolved();
   PlaceSoon();
 }
@@ -68,10 +68,10 @@
 void Coordinator::OnEntry(const ports::UpstreamEntry& entry) {
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
-  if (!entry.fault.empty()) return OnBadEntry(entry);
+  if (!entry.decode_error.empty()) return OnBadEntry(entry);
   if (ended_.count(entry.id) > 0) return;
   if (!entry.listed) {
-    unnamed_.erase(entry.id);
+    unreferenced_upstreams_.erase(entry.id);
     if (known == kNoUpstream) return;
     logging::Event(Level::kInfo, "upstream left the list",
                    {{"upstream", entry.id}});
@@ -90,12 +90,13 @@
     if (!entry.draining && pool.at(known).closed) ReopenUpstream(known);
     return;
   }
-  unnamed_[entry.id] = entry;
+  unreferenced_upstreams_[entry.id] = entry;
 }
 
 void Coordinator::OnBadEntry(const ports::UpstreamEntry& entry) {
-  deps_.faults.Tell(faults::EntrySource::kUpstreamList, entry.id, entry.fault);
-  unnamed_.erase(entry.id);
+  deps_.bad_records.Report(faults::RecordSource::kUpstreamList, entry.id,
+                           entry.decode_error);
+  unreferenced_upstreams_.erase(entry.id);
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
   if (known == kNoUpstream) return;
@@ -107,26 +108,27 @@
   pool.at(known).entry_malformed = true;
 }
 
-bool Coordinator::Named(const std::string& pool) const {
+bool Coordinator::IsPoolReferenced(const std::string& pool) const {
   const std::set<std::string>* pools = deps_.pools();
   return job_pools_.count(pool) > 0 ||
          (pools != nullptr && pools->count(pool) > 0);
 }
 
-void Coordinator::KeepNamed() {
-  for (auto at = unnamed_.begin(); at != unnamed_.end();) {
+void Coordinator::AdoptReferencedUpstreams() {
+  for (auto at = unreferenced_upstreams_.begin();
+       at != unreferenced_upstreams_.end();) {
     const ports::UpstreamEntry& entry = at->second;
-    if (!Named(entry.pool)) {
+    if (!IsPoolReferenced(entry.pool)) {
       // Looked at again with each read of the list: its configuration may come.
       if (deps_.pools() != nullptr) {
-        deps_.faults.Tell(faults::EntrySource::kUpstreamList, entry.id,
-                          "nothing names its pool");
+        deps_.bad_records.Report(faults::RecordSource::kUpstreamList, entry.id,
+                                 "nothing names its pool");
       }
       ++at;
       continue;
     }
     KeepUpstream(entry);
-    at = unnamed_.erase(at);
+    at = unreferenced_upstreams_.erase(at);
   }
 }
 
@@ -142,10 +144,11 @@
   const UpstreamIndex index =
       scheduler_.pool().Update(entry, deps_.executor.Now());
   scheduler_.pool().at(index).listed = entry.listed;
-  const auto left = left_closed_.find(entry.id);
-  if (left != left_closed_.end()) scheduler_.pool().at(index).closed = true;
+  const auto left = inherited_closures_.find(entry.id);
+  if (left != inherited_closures_.end())
+    scheduler_.pool().at(index).closed = true;
   if (links_.count(index) > 0) return;
-  if (left != left_closed_.end()) {
+  if (left != inherited_closures_.end()) {
     scheduler_.pool().at(index).suspect_runs = left->second.runs;
   }
   auto link = std::make_shared<fleet::UpstreamLink>(
@@ -155,7 +158,7 @@
           .target = {.address = entry.address, .id = entry.id},
           .first_fence = next_fence_,
           .lease = options_.lease,
-          .earlier_holder = options_.earlier_leader});
+          .previous_holder_timeout = options_.previous_leader_timeout});
   links_[index] = link;
   journal_->WhenStored([weak = weak_from_this(), link](bool stored) {
     const auto self = weak.lock();
@@ -171,7 +174,7 @@
   // Before it has answered in this term an earlier leader could still start
   // something there.
   const auto link = links_.find(upstream);
-  if (link == links_.end() || !link->second->settled()) return;
+  if (link == links_.end() || !link->second->reconciled()) return;
   scheduling::Upstream& it = scheduler_.pool().at(upstream);
   it.closed = true;
   ++closings_[upstream];
@@ -216,9 +219,10 @@
 std::optional<std::unordered_set<JobId>> Coordinator::UncertainJobs() const {
   std::unordered_set<JobId> out;
   for (const auto& [index, link] : links_) {
-    if (link->settled()) continue;
-    const auto left = left_closed_.find(scheduler_.pool().at(index).entry.id);
-    if (left == left_closed_.end()) return std::nullopt;
+    if (link->reconciled()) continue;
+    const auto left =
+        inherited_closures_.find(scheduler_.pool().at(index).entry.id);
+    if (left == inherited_closures_.end()) return std::nullopt;
     out.insert(left->second.jobs.begin(), left->second.jobs.end());
   }
   return out;
@@ -260,7 +264,7 @@
            {"upstream", scheduler_.pool().at(upstream).entry.id},
            {"how", std::string(ports::kEndKindNames.Name(end.kind))}});
     }
-    KeepEnd(end);
+    StoreUnmatchedEnd(end);
     scheduler_.OnEnd(upstream, end, now, orders);
   }
   scheduler_.OnRunning(upstream, running, now, orders);
@@ -272,7 +276,7 @@
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
     const auto link = self->links_.find(upstream);
-    if (link != self->links_.end()) link->second->EndsSafe(last);
+    if (link != self->links_.end()) link->second->AcknowledgeEnds(last);
   });
 }
 
@@ -283,14 +287,14 @@
     if (!it.closed) CloseUpstream(upstream);
     return;
   }
-  left_closed_.erase(it.entry.id);
+  inherited_closures_.erase(it.entry.id);
   if (it.entry.draining && !it.closed) CloseUpstream(upstream);
   if (!it.entry.draining && it.closed) ReopenUpstream(upstream);
   CheckResolved();
   PlaceSoon();
 }
 
-void Coordinator::OnEmpty(UpstreamIndex upstream, UpstreamLoss why) {
+void Coordinator::OnAllRunsEnded(UpstreamIndex upstream, UpstreamLoss why) {
   if (why == UpstreamLoss::kCrashed &&
       scheduler_.pool().at(upstream).entry.draining) {
     why = UpstreamLoss::kLeft;
@@ -324,16 +328,17 @@
   scheduler_.pool().Remove(upstream);
 }
 
-void Coordinator::EndSilentLives() {
+void Coordinator::DropSilentUpstreams() {
   const TimePoint now = deps_.executor.Now();
   std::vector<UpstreamIndex> over;
   for (const auto& [index, link] : links_) {
     const scheduling::Upstream& it = scheduler_.pool().at(index);
-    if (it.listed || !link->emptied()) continue;
+    if (it.listed || !link->all_runs_ended()) continue;
     const TimePoint since = it.silent_since.value_or(it.known_since);
-    if (now - since >= options_.silent_is_over) over.push_back(index);
+    if (now - since >= options_.dead_upstream_timeout) over.push_back(index);
   }
-  for (const UpstreamIndex index : over) OnEmpty(index, UpstreamLoss::kCrashed);
+  for (const UpstreamIndex index : over)
+    OnAllRunsEnded(index, UpstreamLoss::kCrashed);
 }
 
 void Coordinator::OnStartReply(const scheduling::StartOrder& order,
@@ -359,8 +364,8 @@
 }
 
 void Coordinator::OnFenced(UpstreamIndex upstream) {
-  deps_.deposed("a higher fence at upstream " +
-                scheduler_.pool().at(upstream).entry.id);
+  deps_.on_leadership_lost("a higher fence at upstream " +
+                           scheduler_.pool().at(upstream).entry.id);
 }
 
 maintenance::HostWork Coordinator::WorkOn(const std::string& upstream) {
@@ -369,10 +374,11 @@
   const scheduling::Upstream& it = scheduler_.pool().at(index);
   const auto work = scheduler_.WorkOn(index, deps_.executor.Now());
   const auto link = links_.find(index);
-  const bool noted = link != links_.end() && link->second->all_ends_noted();
+  const bool noted =
+      link != links_.end() && link->second->all_ends_acknowledged();
   return {.known = it.listed && it.reachable && scheduler_.resolved() && noted,
           .tasks = work.tasks,
-          .bound_tasks = work.bound_tasks,
+          .budgeted_tasks = work.budgeted_tasks,
           .drained_in = work.drained_in,
           .millicores = work.millicores};
 }
@@ -387,7 +393,7 @@
   return free;
 }
 
-void Coordinator::Withhold(const std::set<std::string>& upstreams) {
+void Coordinator::SetCordoned(const std::set<std::string>& upstreams) {
   scheduling::UpstreamPool& pool = scheduler_.pool();
   for (const UpstreamIndex index : pool.all()) {
     pool.at(index).cordoned = upstreams.count(pool.at(index).entry.id) > 0;
@@ -403,11 +409,11 @@
   Pump(orders);
 }
 
-void Coordinator::LifeEnded(const std::string& upstream) {
+void Coordinator::OnUpstreamEnded(const std::string& upstream) {
   const UpstreamIndex index = scheduler_.pool().Find(upstream);
   ended_.insert(upstream);
   if (index != kNoUpstream && links_.count(index) > 0) {
-    OnEmpty(index, UpstreamLoss::kMaintenance);
+    OnAllRunsEnded(index, UpstreamLoss::kMaintenance);
   }
 }
 
--- a/src/fleet/answer_time.cc
+++ b/src/fleet/adaptive_timeout.cc
@@ -1,4 +1,4 @@
-#include "src/fleet/answer_time.h"
+#include "src/fleet/adaptive_timeout.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,11 +12,11 @@
 constexpr double kDeviationGain = 1.0 / 4;
 constexpr double kDeviations = 4;
 /// More doublings than from the least to the most limit that anybody sets.
-constexpr int kMostMisses = 10;
+constexpr int kMaxMisses = 10;
 
 }  // namespace
 
-void AnswerTime::Note(Clock::duration took) {
+void AdaptiveTimeout::AddSample(Clock::duration took) {
   const Seconds sample = took;
   misses_ = 0;
   if (!std::exchange(known_, true)) {
@@ -29,9 +29,11 @@
   usual_ += kUsualGain * (sample - usual_);
 }
 
-void AnswerTime::Missed() { misses_ = std::min(misses_ + 1, kMostMisses); }
+void AdaptiveTimeout::AddTimeout() {
+  misses_ = std::min(misses_ + 1, kMaxMisses);
+}
 
-Millis AnswerTime::limit() const {
+Millis AdaptiveTimeout::limit() const {
   if (!known_) return most_;
   const auto expected =
       std::chrono::ceil<Millis>(usual_ + kDeviations * deviation_);
--- a/src/fleet/answer_time.h
+++ b/src/fleet/adaptive_timeout.h
@@ -13,16 +13,16 @@
 /// spare, which a fixed limit of 0.7 s used up. While 3.5 % of the orders went
 /// unanswered, 228 of 2,958 requests were served late and 1 too late, instead
 /// of 379 and 8.
-class AnswerTime {
+class AdaptiveTimeout {
  public:
   /// Preconditions: 0 < least <= most.
-  AnswerTime(Millis least, Millis most) : least_(least), most_(most) {}
+  AdaptiveTimeout(Millis least, Millis most) : least_(least), most_(most) {}
 
   /// A call was answered after this long.
-  void Note(Clock::duration took);
+  void AddSample(Clock::duration took);
   /// A call was not answered within the limit. The limit doubles until one is:
   /// an upstream that has become slow would otherwise never be heard in time.
-  void Missed();
+  void AddTimeout();
   Millis limit() const;
 
  private:
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Millis LongestLease(Millis lease) {
+Millis MaxLeaseDuration(Millis lease) {
   return Millis(static_cast<int64_t>(static_cast<double>(lease.count()) *
                                      kSlowestClock)) +
          kLeaseSlack;
@@ -38,13 +38,13 @@
       events_(events),
       options_(std::move(options)),
       fence_(options_.first_fence),
-      answer_time_(options_.least_timeout, options_.most_timeout) {}
+      adaptive_timeout_(options_.min_timeout, options_.max_timeout) {}
 
 void UpstreamLink::Open() {
   // An earlier holder that was cut off from all else may have renewed leases
   // here, as long as ours, until it lost its trust in itself.
-  leases_end_ =
-      executor_.Now() + options_.earlier_holder + LongestLease(options_.lease);
+  leases_end_ = executor_.Now() + options_.previous_holder_timeout +
+                MaxLeaseDuration(options_.lease);
   Renew(Millis(0));
   CheckLeases();
 }
@@ -88,44 +88,45 @@
   // with a lease in each of these calls its tasks would never count as ended.
   const bool extend = clock_ms_ > 0 && failures_ < kUnreachableAfter;
   if (extend) {
-    leases_end_ = std::max(leases_end_, sent + LongestLease(options_.lease));
+    leases_end_ =
+        std::max(leases_end_, sent + MaxLeaseDuration(options_.lease));
   }
-  const bool unsafe_ends = ends_safe_ < ends_reported_;
+  const bool unsafe_ends = ends_durable_ < ends_reported_;
   const Millis waits = unsafe_ends ? Millis(0) : wait;
   const int64_t fence = fence_;
   const int64_t number = ++renewals_;
   tasks_.Renew(options_.target,
                {.fence = fence,
-                .ends_seen = ends_safe_,
+                .acked_ends = ends_durable_,
                 .lease_until_ms = extend ? LeaseUntil() : 0,
                 .wait = waits},
-               answer_time_.limit() + waits,
+               adaptive_timeout_.limit() + waits,
                [weak = weak_from_this(), number, fence, sent, waits,
-                ends_seen = ends_safe_](const ports::RenewReply& reply) {
+                acked_ends = ends_durable_](const ports::RenewReply& reply) {
                  const auto self = weak.lock();
                  if (!self || self->closed_) return;
                  // One that waited for an end says nothing of a round trip.
                  if (waits == Millis(0)) {
-                   self->NoteAnswer(sent, reply.call.verdict);
+                   self->RecordReply(sent, reply.call.verdict);
                  }
-                 self->OnRenewReply(number, fence, ends_seen, reply);
+                 self->OnRenewReply(number, fence, acked_ends, reply);
                });
 }
 
 void UpstreamLink::OnRenewReply(int64_t number, int64_t fence,
-                                int64_t ends_seen,
+                                int64_t acked_ends,
                                 const ports::RenewReply& reply) {
   --outstanding_;
   switch (reply.call.verdict) {
     case CallVerdict::kDone:
       break;
-    case CallVerdict::kGone:
+    case CallVerdict::kReplaced:
       logging::Event(logging::Level::kInfo, "upstream gone",
                      {{"upstream", options_.target.id}});
       Close();
-      emptied_ = true;
-      return events_.OnEmpty(options_.index,
-                             scheduling::UpstreamLoss::kCrashed);
+      all_runs_ended_ = true;
+      return events_.OnAllRunsEnded(options_.index,
+                                    scheduling::UpstreamLoss::kCrashed);
     case CallVerdict::kFenced:
       if (fence < fence_) return RenewSoon(Millis(0));
       return events_.OnFenced(options_.index);
@@ -144,13 +145,13 @@
   // After this answer the lease can be named again, and is at once.
   const bool lease_due = clock_ms_ == 0 || failures_ >= kUnreachableAfter;
   failures_ = 0;
-  ends_noted_ = std::max(ends_noted_, ends_seen);
+  ends_acknowledged_ = std::max(ends_acknowledged_, acked_ends);
   NoteClock(reply.call.clock_ms);
-  emptied_ = false;
+  all_runs_ended_ = false;
   // With a part of the ends only, a run that is in neither list may have ended:
   // taken for never started, it would run a second time.
-  if (!reply.more_ends) inventoried_ = true;
-  SettleDoubts(fence, reply);
+  if (!reply.more_ends) inventory_received_ = true;
+  ResolveStarts(fence, reply);
   std::vector<ports::EndedTask> fresh;
   for (const ports::EndedTask& end : reply.ended) {
     if (end.number > ends_reported_) fresh.push_back(end);
@@ -160,7 +161,7 @@
   if (closed_) return;
   SetReachable(true);
   if (lease_due) return Renew(Millis(0));
-  const bool unsafe_ends = ends_safe_ < ends_reported_;
+  const bool unsafe_ends = ends_durable_ < ends_reported_;
   // With ends that are not safe yet the answer would come at once again.
   RenewSoon(unsafe_ends ? kRenewWithoutStore : options_.gap);
 }
@@ -184,12 +185,13 @@
 void UpstreamLink::CheckLeases() {
   if (closed_) return;
   const TimePoint now = executor_.Now();
-  if (!reachable_ && now > leases_end_ && !emptied_) {
+  if (!reachable_ && now > leases_end_ && !all_runs_ended_) {
     logging::Event(logging::Level::kWarning, "leases have run out",
                    {{"upstream", options_.target.id}});
-    emptied_ = true;
-    doubts_.clear();
-    events_.OnEmpty(options_.index, scheduling::UpstreamLoss::kLeasesExpired);
+    all_runs_ended_ = true;
+    unresolved_starts_.clear();
+    events_.OnAllRunsEnded(options_.index,
+                           scheduling::UpstreamLoss::kLeasesExpired);
   }
   constexpr Millis kCheck{100};
   executor_.RunAfter(kCheck, [weak = weak_from_this()] {
@@ -197,10 +199,10 @@
   });
 }
 
-void UpstreamLink::EndsSafe(int64_t number) {
-  if (number <= ends_safe_) return;
-  ends_safe_ = number;
-  if (ends_safe_ < ends_reported_ || closed_) return;
+void UpstreamLink::AcknowledgeEnds(int64_t number) {
+  if (number <= ends_durable_) return;
+  ends_durable_ = number;
+  if (ends_durable_ < ends_reported_ || closed_) return;
   // The renewal that waited for this goes out now.
   renewal_due_ = false;
   RenewSoon(options_.gap);
@@ -212,7 +214,7 @@
         order, {.verdict = CallVerdict::kNotSent, .detail = "not reachable"});
   }
   leases_end_ =
-      std::max(leases_end_, executor_.Now() + LongestLease(options_.lease));
+      std::max(leases_end_, executor_.Now() + MaxLeaseDuration(options_.lease));
   const int64_t fence = fence_;
   tasks_.Start(options_.target,
                {.task = order.task,
@@ -222,20 +224,20 @@
                 .fence = fence,
                 .checkpoint = order.checkpoint,
                 .ticket = order.ticket},
-               answer_time_.limit(),
+               adaptive_timeout_.limit(),
                [weak = weak_from_this(), order, fence,
                 sent = executor_.Now()](const ports::CallReply& reply) {
                  const auto self = weak.lock();
                  if (!self || self->closed_) return;
-                 self->NoteAnswer(sent, reply.verdict);
+                 self->RecordReply(sent, reply.verdict);
                  self->OnStartDone(order, fence, reply);
                });
 }
 
-void UpstreamLink::NoteAnswer(TimePoint sent, CallVerdict verdict) {
-  if (verdict == CallVerdict::kUnknown) return answer_time_.Missed();
+void UpstreamLink::RecordReply(TimePoint sent, CallVerdict verdict) {
+  if (verdict == CallVerdict::kUnknown) return adaptive_timeout_.AddTimeout();
   if (verdict == CallVerdict::kNotSent) return;
-  answer_time_.Note(executor_.Now() - sent);
+  adaptive_timeout_.AddSample(executor_.Now() - sent);
 }
 
 void UpstreamLink::OnStartDone(const scheduling::StartOrder& order,
@@ -254,7 +256,8 @@
                   {"task", TaskIdText(order.task)},
                   {"attempt", std::to_string(order.attempt)},
                   {"cause", reply.detail}});
-  doubts_.insert_or_assign({order.task, order.attempt}, Doubt{order, fence});
+  unresolved_starts_.insert_or_assign({order.task, order.attempt},
+                                      UnresolvedStart{order, fence});
   RaiseFence();
 }
 
@@ -263,9 +266,10 @@
   Renew(Millis(0));
 }
 
-void UpstreamLink::SettleDoubts(int64_t fence, const ports::RenewReply& reply) {
-  for (auto at = doubts_.begin(); at != doubts_.end();) {
-    const Doubt& doubt = at->second;
+void UpstreamLink::ResolveStarts(int64_t fence,
+                                 const ports::RenewReply& reply) {
+  for (auto at = unresolved_starts_.begin(); at != unresolved_starts_.end();) {
+    const UnresolvedStart& doubt = at->second;
     if (doubt.fence >= fence) {
       ++at;
       continue;
@@ -282,7 +286,7 @@
       continue;
     }
     const scheduling::StartOrder order = doubt.order;
-    at = doubts_.erase(at);
+    at = unresolved_starts_.erase(at);
     logging::Event(logging::Level::kInfo, "doubtful start settled",
                    {{"upstream", options_.target.id},
                     {"task", TaskIdText(order.task)},
@@ -298,12 +302,12 @@
   if (!events_.MayGiveOrders()) {
     return events_.OnStopFailed(options_.index, task, attempt);
   }
-  tasks_.Stop(options_.target, task, attempt, fence_, answer_time_.limit(),
+  tasks_.Stop(options_.target, task, attempt, fence_, adaptive_timeout_.limit(),
               [weak = weak_from_this(), task, attempt,
                sent = executor_.Now()](const ports::CallReply& reply) {
                 const auto self = weak.lock();
                 if (!self || self->closed_) return;
-                self->NoteAnswer(sent, reply.verdict);
+                self->RecordReply(sent, reply.verdict);
                 if (reply.verdict == CallVerdict::kDone) return;
                 logging::Event(logging::Level::kInfo, "stop not confirmed",
                                {{"upstream", self->options_.target.id},
--- a/src/fleet/upstream_link.h
+++ b/src/fleet/upstream_link.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "src/fleet/answer_time.h"
+#include "src/fleet/adaptive_timeout.h"
 #include "src/libs/base/executor.h"
 #include "src/ports/task_port.h"
 #include "src/scheduling/scheduler.h"
@@ -24,7 +24,7 @@
   /// tasks of a lost upstream sooner, longer survives longer gaps of control.
   Millis lease{4000};
   /// How long an earlier holder may go on renewing unseen.
-  Millis earlier_holder{2000};
+  Millis previous_holder_timeout{2000};
   /// How long a renewal waits for an end.
   Millis wait{1000};
   /// Least time between two renewals, so that ends that come in a burst share
@@ -34,8 +34,8 @@
   /// between them it follows what the answers took. The least keeps a leader
   /// that is busy for two of its 50 ms ticks from doubting what it has sent;
   /// the most is what a machine that has turned several times slower needs.
-  Millis least_timeout{100};
-  Millis most_timeout{700};
+  Millis min_timeout{100};
+  Millis max_timeout{700};
 };
 
 /// Tokens that one holder may use at one upstream: one more for each start
@@ -43,7 +43,7 @@
 inline constexpr int64_t kFenceSpan = 1000000;
 
 /// The longest that a lease runs by our clock.
-Millis LongestLease(Millis lease);
+Millis MaxLeaseDuration(Millis lease);
 
 /// Told what one upstream says. Control thread only.
 class UpstreamEvents {
@@ -58,8 +58,8 @@
   virtual void OnReachable(UpstreamIndex upstream, bool reachable) = 0;
   /// Nothing that was started there runs any more. Unless it is for its leases
   /// the upstream will never come back under this id.
-  virtual void OnEmpty(UpstreamIndex upstream,
-                       scheduling::UpstreamLoss why) = 0;
+  virtual void OnAllRunsEnded(UpstreamIndex upstream,
+                              scheduling::UpstreamLoss why) = 0;
   virtual void OnStartReply(const scheduling::StartOrder& order,
                             const ports::CallReply& reply) = 0;
   /// A stop was not sent or not answered; the run may go on.
@@ -84,20 +84,22 @@
   void Start(const scheduling::StartOrder& order);
   void Stop(const TaskId& task, int64_t attempt);
   /// Ends up to this number are safe: the upstream may forget them.
-  void EndsSafe(int64_t number);
+  void AcknowledgeEnds(int64_t number);
 
   /// The highest token that it has used.
   int64_t fence() const { return fence_; }
   /// It does not answer, and nothing can run there any more.
-  bool emptied() const { return emptied_; }
+  bool all_runs_ended() const { return all_runs_ended_; }
   /// What runs there is known, or can't be anything any more.
-  bool settled() const { return inventoried_ || emptied_; }
+  bool reconciled() const { return inventory_received_ || all_runs_ended_; }
   /// The upstream has confirmed that it may forget every end that was reported.
   /// Before that an end is lost if the upstream ends, as if it had never been.
-  bool all_ends_noted() const { return ends_noted_ >= ends_reported_; }
+  bool all_ends_acknowledged() const {
+    return ends_acknowledged_ >= ends_reported_;
+  }
 
  private:
-  struct Doubt {
+  struct UnresolvedStart {
     scheduling::StartOrder order;
     /// Token under which it was sent.
     int64_t fence;
@@ -105,15 +107,15 @@
 
   void RenewSoon(Millis delay);
   void Renew(Millis wait);
-  void OnRenewReply(int64_t number, int64_t fence, int64_t ends_seen,
+  void OnRenewReply(int64_t number, int64_t fence, int64_t acked_ends,
                     const ports::RenewReply& reply);
   void OnRenewFailed(const ports::CallReply& reply);
   void OnStartDone(const scheduling::StartOrder& order, int64_t fence,
                    ports::CallReply reply);
   /// Learns from what became of a call that is answered at once.
-  void NoteAnswer(TimePoint sent, ports::CallVerdict verdict);
+  void RecordReply(TimePoint sent, ports::CallVerdict verdict);
   void RaiseFence();
-  void SettleDoubts(int64_t fence, const ports::RenewReply& reply);
+  void ResolveStarts(int64_t fence, const ports::RenewReply& reply);
   void SetReachable(bool reachable);
   void CheckLeases();
   int64_t LeaseUntil() const;
@@ -124,11 +126,11 @@
   UpstreamEvents& events_;
   UpstreamLinkOptions options_;
   int64_t fence_;
-  AnswerTime answer_time_;
+  AdaptiveTimeout adaptive_timeout_;
   bool closed_ = false;
-  bool inventoried_ = false;
+  bool inventory_received_ = false;
   bool reachable_ = false;
-  bool emptied_ = false;
+  bool all_runs_ended_ = false;
   /// Renewals sent, and the newest of them that was answered.
   int64_t renewals_ = 0;
   int64_t newest_answered_ = 0;
@@ -142,9 +144,9 @@
   /// Nothing granted so far can run past this, on our clock.
   TimePoint leases_end_{};
   int64_t ends_reported_ = 0;
-  int64_t ends_safe_ = 0;
-  int64_t ends_noted_ = 0;
-  std::map<std::pair<TaskId, int64_t>, Doubt> doubts_;
+  int64_t ends_durable_ = 0;
+  int64_t ends_acknowledged_ = 0;
+  std::map<std::pair<TaskId, int64_t>, UnresolvedStart> unresolved_starts_;
 };
 
 }  // namespace mimosarail::fleet
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -103,17 +103,18 @@
     : deps_(deps),
       options_(std::move(options)),
       waiting_(deps_.executor),
-      faults_(deps_.metrics),
-      config_(deps_.executor, deps_.config, faults_, options_.config, [] {}),
+      bad_records_(deps_.metrics),
+      config_(deps_.executor, deps_.config, bad_records_, options_.config,
+              [] {}),
       leadership_(
-          deps_.executor, deps_.store, deps_.peers, faults_,
+          deps_.executor, deps_.store, deps_.peers, bad_records_,
           options_.leadership,
-          {.on_elected = [this](int64_t term) { Lead(term); },
-           .on_leadership_lost = [this] { Lost(); },
+          {.on_elected = [this](int64_t term) { OnElected(term); },
+           .on_leadership_lost = [this] { OnLeadershipLost(); },
            .on_leader_ready = [this] { waiting_.ReleaseAll(); },
            .on_heartbeat_reply =
                [this](const wire::HeartbeatReply& hello) {
-                 heard_ = deps_.executor.Now();
+                 last_leader_reply_ = deps_.executor.Now();
                  // A leader that cannot reach the store may be behind; it is
                  // no source for an entry that knows nothing itself.
                  const bool fresh = hello.store_reachable || config_.known();
@@ -142,10 +143,10 @@
   RunEvery(deps_.executor, kLanesPeriod, [this] { RefreshLanes(); });
 }
 
-void JobEntry::Lead(int64_t term) {
+void JobEntry::OnElected(int64_t term) {
   options_.coordinator.term = term;
   options_.coordinator.holder = options_.leadership.member.name;
-  using Waves = maintenance::WaveKeeper::Waves;
+  using Waves = maintenance::WaveManager::Waves;
   const std::function<const Waves&()> waves = [this]() -> const Waves& {
     return config_.waves();
   };
@@ -157,20 +158,20 @@
           .tasks = deps_.tasks,
           .advice = *this,
           .metrics = deps_.metrics,
-          .faults = faults_,
+          .bad_records = bad_records_,
           .pools = [this] { return KnownPools(); },
           .lease_valid = [this] { return leadership_.lease_valid(); },
           .lease_confirmed_by_store =
               [this] { return leadership_.lease_confirmed_by_store(); },
           .loaded = [this] { leadership_.MarkReady(); },
-          .deposed =
+          .on_leadership_lost =
               [this](const std::string& cause) {
                 // Never inside a call of the coordinator itself.
                 deps_.executor.Post(
                     [this, cause] { leadership_.StepDown(cause); });
               },
           .hosts = deps_.hosts,
-          .wave_board = deps_.wave_board,
+          .wave_status = deps_.wave_status,
           .waves = waves},
       options_.coordinator);
   coordinator_->Start();
@@ -181,7 +182,7 @@
   return config_.known() ? &config_.config().pools : nullptr;
 }
 
-void JobEntry::Lost() {
+void JobEntry::OnLeadershipLost() {
   if (!coordinator_) return;
   coordinator_->Close();
   coordinator_.reset();
@@ -198,14 +199,15 @@
 
 void JobEntry::BeginShutdown() {
   closing_ = true;
-  last_answers_ = deps_.executor.Now() + options_.last_answer;
+  shutdown_reply_deadline_ =
+      deps_.executor.Now() + options_.shutdown_reply_deadline;
   leadership_.Resign();
 }
 
 bool JobEntry::Ready() {
   if (closing_ || !config_.known()) return false;
   if (coordinator_) return coordinator_->loaded();
-  return deps_.executor.Now() - heard_ < kReadySilence;
+  return deps_.executor.Now() - last_leader_reply_ < kReadySilence;
 }
 
 Route JobEntry::Find(const std::string& host, const std::string& path) {
@@ -219,7 +221,7 @@
     longest = queue.prefix.size();
     out.kind = RouteKind::kFound;
     out.queue = queue.policy;
-    out.rest = path.substr(longest);
+    out.path_suffix = path.substr(longest);
   }
   return out;
 }
@@ -230,15 +232,15 @@
   // A call that may have taken effect somewhere can't be refused any more: it
   // is worth settling for as long as its caller waits.
   // A stopping entry must not take an unanswered call along.
-  const TimePoint deadline =
-      std::min(call->doubtful ? call->limit : call->deadline, last_answers_);
+  const TimePoint deadline = std::min(
+      call->doubtful ? call->limit : call->deadline, shutdown_reply_deadline_);
   const auto left = std::chrono::duration_cast<Millis>(deadline - now);
   if (left <= Millis(0)) {
     logging::Event(Level::kWarning, "no answer from a leader",
                    {{"call", call->what},
                     {"term", std::to_string(leadership_.term())},
                     {"leader", leadership_.leader().name},
-                    {"leader_heard_ms", HeardAge()},
+                    {"leader_heard_ms", LeaderHeartbeatAge()},
                     {"tries", std::to_string(call->tries)},
                     {"last_try", call->last_try},
                     {"stopping", closing_ ? "yes" : "no"},
@@ -260,13 +262,13 @@
     JobAnswer out = ToAnswer(reply);
     call->last_try = coordinator::kJobVerdictNames.Name(out.verdict);
     if (out.verdict == JobVerdict::kNotLeading) return again();
-    if (out.verdict == JobVerdict::kStoreAway) {
+    if (out.verdict == JobVerdict::kStoreUnavailable) {
       // The store turns the leader away and serves this entry: somebody who can
       // write takes over within a second, and then the job is taken. Where the
       // store is away for all, waiting would help nobody.
       // A call in doubt is worth settling for as long as its caller waits.
       if (call->doubtful) return later();
-      return LookAtStore([later, call, out](bool served) {
+      return CheckStore([later, call, out](bool served) {
         if (served) return later();
         call->done(
             {.verdict = JobVerdict::kRefused, .retry_after = out.retry_after});
@@ -311,30 +313,31 @@
               });
 }
 
-std::string JobEntry::HeardAge() const {
-  if (heard_ == TimePoint{}) return "never";
-  const auto age = deps_.executor.Now() - heard_;
+std::string JobEntry::LeaderHeartbeatAge() const {
+  if (last_leader_reply_ == TimePoint{}) return "never";
+  const auto age = deps_.executor.Now() - last_leader_reply_;
   return std::to_string(std::chrono::duration_cast<Millis>(age).count());
 }
 
-void JobEntry::LookAtStore(std::function<void(bool served)> done) {
+void JobEntry::CheckStore(std::function<void(bool served)> done) {
   const bool fresh =
-      deps_.executor.Now() - store_looked_ < options_.store_look_age;
+      deps_.executor.Now() - store_checked_at_ < options_.store_check_max_age;
   // A store known to be away is looked at again, but nobody waits for that.
   if (fresh || !store_serves_) done(store_serves_);
   if (fresh) return;
-  if (store_serves_) store_lookers_.push_back(std::move(done));
-  if (std::exchange(store_looking_, true)) return;
+  if (store_serves_) store_check_waiters_.push_back(std::move(done));
+  if (std::exchange(store_check_running_, true)) return;
   deps_.store.ReadNewest(
-      options_.leadership.table, "", options_.store_look_timeout,
+      options_.leadership.table, "", options_.store_check_timeout,
       [this](const Result<ports::NewestPage>& page) {
-        store_looking_ = false;
+        store_check_running_ = false;
         store_serves_ = page.ok();
-        store_looked_ = deps_.executor.Now();
-        logging::Event(Level::kInfo, "store looked at",
-                       {{"serves", page.ok() ? "yes" : "no"},
-                        {"waiting", std::to_string(store_lookers_.size())}});
-        for (const auto& waiting : std::exchange(store_lookers_, {})) {
+        store_checked_at_ = deps_.executor.Now();
+        logging::Event(
+            Level::kInfo, "store looked at",
+            {{"serves", page.ok() ? "yes" : "no"},
+             {"waiting", std::to_string(store_check_waiters_.size())}});
+        for (const auto& waiting : std::exchange(store_check_waiters_, {})) {
           waiting(store_serves_);
         }
       });
@@ -347,7 +350,8 @@
   auto call = std::make_shared<Forwarded<wire::SubmitJobReply>>();
   call->what = "submit " + JobIdText(id);
   call->limit = deps_.executor.Now() + limit;
-  call->deadline = deps_.executor.Now() + std::min(limit, options_.patience);
+  call->deadline =
+      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
   call->here = [this, message](auto reply) { OnSubmit(*message, reply); };
   call->there = [this, message](const std::string& address, Millis timeout,
                                 auto reply) {
@@ -368,7 +372,8 @@
   call->read_only = true;
   call->what = "state " + JobIdText(id);
   call->limit = deps_.executor.Now() + limit;
-  call->deadline = deps_.executor.Now() + std::min(limit, options_.patience);
+  call->deadline =
+      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
   call->here = [this, message](auto reply) { OnState(message, reply); };
   call->there = [this, message](const std::string& address, Millis timeout,
                                 auto reply) {
@@ -397,7 +402,8 @@
   auto call = std::make_shared<Forwarded<wire::CancelJobReply>>();
   call->what = "cancel " + JobIdText(id);
   call->limit = deps_.executor.Now() + limit;
-  call->deadline = deps_.executor.Now() + std::min(limit, options_.patience);
+  call->deadline =
+      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
   call->here = [this, message](auto reply) { OnCancel(message, reply); };
   call->there = [this, message](const std::string& address, Millis timeout,
                                 auto reply) {
@@ -414,7 +420,8 @@
   call->read_only = true;
   call->what = "pending " + queue;
   call->limit = deps_.executor.Now() + limit;
-  call->deadline = deps_.executor.Now() + std::min(limit, options_.patience);
+  call->deadline =
+      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
   call->here = [this, message](auto reply) { OnPending(message, reply); };
   call->there = [this, message](const std::string& address, Millis timeout,
                                 auto reply) {
@@ -458,9 +465,9 @@
   CheckStoredJob(call.job, findings);
   if (!findings.empty()) {
     // The entry that took the job has checked it; another version may not have.
-    faults_.Tell(faults::EntrySource::kPeer,
-                 JobIdText(static_cast<JobId>(call.job.id)),
-                 findings.ToString());
+    bad_records_.Report(faults::RecordSource::kPeer,
+                        JobIdText(static_cast<JobId>(call.job.id)),
+                        findings.ToString());
     reply.verdict = static_cast<int32_t>(JobVerdict::kRefused);
     return done(reply);
   }
@@ -501,14 +508,14 @@
                         std::function<void(wire::AdviseReply)> done) {
   // The adviser takes up to a second; the process would be gone by then, and
   // the step would have waited for nothing.
-  if (intake_ended_) return done(ToReply(Errc::kUnavailable));
-  ++open_advice_;
+  if (accepting_stopped_) return done(ToReply(Errc::kUnavailable));
+  ++advice_in_flight_;
   deps_.adviser.Ask(
       {static_cast<JobId>(call.job), call.occurrence, call.step},
       call.upstreams,
       std::clamp(Millis(call.timeout_ms), Millis(0), kLongestAdvice),
       [this, done = std::move(done)](const Result<ports::Advice>& advice) {
-        --open_advice_;
+        --advice_in_flight_;
         done(ToReply(advice));
       });
 }
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -21,18 +21,18 @@
   coordinator::CoordinatorOptions coordinator;
   cellconfig::FollowerOptions config;
   /// Longest that a caller waits for a leader: a takeover takes some 1.2 s.
-  Millis patience{1300};
+  Millis leader_wait_timeout{1300};
   /// Pause between the first two tries to reach the leader.
   Millis retry{50};
   /// Pause before a leader that cannot reach the store is asked again.
   Millis store_retry{150};
   /// What a stopping entry took is answered within this: the platform ends
   /// the process 6 s after it asked for the stop.
-  Millis last_answer{4400};
+  Millis shutdown_reply_deadline{4400};
   /// How long what is known of this entry's own way to the store is believed,
   /// and how long a look at it may take.
-  Millis store_look_age{500};
-  Millis store_look_timeout{450};
+  Millis store_check_max_age{500};
+  Millis store_check_timeout{450};
   /// Limit of one call to the leader.
   Millis call_timeout{1000};
   /// Final states remembered, so that they are told without the leader.
@@ -55,7 +55,7 @@
     metrics::Registry& metrics;
     /// Null where hosts have no API.
     ports::HostPort* hosts = nullptr;
-    ports::WaveBoardPort* wave_board = nullptr;
+    ports::WaveStatusPort* wave_status = nullptr;
   };
 
   JobEntry(Dependencies deps, JobEntryOptions options);
@@ -66,9 +66,9 @@
   void BeginShutdown();
   /// Takes no call for advice of the leader any more; those that were taken are
   /// answered.
-  void EndIntake() { intake_ended_ = true; }
+  void StopAccepting() { accepting_stopped_ = true; }
   /// Calls for advice that were taken and not yet answered.
-  int64_t open_advice() const { return open_advice_; }
+  int64_t advice_in_flight() const { return advice_in_flight_; }
 
   Route Find(const std::string& host, const std::string& path) override;
   void Submit(const wire::JobSpec& spec, Millis limit, JobDone done) override;
@@ -102,36 +102,36 @@
   template <typename Reply>
   struct Forwarded;
 
-  void Lead(int64_t term);
-  void Lost();
+  void OnElected(int64_t term);
+  void OnLeadershipLost();
   void RefreshLanes();
   /// Pools that the configuration names; null while none is known.
   const std::set<std::string>* KnownPools() const;
   void Remember(JobId id, JobState state);
   /// How long ago the leader answered a greeting, in ms, for the log.
-  std::string HeardAge() const;
+  std::string LeaderHeartbeatAge() const;
   /// Runs `done` when it is known whether the store serves this entry.
-  void LookAtStore(std::function<void(bool served)> done);
+  void CheckStore(std::function<void(bool served)> done);
   template <typename Reply>
   void Forward(std::shared_ptr<Forwarded<Reply>> call);
 
   Dependencies deps_;
   JobEntryOptions options_;
   WaitingCalls waiting_;
-  faults::EntryFaults faults_;
+  faults::MalformedRecordReporter bad_records_;
   cellconfig::CellConfigFollower config_;
   leadership::Leadership leadership_;
   std::shared_ptr<coordinator::Coordinator> coordinator_;
   bool closing_ = false;
-  bool intake_ended_ = false;
-  int64_t open_advice_ = 0;
+  bool accepting_stopped_ = false;
+  int64_t advice_in_flight_ = 0;
   /// When a stopping entry gives its last answers.
-  TimePoint last_answers_ = TimePoint::max();
+  TimePoint shutdown_reply_deadline_ = TimePoint::max();
   bool store_serves_ = true;
-  bool store_looking_ = false;
-  TimePoint store_looked_{};
-  std::vector<std::function<void(bool)>> store_lookers_;
-  TimePoint heard_{};
+  bool store_check_running_ = false;
+  TimePoint store_checked_at_{};
+  std::vector<std::function<void(bool)>> store_check_waiters_;
+  TimePoint last_leader_reply_{};
   std::unordered_map<JobId, JobState> final_states_;
   std::deque<JobId> final_order_;
 };
--- a/src/jobentry/job_service.h
+++ b/src/jobentry/job_service.h
@@ -19,7 +19,7 @@
   RouteKind kind = RouteKind::kNoConfig;
   wire::QueuePolicy queue;
   /// What follows the queue's prefix.
-  std::string rest;
+  std::string path_suffix;
 };
 
 struct JobAnswer {
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -32,20 +32,20 @@
   tasks_.resize(tasks_per_occurrence_ * static_cast<size_t>(occurrences_));
   for (int32_t k = 0; k < occurrences_; ++k) {
     for (const wire::StepSpec& step : spec_.steps) {
-      runs_.push_back({.waiting = step.tasks});
+      step_counts_.push_back({.waiting = step.tasks});
     }
   }
-  chain_.resize(spec_.steps.size());
+  critical_path_.resize(spec_.steps.size());
   for (size_t at = spec_.steps.size(); at-- > 0;) {
     Millis after{0};
     for (size_t later = at + 1; later < spec_.steps.size(); ++later) {
       const auto& needs = spec_.steps[later].after;
       if (std::find(needs.begin(), needs.end(), static_cast<int32_t>(at)) !=
           needs.end()) {
-        after = std::max(after, chain_[later]);
+        after = std::max(after, critical_path_[later]);
       }
     }
-    chain_[at] = after + StepTime(spec_.steps[at]);
+    critical_path_[at] = after + StepTime(spec_.steps[at]);
   }
 }
 
@@ -71,7 +71,7 @@
 }
 
 bool Job::StepDone(int32_t occurrence, int32_t step_index) const {
-  return run(occurrence, step_index).done == step(step_index).tasks;
+  return step_counts(occurrence, step_index).done == step(step_index).tasks;
 }
 
 bool Job::StepReady(int32_t occurrence, int32_t step_index) const {
@@ -83,7 +83,7 @@
 
 void Job::SetPhase(const TaskId& id, TaskPhase phase) {
   Task& task = this->task(id);
-  StepRun& run = runs_[RunAt(id.occurrence, id.step)];
+  StepCounts& run = step_counts_[RunAt(id.occurrence, id.step)];
   const auto count = [&](TaskPhase of, int32_t by) {
     if (of == TaskPhase::kWaiting) {
       run.waiting += by;
@@ -144,12 +144,13 @@
   if (state_ == JobState::kQueued) state_ = JobState::kRunning;
 }
 
-Millis Job::ChainFrom(int32_t step_index) const {
-  return chain_[static_cast<size_t>(step_index)];
+Millis Job::CriticalPathFrom(int32_t step_index) const {
+  return critical_path_[static_cast<size_t>(step_index)];
 }
 
 Millis Job::Objective() const {
-  const Millis longest = *std::max_element(chain_.begin(), chain_.end());
+  const Millis longest =
+      *std::max_element(critical_path_.begin(), critical_path_.end());
   return Millis(static_cast<int64_t>(static_cast<double>(longest.count()) *
                                      spec_.queue.slack_factor)) +
          Millis(spec_.queue.target_ms);
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -44,13 +44,13 @@
   UpstreamIndex failed_at = kNoUpstream;
   int32_t percent = 0;
   /// When the percent last moved.
-  TimePoint moved{};
+  TimePoint progressed_at{};
   /// First report of the present run with its percent, from which its pace is
   /// told; unset before it.
-  TimePoint paced_from{};
-  int32_t paced_percent = 0;
+  TimePoint rate_since{};
+  int32_t rate_base_percent = 0;
   /// When its own part of the present run is expected to be over.
-  TimePoint own_end{};
+  TimePoint expected_end{};
   std::string checkpoint;
 
   int32_t failures() const {
@@ -65,7 +65,7 @@
 };
 
 /// Counts of one step of one occurrence.
-struct StepRun {
+struct StepCounts {
   int32_t waiting = 0;
   int32_t active = 0;
   int32_t done = 0;
@@ -97,8 +97,8 @@
   /// Precondition: Has(id).
   Task& task(const TaskId& id) { return tasks_[Flat(id)]; }
   const Task& task(const TaskId& id) const { return tasks_[Flat(id)]; }
-  const StepRun& run(int32_t occurrence, int32_t step) const {
-    return runs_[RunAt(occurrence, step)];
+  const StepCounts& step_counts(int32_t occurrence, int32_t step) const {
+    return step_counts_[RunAt(occurrence, step)];
   }
   /// Tasks of the job that hold room now.
   int32_t active() const { return active_; }
@@ -127,7 +127,7 @@
 
   /// Estimated time from the start of a step to the end of the longest chain
   /// after it, advice included.
-  Millis ChainFrom(int32_t step) const;
+  Millis CriticalPathFrom(int32_t step) const;
   /// The time in which a caller wants the whole job.
   Millis Objective() const;
 
@@ -152,9 +152,9 @@
   std::vector<size_t> first_task_;
   size_t tasks_per_occurrence_ = 0;
   std::vector<Task> tasks_;
-  std::vector<StepRun> runs_;
+  std::vector<StepCounts> step_counts_;
   /// Longest chain from each step on.
-  std::vector<Millis> chain_;
+  std::vector<Millis> critical_path_;
 };
 
 }  // namespace mimosarail
--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -18,7 +18,7 @@
 /// together start within half a second of each other.
 constexpr Millis kFreshDelay{1500};
 
-using faults::EntrySource;
+using faults::RecordSource;
 using logging::Level;
 using logging::Text;
 
@@ -153,15 +153,16 @@
   for (const ports::KeyedRecord& kept : page.records) {
     if (kept.key != kLeaderKey) continue;
     const auto record = rpc::Decode<wire::AnnounceCall>(kept.value);
-    if (!kept.fault.empty() || !record.ok()) {
-      faults_.Tell(EntrySource::kLeaders, kept.key, "does not decode");
+    if (!kept.decode_error.empty() || !record.ok()) {
+      bad_records_.Report(RecordSource::kLeaders, kept.key, "does not decode");
       continue;
     }
     const int64_t term = record.value().term;
     if (term < 1 || term > std::min(kMaxTerm, page.end_offset) ||
         record.value().leader.address.empty()) {
-      faults_.Tell(EntrySource::kLeaders, kept.key,
-                   "names no leader, or a term that nobody can have had");
+      bad_records_.Report(
+          RecordSource::kLeaders, kept.key,
+          "names no leader, or a term that nobody can have had");
       continue;
     }
     out = record.value();
@@ -173,7 +174,7 @@
                        int32_t unstable_terms) {
   store_.Append({.table = options_.table,
                  .records = {{kLeaderKey, Record(term, unstable_terms)}},
-                 .only_at = end_offset},
+                 .expected_end_offset = end_offset},
                 kStoreTimeout,
                 [this, term, unstable_terms,
                  asked = AskedNow()](const ports::AppendReply& reply) {
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -32,19 +32,20 @@
 /// of a leader.
 constexpr Millis kSuspension{200};
 
-using faults::EntrySource;
+using faults::RecordSource;
 using logging::Level;
 using logging::Text;
 
 }  // namespace
 
 Leadership::Leadership(Executor& executor, ports::RecordStorePort& store,
-                       JobPeerPort& peers, faults::EntryFaults& faults,
+                       JobPeerPort& peers,
+                       faults::MalformedRecordReporter& bad_records,
                        LeadershipOptions options, Events events)
     : executor_(executor),
       store_(store),
       peers_(peers),
-      faults_(faults),
+      bad_records_(bad_records),
       options_(std::move(options)),
       events_(std::move(events)) {}
 
@@ -426,7 +427,8 @@
 
 bool Leadership::Plausible(int64_t term, const std::string& peer) {
   if (term >= 0 && term <= kMaxTerm) return true;
-  faults_.Tell(EntrySource::kPeer, peer, "names a term that nobody can have");
+  bad_records_.Report(RecordSource::kPeer, peer,
+                      "names a term that nobody can have");
   return false;
 }
 
@@ -481,7 +483,7 @@
   renewing_ = true;
   store_.Append({.table = options_.table,
                  .records = {{kLeaderKey, Record(term_, unstable_terms_)}},
-                 .only_at = end_offset_},
+                 .expected_end_offset = end_offset_},
                 kStoreTimeout,
                 [this, asked = AskedNow()](const ports::AppendReply& reply) {
                   OnRenew(asked, reply);
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -11,7 +11,7 @@
 #include "src/leadership/job_peer_port.h"
 #include "src/leadership/leader_timeout_votes.h"
 #include "src/leadership/member_list.h"
-#include "src/libs/faults/entry_faults.h"
+#include "src/libs/faults/malformed_record_reporter.h"
 #include "src/ports/record_store_port.h"
 
 namespace mimosarail::leadership {
@@ -87,7 +87,7 @@
 
   /// Everything given outlives it.
   Leadership(Executor& executor, ports::RecordStorePort& store,
-             JobPeerPort& peers, faults::EntryFaults& faults,
+             JobPeerPort& peers, faults::MalformedRecordReporter& bad_records,
              LeadershipOptions options, Events events);
 
   void Start();
@@ -212,7 +212,7 @@
   Executor& executor_;
   ports::RecordStorePort& store_;
   JobPeerPort& peers_;
-  faults::EntryFaults& faults_;
+  faults::MalformedRecordReporter& bad_records_;
   LeadershipOptions options_;
   Events events_;
   Role role_ = Role::kFollowing;
--- a/src/libs/base/findings.h
+++ b/src/libs/base/findings.h
@@ -19,10 +19,10 @@
  public:
   /// Faults that are kept; more tell a reader nothing. A body of 4 MB can hold
   /// 300,000, which made one log line of 12 MB.
-  static constexpr size_t kMostKept = 100;
+  static constexpr size_t kMaxKept = 100;
 
   void Add(std::string place, std::string message) {
-    if (list_.size() == kMostKept) return;
+    if (list_.size() == kMaxKept) return;
     list_.push_back({std::move(place), std::move(message)});
   }
   bool empty() const { return list_.empty(); }
--- a/src/libs/faults/entry_faults.cc
+++ b/src/libs/faults/malformed_record_reporter.cc
@@ -1,20 +1,20 @@
-#include "src/libs/faults/entry_faults.h"
+#include "src/libs/faults/malformed_record_reporter.h"
 
 #include "src/libs/logging/log.h"
 
 namespace mimosarail::faults {
 
-void EntryFaults::Tell(EntrySource source, std::string_view key,
-                       std::string_view cause) {
+void MalformedRecordReporter::Report(RecordSource source, std::string_view key,
+                                     std::string_view cause) {
   const auto [told, fresh] =
-      told_.emplace(source, std::string(key), std::string(cause));
+      reported_.emplace(source, std::string(key), std::string(cause));
   if (!fresh) return;
   order_.push_back(told);
-  if (order_.size() > kMostRemembered) {
-    told_.erase(order_.front());
+  if (order_.size() > kMaxRemembered) {
+    reported_.erase(order_.front());
     order_.pop_front();
   }
-  const std::string of(kEntrySourceNames.Name(source));
+  const std::string of(kRecordSourceNames.Name(source));
   metrics_.Count({.name = "bad_entries", .labels = {{"of", of}}});
   logging::Event(
       logging::Level::kError, "entry not used",
--- a/src/libs/faults/entry_faults.h
+++ b/src/libs/faults/malformed_record_reporter.h
@@ -14,7 +14,7 @@
 namespace mimosarail::faults {
 
 /// What others write and this process reads.
-enum class EntrySource {
+enum class RecordSource {
   kUpstreamList,
   kConfiguration,
   kJobs,
@@ -22,37 +22,39 @@
   kPeer
 };
 
-inline constexpr EnumTable kEntrySourceNames{std::array{
-    EnumName{EntrySource::kUpstreamList, "upstream list"},
-    EnumName{EntrySource::kConfiguration, "configuration"},
-    EnumName{EntrySource::kJobs, "jobs"},
-    EnumName{EntrySource::kLeaders, "leaders"},
-    EnumName{EntrySource::kPeer, "peer"},
+inline constexpr EnumTable kRecordSourceNames{std::array{
+    EnumName{RecordSource::kUpstreamList, "upstream list"},
+    EnumName{RecordSource::kConfiguration, "configuration"},
+    EnumName{RecordSource::kJobs, "jobs"},
+    EnumName{RecordSource::kLeaders, "leaders"},
+    EnumName{RecordSource::kPeer, "peer"},
 }};
 
 /// Tells of entries that cannot be used: one log line and one count in the
 /// metric `bad_entries` for each entry and cause. The same entry is read again
 /// with every poll, every restart of a read and every heartbeat of its writer,
 /// some four times a second. Not thread-safe.
-class EntryFaults {
+class MalformedRecordReporter {
  public:
   /// The registry outlives it.
-  explicit EntryFaults(metrics::Registry& metrics) : metrics_(metrics) {}
+  explicit MalformedRecordReporter(metrics::Registry& metrics)
+      : metrics_(metrics) {}
 
   /// `key` may hold any bytes.
-  void Tell(EntrySource source, std::string_view key, std::string_view cause);
+  void Report(RecordSource source, std::string_view key,
+              std::string_view cause);
 
   /// Entries and causes that are remembered as told, some 200 bytes each. The
   /// oldest is forgotten first, and would be told again.
-  static constexpr size_t kMostRemembered = 2000;
+  static constexpr size_t kMaxRemembered = 2000;
 
  private:
-  using Told = std::tuple<EntrySource, std::string, std::string>;
+  using ReportKey = std::tuple<RecordSource, std::string, std::string>;
 
   metrics::Registry& metrics_;
-  std::set<Told> told_;
+  std::set<ReportKey> reported_;
   /// In the order in which they were told.
-  std::deque<std::set<Told>::iterator> order_;
+  std::deque<std::set<ReportKey>::iterator> order_;
 };
 
 }  // namespace mimosarail::faults
--- a/src/libs/http/server.cc
+++ b/src/libs/http/server.cc
@@ -77,7 +77,7 @@
 
   void AcceptNext();
   void StartSession(tcp::socket socket);
-  void EndIntake();
+  void StopAccepting();
 
   asio::io_context& io;
   ServerOptions options;
@@ -88,7 +88,7 @@
   std::atomic<int64_t> open_requests{0};
   std::atomic<size_t> connections{0};
   /// Thread of `io` only.
-  bool intake_ended = false;
+  bool accepting_stopped = false;
   std::unordered_set<Session*> sessions;
 };
 
@@ -129,9 +129,9 @@
  private:
   void ReadNext() {
     reading_ = true;
-    Arm(parser_.inside_message() ? server_->options.request_timeout
-        : server_->intake_ended  ? kLastRequestGrace
-                                 : server_->options.idle_timeout);
+    Arm(parser_.inside_message()     ? server_->options.request_timeout
+        : server_->accepting_stopped ? kLastRequestGrace
+                                     : server_->options.idle_timeout);
     socket_.async_read_some(
         asio::buffer(buffer_),
         [self = shared_from_this()](std::error_code error, size_t bytes) {
@@ -300,9 +300,9 @@
   std::make_shared<Session>(std::move(socket), shared_from_this())->Start();
 }
 
-void Server::Private::EndIntake() {
+void Server::Private::StopAccepting() {
   closing = true;
-  intake_ended = true;
+  accepting_stopped = true;
   // Callers whose connection the kernel has accepted already are served; those
   // who come after the listener is closed are told at once, and go elsewhere.
   std::error_code error;
@@ -317,7 +317,7 @@
 }
 
 void Server::Private::AcceptNext() {
-  if (intake_ended) return;
+  if (accepting_stopped) return;
   acceptor.async_accept(
       [self = shared_from_this()](std::error_code error, tcp::socket socket) {
         if (error == asio::error::operation_aborted) return;
@@ -363,9 +363,9 @@
 
 void Server::BeginShutdown() { d_->closing = true; }
 
-void Server::EndIntake(std::function<void()> done) {
+void Server::StopAccepting(std::function<void()> done) {
   asio::post(d_->io, [d = d_, done = std::move(done)]() mutable {
-    d->EndIntake();
+    d->StopAccepting();
     // Behind a connection whose accept was queued already: it counts by then.
     asio::post(d->io, std::move(done));
   });
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -54,7 +54,7 @@
   /// under way. Requests that were read, or of which a part has come, are
   /// answered, each connection's last one with its end. `done` runs on the
   /// thread of `io` when further connections are refused. Thread-safe.
-  void EndIntake(std::function<void()> done = [] {});
+  void StopAccepting(std::function<void()> done = [] {});
 
   /// Requests read and not yet answered. Thread-safe.
   int64_t open_requests() const;
--- a/src/libs/metrics/traffic.cc
+++ b/src/libs/metrics/traffic.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 Traffic::Counted& Traffic::Find(std::string_view kind, Direction direction) {
-  Book& book = direction == Direction::kIn ? in_ : out_;
+  Counters& book = direction == Direction::kIn ? in_ : out_;
   const auto found = book.find(kind);
   if (found != book.end()) return found->second;
   const bool full = book.size() >= kMaxKinds;
@@ -44,7 +44,7 @@
 std::vector<Traffic::Row> Traffic::TakeRecent() {
   const std::lock_guard lock(mutex_);
   std::vector<Row> out;
-  const auto take = [&out](Book& book, Direction direction) {
+  const auto take = [&out](Counters& book, Direction direction) {
     for (auto& [kind, counted] : book) {
       const Totals since{counted.so_far.messages - counted.taken.messages,
                          counted.so_far.bytes - counted.taken.bytes};
@@ -60,7 +60,7 @@
   return out;
 }
 
-void ShowTraffic(const Traffic& traffic, Registry& registry) {
+void ExportTraffic(const Traffic& traffic, Registry& registry) {
   for (const Traffic::Row& row : traffic.Rows()) {
     const std::map<std::string, std::string> labels{
         {"message", row.kind}, {"direction", DirectionName(row.direction)}};
--- a/src/libs/metrics/traffic.h
+++ b/src/libs/metrics/traffic.h
@@ -48,18 +48,18 @@
     /// Up to the last TakeRecent().
     Totals taken;
   };
-  using Book = std::map<std::string, Counted, std::less<>>;
+  using Counters = std::map<std::string, Counted, std::less<>>;
 
   /// Precondition: mutex_ is held.
   Counted& Find(std::string_view kind, Direction direction);
 
   mutable std::mutex mutex_;
-  Book in_;
-  Book out_;
+  Counters in_;
+  Counters out_;
 };
 
 /// Sets traffic_bytes and traffic_messages by message and direction.
-void ShowTraffic(const Traffic& traffic, Registry& registry);
+void ExportTraffic(const Traffic& traffic, Registry& registry);
 
 /// "KIND in MESSAGES/BYTES, ..." of the first `most` rows, for a log line.
 std::string DescribeTraffic(const std::vector<Traffic::Row>& rows, size_t most);
--- a/src/maintenance/wave_keeper.cc
+++ b/src/maintenance/wave_manager.cc
@@ -1,4 +1,4 @@
-#include "src/maintenance/wave_keeper.h"
+#include "src/maintenance/wave_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -53,10 +53,10 @@
 
 }  // namespace
 
-WaveKeeper::WaveKeeper(Dependencies deps, WaveKeeperOptions options)
+WaveManager::WaveManager(Dependencies deps, WaveManagerOptions options)
     : deps_(std::move(deps)), options_(std::move(options)) {}
 
-bool WaveKeeper::Load(const ports::KeyedRecord& record) {
+bool WaveManager::Load(const ports::KeyedRecord& record) {
   if (!IsHostKey(record.key)) {
     const auto wave = DecodeWave(record);
     if (!wave) return false;
@@ -72,49 +72,49 @@
   const TimePoint now = deps_.executor.Now();
   host.upstream = kept->upstream;
   host.recorded = true;
-  host.progress =
-      kept->begun ? UpkeepProgress::kBegun : UpkeepProgress::kOrdered;
+  host.progress = kept->begun ? HostMaintenancePhase::kInProgress
+                              : HostMaintenancePhase::kRequested;
   host.begun_at = now;
   // The order of the earlier leader may be on its way still.
   host.unanswered = now;
   // Every host waits, not only this one in this wave: another wave may hold
   // the same host, and two leaders would take turns at it.
-  next_order_ = now + options_.earlier_holder;
+  next_order_ = now + options_.previous_holder_timeout;
   return true;
 }
 
-void WaveKeeper::Start() { Tick(); }
+void WaveManager::Start() { Tick(); }
 
-void WaveKeeper::Close() {
+void WaveManager::Close() {
   closed_ = true;
   if (status_) status_->Close();
 }
 
-void WaveKeeper::Tick() {
+void WaveManager::Tick() {
   if (closed_) return;
   TakeWaves();
   // Without the right to order, what is withheld stays so: an order may be on
   // its way.
   if (!fenced_ && deps_.workload.MayOrder()) {
     if (AnyOpen()) ReadListIfDue();
-    std::set<std::string> withheld;
+    std::set<std::string> cordoned;
     for (auto& [number, wave] : waves_) {
-      if (!wave.complete) Carry(wave, withheld);
+      if (!wave.complete) ApplyDecision(wave, cordoned);
     }
-    Withhold(withheld);
+    SetCordoned(cordoned);
   }
   deps_.executor.RunAfter(kTick, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Tick();
   });
 }
 
-void WaveKeeper::Withhold(const std::set<std::string>& upstreams) {
-  if (upstreams.empty() && withheld_.empty()) return;
-  withheld_ = upstreams;
-  deps_.workload.Withhold(upstreams);
+void WaveManager::SetCordoned(const std::set<std::string>& upstreams) {
+  if (upstreams.empty() && cordoned_.empty()) return;
+  cordoned_ = upstreams;
+  deps_.workload.SetCordoned(upstreams);
 }
 
-void WaveKeeper::TakeWaves() {
+void WaveManager::TakeWaves() {
   for (const auto& [number, request] : deps_.waves()) {
     Wave& wave = waves_[number];
     if (wave.complete || wave.known) continue;
@@ -127,7 +127,7 @@
     logging::Event(Level::kInfo, "wave taken up",
                    {{"wave", Text(number)},
                     {"hosts", Text(request.hosts.size())},
-                    {"most_at_once", Text(request.most_at_once)},
+                    {"most_at_once", Text(request.max_unavailable)},
                     {"duration_ms", Text(int64_t{request.duration.count()})},
                     {"announced_before", wave.announced ? "yes" : "no"},
                     {"term", Text(options_.term)}});
@@ -135,14 +135,14 @@
   }
 }
 
-bool WaveKeeper::AnyOpen() const {
+bool WaveManager::AnyOpen() const {
   return std::any_of(waves_.begin(), waves_.end(), [&](const auto& entry) {
     const Wave& wave = entry.second;
     return wave.known && !wave.complete;
   });
 }
 
-bool WaveKeeper::ListDue() const {
+bool WaveManager::ListDue() const {
   const TimePoint now = deps_.executor.Now();
   if (!list_known_) return true;
   if (now - read_at_ >= kIdleListPeriod) return true;
@@ -150,12 +150,13 @@
   for (const auto& [number, wave] : waves_) {
     for (const auto& [name, host] : wave.hosts) {
       // Back at the earliest after the upkeep; a look before it tells nothing.
-      const bool may_be_back = host.progress == UpkeepProgress::kBegun &&
-                               now >= host.begun_at + options_.upkeep;
+      const bool may_be_back =
+          host.progress == HostMaintenancePhase::kInProgress &&
+          now >= host.begun_at + options_.maintenance_duration;
       if (!wave.complete && may_be_back) return true;
       // The upstream it was is gone or cut off; it may be another by now.
       const Listed* listed = FindListed(name);
-      const bool changed = host.progress == UpkeepProgress::kDue &&
+      const bool changed = host.progress == HostMaintenancePhase::kPending &&
                            listed != nullptr && listed->missing == 0 &&
                            !listed->entry.upstream.empty() &&
                            !deps_.workload.WorkOn(listed->entry.upstream).known;
@@ -167,7 +168,7 @@
   return false;
 }
 
-void WaveKeeper::ReadListIfDue() {
+void WaveManager::ReadListIfDue() {
   if (reading_ || deps_.executor.Now() < next_read_ || !ListDue()) return;
   reading_ = true;
   auto reading = std::make_shared<Reading>();
@@ -175,8 +176,8 @@
   ReadPage("", reading);
 }
 
-void WaveKeeper::ReadPage(const std::string& after,
-                          std::shared_ptr<Reading> reading) {
+void WaveManager::ReadPage(const std::string& after,
+                           std::shared_ptr<Reading> reading) {
   deps_.metrics.Count({.name = "host_list_reads"});
   deps_.hosts.ListHosts(
       after, kCallTimeout,
@@ -192,8 +193,8 @@
       });
 }
 
-void WaveKeeper::OnPage(const ports::HostPage& page,
-                        std::shared_ptr<Reading> reading) {
+void WaveManager::OnPage(const ports::HostPage& page,
+                         std::shared_ptr<Reading> reading) {
   for (const ports::HostEntry& host : page.hosts) {
     reading->hosts[host.host] = host;
   }
@@ -206,7 +207,7 @@
                           });
 }
 
-void WaveKeeper::OnList(const Reading& reading) {
+void WaveManager::OnList(const Reading& reading) {
   reading_ = false;
   pause_ = Millis(0);
   read_at_ = deps_.executor.Now();
@@ -225,27 +226,28 @@
     for (const auto& [name, host] : wave.hosts) {
       listed_.try_emplace(name, Listed{.entry = {.host = name}, .missing = 1});
     }
-    NoteBack(wave, reading.begun);
+    RecordReturned(wave, reading.begun);
   }
   list_known_ = true;
 }
 
-void WaveKeeper::NoteBack(Wave& wave, TimePoint read_from) {
+void WaveManager::RecordReturned(Wave& wave, TimePoint read_from) {
   for (auto& [name, host] : wave.hosts) {
-    if (host.progress != UpkeepProgress::kBegun) continue;
+    if (host.progress != HostMaintenancePhase::kInProgress) continue;
     // Only a reading that set out after the answer to the order shows the host
     // as it is since; an older one shows it up from before.
     if (read_from <= host.begun_at) continue;
-    NoteLifeEnded(name, host);
+    RecordUpstreamEnded(name, host);
     const Listed* listed = FindListed(name);
     const bool gone = listed == nullptr || listed->missing >= kMissingForGood;
     const HostState state = gone ? HostState::kDown : listed->entry.state;
-    const bool time_over = read_from > host.begun_at + options_.upkeep;
-    const bool back =
-        state == HostState::kUp || (time_over && state != HostState::kUpkeep &&
-                                    state != HostState::kUnclear);
+    const bool time_over =
+        read_from > host.begun_at + options_.maintenance_duration;
+    const bool back = state == HostState::kUp ||
+                      (time_over && state != HostState::kMaintenance &&
+                       state != HostState::kUnknown);
     if (!back) continue;
-    host.progress = UpkeepProgress::kOver;
+    host.progress = HostMaintenancePhase::kCompleted;
     host.draining_since.reset();
     logging::Event(Level::kInfo, "upkeep over",
                    {{"wave", Text(wave.request.wave)},
@@ -255,38 +257,38 @@
   }
 }
 
-void WaveKeeper::NoteLifeEnded(const std::string& name, Host& host) {
+void WaveManager::RecordUpstreamEnded(const std::string& name, Host& host) {
   // The answer to the order is no proof: it is the same for an upkeep of long
   // ago, after which the host is another upstream that runs on. Told without
   // proof, a live upstream was dropped for good, with all that ran there.
   const Listed* listed = FindListed(name);
-  if (host.life_ended || host.upstream.empty() || listed == nullptr) return;
+  if (host.upstream_ended || host.upstream.empty() || listed == nullptr) return;
   if (listed->missing > 0) return;
   const ports::HostEntry& entry = listed->entry;
   const bool another = entry.state == HostState::kUp &&
                        !entry.upstream.empty() &&
                        entry.upstream != host.upstream;
-  if (!another && entry.state != HostState::kUpkeep) return;
-  host.life_ended = true;
+  if (!another && entry.state != HostState::kMaintenance) return;
+  host.upstream_ended = true;
   // A later leader need not wait until its leases have run out.
-  deps_.workload.LifeEnded(host.upstream);
+  deps_.workload.OnUpstreamEnded(host.upstream);
 }
 
-const WaveKeeper::Listed* WaveKeeper::FindListed(
+const WaveManager::Listed* WaveManager::FindListed(
     const std::string& host) const {
   const auto found = listed_.find(host);
   return found == listed_.end() ? nullptr : &found->second;
 }
 
-HostView WaveKeeper::ViewOf(const std::string& name, const Host& host) const {
+HostView WaveManager::ViewOf(const std::string& name, const Host& host) const {
   const TimePoint now = deps_.executor.Now();
   const Listed* listed = FindListed(name);
   HostView out{.host = name, .progress = host.progress};
   out.listed = listed != nullptr && listed->missing < kMissingForGood;
   // One that the last reading lacks is left alone until the next one tells.
   const bool seen = listed != nullptr && listed->missing == 0;
-  out.state = seen ? listed->entry.state : HostState::kUnclear;
-  out.waits = host.in_flight || now < host.retry_at;
+  out.state = seen ? listed->entry.state : HostState::kUnknown;
+  out.on_hold = host.in_flight || now < host.retry_at;
   out.draining = host.draining_since.has_value();
   if (out.draining) {
     out.drained_for =
@@ -300,14 +302,14 @@
   return out;
 }
 
-WaveView WaveKeeper::View(const Wave& wave) const {
+WaveView WaveManager::View(const Wave& wave) const {
   const Millis passed(
       std::max<int64_t>(0, deps_.executor.UnixMillis() - wave.since_unix_ms));
   WaveView out{
       .wave = wave.request.wave,
-      .most_at_once = wave.request.most_at_once,
+      .max_unavailable = wave.request.max_unavailable,
       .time_left = std::max(Millis(0), wave.request.duration - passed),
-      .upkeep = options_.upkeep,
+      .maintenance_duration = options_.maintenance_duration,
       .free_millicores = deps_.workload.FreeMillicores(),
   };
   for (const auto& [name, host] : wave.hosts) {
@@ -316,30 +318,31 @@
   return out;
 }
 
-void WaveKeeper::Carry(Wave& wave, std::set<std::string>& withheld) {
+void WaveManager::ApplyDecision(Wave& wave, std::set<std::string>& cordoned) {
   // What an earlier leader ordered may go at any moment: nothing new there,
   // already before the list is known.
   for (const auto& [name, host] : wave.hosts) {
-    const bool out = host.progress == UpkeepProgress::kOrdered ||
-                     host.progress == UpkeepProgress::kBegun;
-    if (out && !host.upstream.empty()) withheld.insert(host.upstream);
+    const bool out = host.progress == HostMaintenancePhase::kRequested ||
+                     host.progress == HostMaintenancePhase::kInProgress;
+    if (out && !host.upstream.empty()) cordoned.insert(host.upstream);
   }
   if (!list_known_ || !wave.known) return;
   ForgetLostOrders(wave);
   const WaveView view = View(wave);
   const WaveDecision decision = DecideWave(view);
   Log(wave, view, decision);
-  Drain(wave, decision, withheld);
-  for (const std::string& name : decision.send) Order(wave, name);
+  Drain(wave, decision, cordoned);
+  for (const std::string& name : decision.start_maintenance) Order(wave, name);
   if (decision.status == WaveStatus::kComplete) Complete(wave);
 }
 
-void WaveKeeper::ForgetLostOrders(Wave& wave) {
+void WaveManager::ForgetLostOrders(Wave& wave) {
   const TimePoint now = deps_.executor.Now();
   for (auto& [name, host] : wave.hosts) {
-    if (host.progress != UpkeepProgress::kOrdered || host.in_flight) continue;
+    if (host.progress != HostMaintenancePhase::kRequested || host.in_flight)
+      continue;
     const bool may_act =
-        host.unanswered && now <= *host.unanswered + options_.latest_effect;
+        host.unanswered && now <= *host.unanswered + options_.max_order_delay;
     // One that was never sent goes on holding its place only while it can be.
     const HostState state = ViewOf(name, host).state;
     if (may_act || (!host.unanswered && state == HostState::kUp)) continue;
@@ -352,7 +355,7 @@
   }
 }
 
-void WaveKeeper::Release(int64_t wave, const std::string& name) {
+void WaveManager::Release(int64_t wave, const std::string& name) {
   Host& host = waves_.at(wave).hosts.at(name);
   host.unanswered.reset();
   host.in_flight = true;
@@ -366,12 +369,12 @@
     Host& released = self->waves_.at(wave).hosts.at(name);
     released.in_flight = false;
     released.recorded = false;
-    released.progress = UpkeepProgress::kDue;
+    released.progress = HostMaintenancePhase::kPending;
   });
 }
 
-void WaveKeeper::Drain(Wave& wave, const WaveDecision& decision,
-                       std::set<std::string>& withheld) {
+void WaveManager::Drain(Wave& wave, const WaveDecision& decision,
+                        std::set<std::string>& cordoned) {
   const std::set<std::string> drain(decision.drain.begin(),
                                     decision.drain.end());
   for (auto& [name, host] : wave.hosts) {
@@ -382,57 +385,57 @@
     const Listed* listed = FindListed(name);
     if (listed == nullptr || listed->entry.upstream.empty()) continue;
     if (!host.draining_since) host.draining_since = deps_.executor.Now();
-    withheld.insert(listed->entry.upstream);
+    cordoned.insert(listed->entry.upstream);
   }
   // Withheld first, so that what is stopped does not look for room there.
-  Withhold(withheld);
-  const std::set<std::string> clear(decision.clear.begin(),
-                                    decision.clear.end());
+  SetCordoned(cordoned);
+  const std::set<std::string> evict(decision.evict.begin(),
+                                    decision.evict.end());
   for (const std::string& name : decision.drain) {
     const Listed* listed = FindListed(name);
     if (listed == nullptr) continue;
-    deps_.workload.EvictTasks(listed->entry.upstream, clear.count(name) > 0);
+    deps_.workload.EvictTasks(listed->entry.upstream, evict.count(name) > 0);
   }
 }
 
-void WaveKeeper::Log(Wave& wave, const WaveView& view,
-                     const WaveDecision& decision) {
-  const std::string summary = Joined(decision.drain) + "|" +
-                              Joined(decision.send) + "|" +
-                              Text(decision.away) + "|" + Text(decision.due);
+void WaveManager::Log(Wave& wave, const WaveView& view,
+                      const WaveDecision& decision) {
+  const std::string summary =
+      Joined(decision.drain) + "|" + Joined(decision.start_maintenance) + "|" +
+      Text(decision.away) + "|" + Text(decision.pending);
   if (summary == wave.logged) return;
   wave.logged = summary;
   logging::Event(
       Level::kInfo, "wave decided",
       {{"wave", Text(view.wave)},
-       {"due", Text(decision.due)},
+       {"due", Text(decision.pending)},
        {"away", Text(decision.away)},
        {"pace", Text(decision.pace)},
-       {"most_at_once", Text(view.most_at_once)},
+       {"most_at_once", Text(view.max_unavailable)},
        {"time_left_ms", Text(int64_t{view.time_left.count()})},
        {"drain_limit_ms", Text(int64_t{decision.drain_limit.count()})},
        {"drain", Joined(decision.drain)},
-       {"send", Joined(decision.send)},
-       {"waits", Joined(decision.waits, ", ")}});
+       {"send", Joined(decision.start_maintenance)},
+       {"waits", Joined(decision.drain_blockers, ", ")}});
 }
 
-HostRecord WaveKeeper::RecordOf(const Wave& wave,
-                                const std::string& name) const {
+HostRecord WaveManager::RecordOf(const Wave& wave,
+                                 const std::string& name) const {
   const Host& host = wave.hosts.at(name);
   return {.wave = wave.request.wave,
           .host = name,
-          .begun = host.progress == UpkeepProgress::kBegun,
+          .begun = host.progress == HostMaintenancePhase::kInProgress,
           .upstream = host.upstream};
 }
 
-void WaveKeeper::Order(Wave& wave, const std::string& name) {
+void WaveManager::Order(Wave& wave, const std::string& name) {
   const TimePoint now = deps_.executor.Now();
   if (now < next_order_) return;
   next_order_ = now + Spacing(options_.orders_per_s);
   Host& host = wave.hosts.at(name);
   const Listed* listed = FindListed(name);
-  const bool again = host.progress == UpkeepProgress::kOrdered;
-  host.progress = UpkeepProgress::kOrdered;
+  const bool again = host.progress == HostMaintenancePhase::kRequested;
+  host.progress = HostMaintenancePhase::kRequested;
   host.in_flight = true;
   if (listed != nullptr) host.upstream = listed->entry.upstream;
   const int64_t number = wave.request.wave;
@@ -449,7 +452,7 @@
       });
 }
 
-void WaveKeeper::Send(int64_t wave, const std::string& name) {
+void WaveManager::Send(int64_t wave, const std::string& name) {
   Host& host = waves_.at(wave).hosts.at(name);
   const HostWork work = deps_.workload.WorkOn(host.upstream);
   // The store may have taken seconds: what was decided then must still hold.
@@ -459,7 +462,7 @@
     host.in_flight = false;
     return;
   }
-  host.life_ended = false;
+  host.upstream_ended = false;
   deps_.metrics.Count({.name = "upkeep_orders"});
   logging::Event(Level::kInfo, "upkeep ordered",
                  {{"wave", Text(wave)},
@@ -468,7 +471,7 @@
                   {"tasks_there", Text(int64_t{work.tasks})},
                   {"in_doubt", host.unanswered ? "yes" : "no"},
                   {"fence", Text(options_.term)}});
-  deps_.hosts.BeginUpkeep(
+  deps_.hosts.BeginMaintenance(
       {.host = name,
        .wave = wave,
        .holder = options_.holder,
@@ -480,8 +483,8 @@
       });
 }
 
-void WaveKeeper::OnReply(int64_t wave, const std::string& name,
-                         const ports::HostReply& reply) {
+void WaveManager::OnReply(int64_t wave, const std::string& name,
+                          const ports::HostReply& reply) {
   const TimePoint now = deps_.executor.Now();
   Host& host = waves_.at(wave).hosts.at(name);
   host.in_flight = false;
@@ -498,7 +501,7 @@
   switch (reply.verdict) {
     case HostVerdict::kDone: {
       pause_ = Millis(0);
-      host.progress = UpkeepProgress::kBegun;
+      host.progress = HostMaintenancePhase::kInProgress;
       host.begun_at = now;
       host.unanswered.reset();
       const auto record = Encode(RecordOf(waves_.at(wave), name));
@@ -507,15 +510,15 @@
     case HostVerdict::kFenced:
       // Another leader has ordered: the same token is never used again.
       fenced_ = true;
-      return deps_.deposed("a higher fence at host " + name);
+      return deps_.on_leadership_lost("a higher fence at host " + name);
     case HostVerdict::kBusy:
       host.retry_at = now + kBusyPause;
       // Nothing was done by this order; one before it may still act.
       if (!host.unanswered) Release(wave, name);
       return;
-    case HostVerdict::kNotOfWave:
+    case HostVerdict::kNotInWave:
     case HostVerdict::kNoSuchHost:
-      host.progress = UpkeepProgress::kExcluded;
+      host.progress = HostMaintenancePhase::kExcluded;
       return;
     case HostVerdict::kRefused:
       BackOff();
@@ -528,27 +531,29 @@
   next_order_ = std::max(next_order_, now + pause_);
 }
 
-void WaveKeeper::BackOff() {
+void WaveManager::BackOff() {
   pause_ =
       pause_ == Millis(0) ? kFirstPause : std::min(kLongestPause, 2 * pause_);
 }
 
-journal::Journal& WaveKeeper::StatusWriter() {
+journal::Journal& WaveManager::StatusWriter() {
   if (status_) return *status_;
   status_ = std::make_shared<journal::Journal>(
       deps_.executor, deps_.store,
-      journal::JournalOptions{.table = deps_.board.status_table(),
+      journal::JournalOptions{.table = deps_.wave_status.status_table(),
                               .writer = "maintenance",
                               .epoch = options_.term},
-      [this] { deps_.deposed("the writer of wave states was fenced"); });
+      [this] {
+        deps_.on_leadership_lost("the writer of wave states was fenced");
+      });
   status_->Open([] {});
   return *status_;
 }
 
-void WaveKeeper::Announce(Wave& wave) {
+void WaveManager::Announce(Wave& wave) {
   wave.announced = true;
   const ports::KeyedRecord told =
-      deps_.board.EncodeStatus(wave.request.wave, WaveStatus::kRunning);
+      deps_.wave_status.EncodeStatus(wave.request.wave, WaveStatus::kRunning);
   StatusWriter().Put(told.key, told.value);
   const ports::KeyedRecord kept =
       Encode(WaveRecord{.wave = wave.request.wave,
@@ -562,14 +567,14 @@
   });
 }
 
-void WaveKeeper::Complete(Wave& wave) {
+void WaveManager::Complete(Wave& wave) {
   wave.complete = true;
   deps_.metrics.Count({.name = "waves_completed"});
   logging::Event(
       Level::kInfo, "wave complete",
       {{"wave", Text(wave.request.wave)}, {"hosts", Text(wave.hosts.size())}});
   const ports::KeyedRecord told =
-      deps_.board.EncodeStatus(wave.request.wave, WaveStatus::kComplete);
+      deps_.wave_status.EncodeStatus(wave.request.wave, WaveStatus::kComplete);
   StatusWriter().Put(told.key, told.value);
   StatusWriter().WhenStored(
       [weak = weak_from_this(), number = wave.request.wave](bool stored) {
--- a/src/maintenance/wave_keeper.h
+++ b/src/maintenance/wave_manager.h
@@ -27,38 +27,38 @@
   /// Free cores, in thousandths, on upstreams that take new work.
   virtual int64_t FreeMillicores() = 0;
   /// From now on exactly these get no new work.
-  virtual void Withhold(const std::set<std::string>& upstreams) = 0;
+  virtual void SetCordoned(const std::set<std::string>& upstreams) = 0;
   /// Stops what may go on elsewhere, or with `all` what may not as well; to be
   /// called until the upstream is empty.
   virtual void EvictTasks(const std::string& upstream, bool all) = 0;
   /// The upstream ended with all that ran there, and never comes back.
-  virtual void LifeEnded(const std::string& upstream) = 0;
+  virtual void OnUpstreamEnded(const std::string& upstream) = 0;
   /// Whether orders may be given now.
   virtual bool MayOrder() = 0;
 };
 
-struct WaveKeeperOptions {
+struct WaveManagerOptions {
   /// Name of this entry, and the number of its office: the fencing token.
   std::string holder;
   int64_t term = 0;
   /// How long a host is away for its upkeep.
-  Millis upkeep{2000};
+  Millis maintenance_duration{2000};
   /// Calls a second that the platform takes from all entries together.
   double lists_per_s = 10;
   double orders_per_s = 10;
   /// Two holders that order one host within this count as taking turns: a new
   /// leader that finds orders of an earlier one gives none before it.
-  Millis earlier_holder{3000};
+  Millis previous_holder_timeout{3000};
   /// An order without an answer may act this much later; beyond it, it is
   /// taken for lost. The platform's orders were seen up to 12 s late.
-  Millis latest_effect{15000};
+  Millis max_order_delay{15000};
 };
 
 /// Carries out maintenance waves for one term of a leader: reads the list of
 /// hosts, drains and sends them as DecideWave() says, keeps what it ordered in
 /// the leader's journal before each order, and tells operators how far a wave
 /// is. Without an open wave it makes no call at all. Control thread only.
-class WaveKeeper final : public std::enable_shared_from_this<WaveKeeper> {
+class WaveManager final : public std::enable_shared_from_this<WaveManager> {
  public:
   using Waves = std::map<int64_t, ports::WaveRequest>;
 
@@ -67,7 +67,7 @@
     Executor& executor;
     ports::RecordStorePort& store;
     ports::HostPort& hosts;
-    ports::WaveBoardPort& board;
+    ports::WaveStatusPort& wave_status;
     /// The leader's own, which fences earlier leaders.
     std::shared_ptr<journal::Journal> journal;
     HostWorkload& workload;
@@ -75,10 +75,10 @@
     /// The waves that operators ask for, as known now.
     std::function<const Waves&()> waves;
     /// Another leader was found.
-    std::function<void(const std::string& cause)> deposed;
+    std::function<void(const std::string& cause)> on_leadership_lost;
   };
 
-  WaveKeeper(Dependencies deps, WaveKeeperOptions options);
+  WaveManager(Dependencies deps, WaveManagerOptions options);
 
   /// Takes over what an earlier leader kept; false if it does not decode.
   /// Precondition: not started.
@@ -88,7 +88,7 @@
 
  private:
   struct Host {
-    UpkeepProgress progress = UpkeepProgress::kDue;
+    HostMaintenancePhase progress = HostMaintenancePhase::kPending;
     bool in_flight = false;
     /// When an order without an answer was last given up; nothing if no order
     /// can act later.
@@ -101,7 +101,7 @@
     /// The journal holds a record of it.
     bool recorded = false;
     /// The upstream that it was when it was ordered has surely ended.
-    bool life_ended = false;
+    bool upstream_ended = false;
     std::optional<TimePoint> draining_since;
   };
   struct Wave {
@@ -134,17 +134,17 @@
   void ReadPage(const std::string& after, std::shared_ptr<Reading> reading);
   void OnPage(const ports::HostPage& page, std::shared_ptr<Reading> reading);
   void OnList(const Reading& reading);
-  void NoteBack(Wave& wave, TimePoint read_from);
-  void NoteLifeEnded(const std::string& name, Host& host);
+  void RecordReturned(Wave& wave, TimePoint read_from);
+  void RecordUpstreamEnded(const std::string& name, Host& host);
   const Listed* FindListed(const std::string& host) const;
 
   WaveView View(const Wave& wave) const;
   HostView ViewOf(const std::string& name, const Host& host) const;
-  void Withhold(const std::set<std::string>& upstreams);
+  void SetCordoned(const std::set<std::string>& upstreams);
   void ForgetLostOrders(Wave& wave);
-  void Carry(Wave& wave, std::set<std::string>& withheld);
+  void ApplyDecision(Wave& wave, std::set<std::string>& cordoned);
   void Drain(Wave& wave, const WaveDecision& decision,
-             std::set<std::string>& withheld);
+             std::set<std::string>& cordoned);
   void Log(Wave& wave, const WaveView& view, const WaveDecision& decision);
   void Order(Wave& wave, const std::string& name);
   void Send(int64_t wave, const std::string& name);
@@ -158,7 +158,7 @@
   HostRecord RecordOf(const Wave& wave, const std::string& name) const;
 
   Dependencies deps_;
-  WaveKeeperOptions options_;
+  WaveManagerOptions options_;
   bool closed_ = false;
   /// A higher fencing token was seen: nothing is ordered any more.
   bool fenced_ = false;
@@ -170,7 +170,7 @@
   TimePoint next_read_{};
   TimePoint next_order_{};
   Millis pause_{0};
-  std::set<std::string> withheld_;
+  std::set<std::string> cordoned_;
   std::shared_ptr<journal::Journal> status_;
 };
 
--- a/src/maintenance/wave_plan.cc
+++ b/src/maintenance/wave_plan.cc
@@ -21,16 +21,16 @@
 
 /// Hosts that still owe the wave something.
 bool Owes(const HostView& host) {
-  return host.listed && (host.progress == UpkeepProgress::kDue ||
-                         host.progress == UpkeepProgress::kOrdered);
+  return host.listed && (host.progress == HostMaintenancePhase::kPending ||
+                         host.progress == HostMaintenancePhase::kRequested);
 }
 
 /// An order in doubt may act at any moment, and the list tells of an upkeep
 /// that somebody else began: both count.
 bool Away(const HostView& host) {
-  if (host.progress == UpkeepProgress::kOrdered) return true;
-  if (host.progress == UpkeepProgress::kBegun) return host.listed;
-  return host.listed && host.state == HostState::kUpkeep;
+  if (host.progress == HostMaintenancePhase::kRequested) return true;
+  if (host.progress == HostMaintenancePhase::kInProgress) return host.listed;
+  return host.listed && host.state == HostState::kMaintenance;
 }
 
 /// How many hosts in doubt may be ordered again now: no more may begin together
@@ -39,19 +39,20 @@
   size_t taken = 0;
   for (const HostView& host : view.hosts) {
     const bool under_way =
-        host.progress == UpkeepProgress::kOrdered && host.waits;
-    const bool begun = host.progress == UpkeepProgress::kBegun && host.listed;
+        host.progress == HostMaintenancePhase::kRequested && host.on_hold;
+    const bool begun =
+        host.progress == HostMaintenancePhase::kInProgress && host.listed;
     if (under_way || begun) ++taken;
   }
-  return view.most_at_once > taken ? view.most_at_once - taken : 0;
+  return view.max_unavailable > taken ? view.max_unavailable - taken : 0;
 }
 
 /// How many hosts have to be away at a time to be through in the time aimed at.
 size_t Pace(const WaveView& view, size_t due) {
-  const size_t most = std::max<size_t>(1, view.most_at_once);
+  const size_t most = std::max<size_t>(1, view.max_unavailable);
   const int64_t aim = view.time_left.count() * kAimPercent / 100;
   if (aim <= 0) return most;
-  const int64_t each = (view.upkeep + kUsualDrain).count();
+  const int64_t each = (view.maintenance_duration + kUsualDrain).count();
   const int64_t work = static_cast<int64_t>(due) * each;
   const auto needed = static_cast<size_t>((work + aim - 1) / aim);
   return std::clamp<size_t>(needed, 1, most);
@@ -63,18 +64,19 @@
   const size_t rounds = (due + pace - 1) / pace;
   const Millis share = view.time_left * kAimPercent / 100 /
                        static_cast<int64_t>(std::max<size_t>(1, rounds));
-  return std::clamp(share - view.upkeep, Millis(0), kLongestDrain);
+  return std::clamp(share - view.maintenance_duration, Millis(0),
+                    kLongestDrain);
 }
 
 /// What the upkeep of a draining host waits for; empty if it may begin.
 std::string WaitsFor(const HostView& host) {
-  if (host.waits) return "an answer, or a pause after one";
+  if (host.on_hold) return "an answer, or a pause after one";
   if (!host.listed || host.state != HostState::kUp) return "being up";
   // What runs on an upstream that is not known would end unseen.
   if (!host.work.known) return "word of its upstream";
   if (host.work.tasks == 0) return "";
   return std::to_string(host.work.tasks) + " tasks, " +
-         std::to_string(host.work.bound_tasks) + " of them bound";
+         std::to_string(host.work.budgeted_tasks) + " of them bound";
 }
 
 /// Those in doubt first, since they hold a place already; then those that
@@ -82,13 +84,13 @@
 std::vector<const HostView*> InOrder(const WaveView& view) {
   std::vector<const HostView*> out;
   for (const HostView& host : view.hosts) {
-    const bool can = host.progress == UpkeepProgress::kOrdered ||
+    const bool can = host.progress == HostMaintenancePhase::kRequested ||
                      host.state == HostState::kUp;
     if (Owes(host) && can) out.push_back(&host);
   }
   const auto rank = [](const HostView* host) {
-    return std::tuple(host->progress != UpkeepProgress::kOrdered,
-                      !host->draining, host->work.bound_tasks,
+    return std::tuple(host->progress != HostMaintenancePhase::kRequested,
+                      !host->draining, host->work.budgeted_tasks,
                       host->work.drained_in, host->work.tasks);
   };
   std::stable_sort(
@@ -103,14 +105,14 @@
   WaveDecision out;
   for (const HostView& host : view.hosts) {
     if (Away(host)) ++out.away;
-    if (Owes(host)) ++out.due;
+    if (Owes(host)) ++out.pending;
   }
-  if (out.due == 0) {
+  if (out.pending == 0) {
     out.status = ports::WaveStatus::kComplete;
     return out;
   }
-  out.pace = Pace(view, out.due);
-  out.drain_limit = DrainLimit(view, out.due, out.pace);
+  out.pace = Pace(view, out.pending);
+  out.drain_limit = DrainLimit(view, out.pending, out.pace);
   size_t places = out.pace > out.away ? out.pace - out.away : 0;
   size_t doubt_places = DoubtPlaces(view);
   // The next ones drain while these are away, as long as their work has room
@@ -118,7 +120,7 @@
   size_t drains = places + out.pace;
   int64_t room = view.free_millicores;
   for (const HostView* host : InOrder(view)) {
-    const bool in_doubt = host->progress == UpkeepProgress::kOrdered;
+    const bool in_doubt = host->progress == HostMaintenancePhase::kRequested;
     const bool its_turn = drains > out.pace;
     const bool fits = host->draining || host->work.millicores <= room;
     if (!in_doubt && (drains == 0 || (!its_turn && !fits))) continue;
@@ -130,17 +132,17 @@
     const bool time_over =
         host->draining && host->drained_for >= out.drain_limit;
     if (left > 0 && time_over && host->work.tasks > 0) {
-      out.clear.push_back(host->host);
+      out.evict.push_back(host->host);
     }
     if (!waits.empty() || left == 0) {
       // A place is kept for the one whose turn it is.
       if (!in_doubt && left > 0 && time_over) --left;
-      out.waits.push_back(host->host + " for " +
-                          (waits.empty() ? "its turn" : waits));
+      out.drain_blockers.push_back(host->host + " for " +
+                                   (waits.empty() ? "its turn" : waits));
       continue;
     }
     --left;
-    out.send.push_back(host->host);
+    out.start_maintenance.push_back(host->host);
   }
   return out;
 }
--- a/src/ports/host_port.h
+++ b/src/ports/host_port.h
@@ -15,25 +15,25 @@
 
 enum class HostState {
   kUp,
-  kMoving,   ///< On its way to another pool.
-  kUpkeep,   ///< Away for its upkeep.
-  kDown,     ///< Crashed or switched off.
-  kUnclear,  ///< The list says something that is not known here.
+  kMoving,       ///< On its way to another pool.
+  kMaintenance,  ///< Away for its upkeep.
+  kDown,         ///< Crashed or switched off.
+  kUnknown,      ///< The list says something that is not known here.
 };
 
 inline constexpr EnumTable kHostStateNames{std::array{
     EnumName{HostState::kUp, "up"},
     EnumName{HostState::kMoving, "moving"},
-    EnumName{HostState::kUpkeep, "upkeep"},
+    EnumName{HostState::kMaintenance, "upkeep"},
     EnumName{HostState::kDown, "down"},
-    EnumName{HostState::kUnclear, "unclear"},
+    EnumName{HostState::kUnknown, "unclear"},
 }};
 
 /// One host. An upstream is one life of it: the host stays, upstreams change.
 struct HostEntry {
   std::string host;
   std::string pool;
-  HostState state = HostState::kUnclear;
+  HostState state = HostState::kUnknown;
   /// Id of the upstream that it is now; empty while there is none.
   std::string upstream;
 };
@@ -48,7 +48,7 @@
   kDone,       ///< Begun now, or at an earlier call for the same wave.
   kFenced,     ///< A higher fencing token was used for this host.
   kBusy,       ///< Not up, or leaving; nothing was done.
-  kNotOfWave,  ///< The wave does not hold this host.
+  kNotInWave,  ///< The wave does not hold this host.
   kNoSuchHost,
   kRefused,  ///< Too many calls, or the API is not well; nothing was done.
   kUnknown,  ///< May have taken effect, or may yet.
@@ -58,7 +58,7 @@
     EnumName{HostVerdict::kDone, "done"},
     EnumName{HostVerdict::kFenced, "fenced"},
     EnumName{HostVerdict::kBusy, "busy"},
-    EnumName{HostVerdict::kNotOfWave, "not of the wave"},
+    EnumName{HostVerdict::kNotInWave, "not of the wave"},
     EnumName{HostVerdict::kNoSuchHost, "no such host"},
     EnumName{HostVerdict::kRefused, "refused"},
     EnumName{HostVerdict::kUnknown, "unknown"},
@@ -69,7 +69,7 @@
   std::string detail;
 };
 
-struct UpkeepOrder {
+struct MaintenanceOrder {
   std::string host;
   int64_t wave = 0;
   /// Name of the entry that orders.
@@ -87,17 +87,17 @@
                          Callback<HostPage> done) = 0;
   /// Ends all that runs on the host at once; a new upstream joins later.
   /// Ordered again for the same wave it does nothing and says kDone.
-  virtual void BeginUpkeep(const UpkeepOrder& order, Millis timeout,
-                           std::function<void(HostReply)> done) = 0;
+  virtual void BeginMaintenance(const MaintenanceOrder& order, Millis timeout,
+                                std::function<void(HostReply)> done) = 0;
 };
 
 /// What operators ask for: each of the hosts has its upkeep within `duration`,
-/// with no more than `most_at_once` away for it at the same time.
+/// with no more than `max_unavailable` away for it at the same time.
 struct WaveRequest {
   int64_t wave = 0;
   std::vector<std::string> hosts;
   Millis duration{0};
-  size_t most_at_once = 1;
+  size_t max_unavailable = 1;
 };
 
 enum class WaveStatus { kRunning, kComplete };
@@ -109,9 +109,9 @@
 
 /// Where operators read how far a wave is: a table of the record store.
 /// Control thread only.
-class WaveBoardPort {
+class WaveStatusPort {
  public:
-  virtual ~WaveBoardPort() = default;
+  virtual ~WaveStatusPort() = default;
   virtual std::string status_table() const = 0;
   virtual KeyedRecord EncodeStatus(int64_t wave, WaveStatus status) const = 0;
 };
--- a/src/ports/record_store_port.h
+++ b/src/ports/record_store_port.h
@@ -17,7 +17,7 @@
   std::string value;
   /// Why nobody can read the record; empty for one that can be read. Key and
   /// value are then what is known of them.
-  std::string fault{};
+  std::string decode_error{};
 };
 
 /// Identity under which a writer appends: an append of a lower epoch than one
@@ -33,14 +33,14 @@
   std::vector<KeyedRecord> records;
   std::optional<WriterIdentity> writer;
   /// Only if the table ends exactly here.
-  std::optional<int64_t> only_at;
+  std::optional<int64_t> expected_end_offset;
 };
 
 enum class AppendVerdict {
   kStored,
   kFenced,         ///< A writer with a higher epoch has taken over.
   kOutOfSequence,  ///< Another writer uses the same epoch.
-  kConflict,       ///< The table does not end where `only_at` says.
+  kConflict,       ///< The table does not end where `expected_end_offset` says.
   kRefused,        ///< Nothing was done.
   kUnknown,        ///< May have been stored, or may be stored later.
 };
--- a/src/ports/task_port.h
+++ b/src/ports/task_port.h
@@ -21,27 +21,27 @@
 
 enum class CallVerdict {
   kDone,
-  kFenced,     ///< A higher fencing token was seen there.
-  kStale,      ///< That attempt, or a later one, was there already.
-  kLeaseOver,  ///< The lease in the call had run out on arrival.
-  kNoRoom,     ///< The upstream guards its capacity, and it is full.
-  kBadTicket,  ///< No ticket, or one that is too old.
-  kUnhealthy,  ///< Refused; nothing was done.
-  kGone,       ///< Another life of the upstream answers at the address.
-  kMalformed,  ///< The upstream does not take the call as it is.
-  kNotSent,    ///< Never left this process.
-  kUnknown,    ///< May have taken effect, or may yet.
+  kFenced,        ///< A higher fencing token was seen there.
+  kStale,         ///< That attempt, or a later one, was there already.
+  kLeaseExpired,  ///< The lease in the call had run out on arrival.
+  kNoCapacity,    ///< The upstream guards its capacity, and it is full.
+  kBadTicket,     ///< No ticket, or one that is too old.
+  kUnhealthy,     ///< Refused; nothing was done.
+  kReplaced,      ///< Another life of the upstream answers at the address.
+  kMalformed,     ///< The upstream does not take the call as it is.
+  kNotSent,       ///< Never left this process.
+  kUnknown,       ///< May have taken effect, or may yet.
 };
 
 inline constexpr EnumTable kCallVerdictNames{std::array{
     EnumName{CallVerdict::kDone, "done"},
     EnumName{CallVerdict::kFenced, "fenced"},
     EnumName{CallVerdict::kStale, "stale attempt"},
-    EnumName{CallVerdict::kLeaseOver, "lease over"},
-    EnumName{CallVerdict::kNoRoom, "no room"},
+    EnumName{CallVerdict::kLeaseExpired, "lease over"},
+    EnumName{CallVerdict::kNoCapacity, "no room"},
     EnumName{CallVerdict::kBadTicket, "bad ticket"},
     EnumName{CallVerdict::kUnhealthy, "unhealthy"},
-    EnumName{CallVerdict::kGone, "gone"},
+    EnumName{CallVerdict::kReplaced, "gone"},
     EnumName{CallVerdict::kMalformed, "malformed"},
     EnumName{CallVerdict::kNotSent, "not sent"},
     EnumName{CallVerdict::kUnknown, "unknown"},
@@ -65,15 +65,22 @@
   std::string detail;
 };
 
-enum class EndKind { kDone, kFailed, kStopped, kLapsed, kBroken, kAlone };
+enum class EndKind {
+  kDone,
+  kFailed,
+  kStopped,
+  kLeaseExpired,
+  kGangFailed,
+  kGangIncomplete
+};
 
 inline constexpr EnumTable kEndKindNames{std::array{
     EnumName{EndKind::kDone, "done"},
     EnumName{EndKind::kFailed, "failed"},
     EnumName{EndKind::kStopped, "stopped"},
-    EnumName{EndKind::kLapsed, "lapsed"},
-    EnumName{EndKind::kBroken, "broken"},
-    EnumName{EndKind::kAlone, "alone"},
+    EnumName{EndKind::kLeaseExpired, "lapsed"},
+    EnumName{EndKind::kGangFailed, "broken"},
+    EnumName{EndKind::kGangIncomplete, "alone"},
 }};
 
 struct RunningTask {
@@ -95,7 +102,7 @@
 struct RenewCall {
   int64_t fence = 0;
   /// Ends up to this number are safe and may be forgotten.
-  int64_t ends_seen = 0;
+  int64_t acked_ends = 0;
   int64_t lease_until_ms = 0;
   /// How long the answer may wait for an end.
   Millis wait{0};
--- a/src/ports/upstream_list_port.h
+++ b/src/ports/upstream_list_port.h
@@ -22,7 +22,7 @@
   bool listed = true;
   /// Why the entry names no upstream to use; empty for one that does. Then only
   /// the id is set, and `listed`.
-  std::string fault{};
+  std::string decode_error{};
   std::string pool;
   std::string address;
   std::string failure_domain;
@@ -32,7 +32,7 @@
   UpstreamSize capacity;
   bool draining = false;
   /// Slower than usual for this much longer after its start, in ms.
-  int64_t cold_left_ms = 0;
+  int64_t warmup_left_ms = 0;
   /// While it drains: least time that is left, in ms; 0 if not told.
   int64_t leaves_in_ms = 0;
 };
--- a/src/scheduling/asking.cc
+++ b/src/scheduling/asking.cc
@@ -179,7 +179,7 @@
     options.push_back(choice.option);
     most += choice.option.rate * choice.option.fit;
   }
-  const double need = entry.job.run(id.occurrence, id.step).waiting;
+  const double need = entry.job.step_counts(id.occurrence, id.step).waiting;
   // Half a gang is of no use.
   if (entry.job.step(id.step).gang && most < need) return {};
   const auto count =
@@ -218,7 +218,7 @@
   AdviceOrder order{.purpose = purpose, .step = id, .priority = queue.priority};
   order.expected = CallTime(queue, asked.size());
   const auto named = static_cast<int32_t>(asked.size());
-  const int32_t waiting = entry.job.run(id.occurrence, id.step).waiting;
+  const int32_t waiting = entry.job.step_counts(id.occurrence, id.step).waiting;
   const Amount size = TaskRoom(step);
   for (size_t d = 0; d < placement::kDimensions; ++d) {
     order.claim.of[d] = static_cast<int32_t>(static_cast<int64_t>(size.of[d]) *
--- a/src/scheduling/crashes.cc
+++ b/src/scheduling/crashes.cc
@@ -79,7 +79,7 @@
     if (task.upstream != upstream) continue;
     BackToWaiting(*entry, id, now);
     if (entry->job.final() || !entry->job.step(id.step).gang) continue;
-    if (entry->job.run(id.occurrence, id.step).active > 0) {
+    if (entry->job.step_counts(id.occurrence, id.step).active > 0) {
       AbortGang(*entry, id.step_id(), now, orders);
     }
   }
--- a/src/scheduling/evicting.cc
+++ b/src/scheduling/evicting.cc
@@ -39,7 +39,7 @@
     const Job& job = found->second->job;
     const EvictionMode leaving = EvictionModeOf(job.step(run.first.step));
     // One that is being stopped counts until its end is listed.
-    if (leaving == EvictionMode::kBound && !job.final()) ++out.bound_tasks;
+    if (leaving == EvictionMode::kBound && !job.final()) ++out.budgeted_tasks;
     const bool stays = leaving == EvictionMode::kByItsEnd;
     const Millis left = stays ? Left(room.ends, now) : Millis(0);
     out.drained_in = std::max(out.drained_in, left);
--- a/src/scheduling/placing.cc
+++ b/src/scheduling/placing.cc
@@ -175,7 +175,7 @@
     if (PlaceGang(entry, id, now, reserved, orders)) return true;
   } else {
     PlaceTasks(entry, id, now, reserved, orders);
-    if (entry.job.run(id.occurrence, id.step).waiting == 0) return true;
+    if (entry.job.step_counts(id.occurrence, id.step).waiting == 0) return true;
   }
   const wire::StepSpec& step = entry.job.step(id.step);
   const bool may_wait = gang && TakeWaitingRoom(step);
@@ -322,14 +322,14 @@
   Task& task = job.task(id);
   task.attempt = attempt;
   task.upstream = upstream;
-  task.moved = now;
+  task.progressed_at = now;
   task.percent = 0;
   job.SetPhase(id, TaskPhase::kStarting);
-  task.paced_from = {};
-  task.own_end = ExpectedEnd(job.step(id.step), now);
+  task.rate_since = {};
+  task.expected_end = ExpectedEnd(job.step(id.step), now);
   pool_.Reserve(upstream, id, attempt,
                 {.amount = TaskRoom(job.step(id.step)),
-                 .ends = task.own_end,
+                 .ends = task.expected_end,
                  .since = now});
   pool_.NoteStart(upstream);
   StartOrder order{.upstream = upstream,
@@ -425,7 +425,7 @@
     fit_allowed += fit;
     if (advice.Ticket(upstream, now) != nullptr) ++tickets;
   }
-  const StepRun& run = entry.job.run(id.occurrence, id.step);
+  const StepCounts& run = entry.job.step_counts(id.occurrence, id.step);
   std::string out = "waiting " + std::to_string(run.waiting) + " of " +
                     std::to_string(step.tasks) + (step.gang ? " (gang)" : "") +
                     ", upstreams " + std::to_string(suits) + ", usable " +
--- a/src/scheduling/running.cc
+++ b/src/scheduling/running.cc
@@ -52,9 +52,9 @@
   Task& task = job.task(running.task);
   task.attempt = running.attempt;
   task.upstream = upstream;
-  task.moved = now;
-  task.paced_from = {};
-  task.own_end = now + Millis(job.step(running.task.step).estimate_ms);
+  task.progressed_at = now;
+  task.rate_since = {};
+  task.expected_end = now + Millis(job.step(running.task.step).estimate_ms);
   task.percent = running.percent;
   job.SetPhase(running.task, TaskPhase::kRunning);
   job.NoteStarted();
@@ -149,7 +149,7 @@
   if (running.percent != task.percent) {
     ForeseeEnd(entry, upstream, running, now);
     task.percent = running.percent;
-    task.moved = now;
+    task.progressed_at = now;
     return;
   }
   if (step.lasting || step.filler) return;
@@ -159,7 +159,7 @@
   if (step.gang && running.percent >= kWholePercent) return;
   const Millis limit =
       std::max(kStallAtLeast, Millis(step.estimate_ms / kStallEstimateDivisor));
-  if (now - task.moved < limit) return;
+  if (now - task.progressed_at < limit) return;
   pool_.NoteFailure(upstream, now, UpstreamPool::kBackoffAfterFailures);
   if (step.gang) {
     return AbortGang(entry, running.task.step_id(), now, orders);
@@ -170,18 +170,19 @@
 void Scheduler::ForeseeEnd(Entry& entry, UpstreamIndex upstream,
                            const ports::RunningTask& running, TimePoint now) {
   Task& task = entry.job.task(running.task);
-  if (task.paced_from == TimePoint{}) {
-    task.paced_from = now;
-    task.paced_percent = running.percent;
+  if (task.rate_since == TimePoint{}) {
+    task.rate_since = now;
+    task.rate_base_percent = running.percent;
     return;
   }
-  const int32_t moved = running.percent - task.paced_percent;
+  const int32_t moved = running.percent - task.rate_base_percent;
   if (moved < kTellingPercent) return;
-  const auto took = std::chrono::duration_cast<Millis>(now - task.paced_from);
+  const auto took = std::chrono::duration_cast<Millis>(now - task.rate_since);
   const Millis left = took * (kWholePercent - running.percent) / moved;
-  task.own_end = now + left;
+  task.expected_end = now + left;
   if (!entry.job.step(running.task.step).gang) {
-    return pool_.Foresee(upstream, running.task, running.attempt, task.own_end);
+    return pool_.Foresee(upstream, running.task, running.attempt,
+                         task.expected_end);
   }
   ForeseeGang(entry, running.task.step_id());
 }
@@ -193,7 +194,7 @@
   TimePoint end{};
   for (int32_t i = 0; i < tasks; ++i) {
     const Task& member = entry.job.task({id.job, id.occurrence, id.step, i});
-    end = std::max(end, member.own_end);
+    end = std::max(end, member.expected_end);
   }
   Unit& unit = entry.unit(id.occurrence, id.step);
   if (end <= unit.foreseen + kSameEnd && end + kSameEnd >= unit.foreseen) {
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -93,7 +93,7 @@
     entry->uncertain = false;
     for (int32_t k = 0; k < entry->job.occurrences(); ++k) {
       for (int32_t s = 0; s < entry->job.steps(); ++s) {
-        const StepRun& run = entry->job.run(k, s);
+        const StepCounts& run = entry->job.step_counts(k, s);
         // A gang of which a member is missing would wait for it in vain.
         if (entry->job.step(s).gang && run.active > 0 && run.waiting > 0) {
           AbortGang(*entry, {id, k, s}, now, orders);
@@ -126,7 +126,7 @@
 void Scheduler::Refresh(Entry& entry, int32_t occurrence, int32_t step) {
   Unit& unit = entry.unit(occurrence, step);
   Job& job = entry.job;
-  const StepRun& run = job.run(occurrence, step);
+  const StepCounts& run = job.step_counts(occurrence, step);
   const bool gang_whole = !job.step(step).gang || run.active == 0;
   const bool wanted = !entry.uncertain && !job.final() &&
                       occurrence < entry.due && run.waiting > 0 && gang_whole &&
@@ -161,7 +161,7 @@
   const Job& job = entry.job;
   for (int32_t k = 0; k < job.occurrences(); ++k) {
     for (int32_t s = 0; s < job.steps(); ++s) {
-      if (job.run(k, s).active == 0) continue;
+      if (job.step_counts(k, s).active == 0) continue;
       for (int32_t i = 0; i < job.step(s).tasks; ++i) {
         StopTask(entry, {job.id(), k, s, i}, reason, now, orders);
       }
@@ -243,7 +243,8 @@
   }
   BackToWaiting(*entry, order.task, now);
   if (entry->job.step(order.task.step).gang &&
-      entry->job.run(order.task.occurrence, order.task.step).active > 0) {
+      entry->job.step_counts(order.task.occurrence, order.task.step).active >
+          0) {
     AbortGang(*entry, order.task.step_id(), now, orders);
   }
 }
@@ -356,7 +357,7 @@
   return {.priority = job.queue().priority,
           .outlook = outlook,
           .rank = ToMs(entry.accepted + objectives * job.Objective() -
-                       job.ChainFrom(id.step)),
+                       job.CriticalPathFrom(id.step)),
           .id = id};
 }
 
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -27,7 +27,7 @@
 struct UpstreamWork {
   int32_t tasks = 0;
   /// Lasting tasks of steps that bound how many may be away.
-  int32_t bound_tasks = 0;
+  int32_t budgeted_tasks = 0;
   /// When the last task that EvictTasks() leaves to its end is expected to end.
   Millis drained_in{0};
   int64_t millicores = 0;
--- a/src/shutdown/shutdown_plan.cc
+++ b/src/shutdown/shutdown_plan.cc
@@ -4,10 +4,10 @@
 
 ShutdownStep NextStep(const ShutdownOptions& options,
                       const ShutdownView& view) {
-  if (view.waited >= options.limit) return ShutdownStep::kEnd;
-  if (!view.intake_ended) {
-    return view.waited >= options.unready ? ShutdownStep::kEndIntake
-                                          : ShutdownStep::kServe;
+  if (view.elapsed >= options.limit) return ShutdownStep::kEnd;
+  if (!view.accepting_stopped) {
+    return view.elapsed >= options.unready_period ? ShutdownStep::kStopAccepting
+                                                  : ShutdownStep::kServe;
   }
   // With the intake open a moment without open requests proves nothing: the
   // next one comes before the process is gone, and its caller sees the
--- a/src/shutdown/shutdown_plan.h
+++ b/src/shutdown/shutdown_plan.h
@@ -10,7 +10,7 @@
 
 struct ShutdownOptions {
   /// How long callers still come after the balancer was told.
-  Millis unready{2600};
+  Millis unready_period{2600};
   /// Longest that a graceful shutdown takes.
   Millis limit{5200};
 };
@@ -18,27 +18,27 @@
 /// What a stopping process sees of its callers.
 struct ShutdownView {
   /// Since the stop was asked for.
-  Millis waited{0};
+  Millis elapsed{0};
   /// Of callers and of the leader: read and not yet answered.
   int64_t open_requests = 0;
   /// Accepted and not yet closed.
   size_t connections = 0;
-  /// Whether kEndIntake was carried out.
-  bool intake_ended = false;
+  /// Whether kStopAccepting was carried out.
+  bool accepting_stopped = false;
 };
 
 enum class ShutdownStep {
   /// Take requests and answer them.
   kServe,
   /// Take no further request; answer those that were taken.
-  kEndIntake,
+  kStopAccepting,
   /// End the process.
   kEnd,
 };
 
 inline constexpr EnumTable kShutdownStepNames{std::array{
     EnumName{ShutdownStep::kServe, "serve"},
-    EnumName{ShutdownStep::kEndIntake, "end intake"},
+    EnumName{ShutdownStep::kStopAccepting, "end intake"},
     EnumName{ShutdownStep::kEnd, "end"},
 }};
 
--- a/src/tool/job_commands.cc
+++ b/src/tool/job_commands.cc
@@ -59,7 +59,7 @@
     case JobVerdict::kDone:
       return ExitCode::kOk;
     case JobVerdict::kRefused:
-    case JobVerdict::kStoreAway:
+    case JobVerdict::kStoreUnavailable:
     case JobVerdict::kNoSuchJob:
       return ExitCode::kRefused;
     default:
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -253,7 +253,7 @@
   constexpr int64_t kWall = 1796000000000;
   Job job(spec);
   BOOST_TEST(job.Objective() >= Millis(0));
-  BOOST_TEST(job.ChainFrom(0) >= Millis(0));
+  BOOST_TEST(job.CriticalPathFrom(0) >= Millis(0));
   job.Restore(progress);
   BOOST_TEST((job.Progress().state == progress.state));
   constexpr int64_t kMostTasks = 300;
@@ -285,7 +285,7 @@
   BOOST_TEST(it.capacity.millicores > 0);
   BOOST_TEST(it.capacity.memory_mb >= 0);
   BOOST_TEST(it.capacity.accelerators >= 0);
-  BOOST_TEST(it.cold_left_ms >= 0);
+  BOOST_TEST(it.warmup_left_ms >= 0);
   BOOST_TEST(it.leaves_in_ms >= 0);
 }
 
@@ -368,8 +368,8 @@
   if (!page.ok()) return;
   BOOST_TEST(page.value().end_offset >= 0);
   for (const ports::KeyedRecord& record : page.value().records) {
-    if (record.fault.empty()) BOOST_TEST(!record.key.empty());
-    if (!record.fault.empty()) BOOST_TEST(record.value.empty());
+    if (record.decode_error.empty()) BOOST_TEST(!record.key.empty());
+    if (!record.decode_error.empty()) BOOST_TEST(record.value.empty());
   }
 }
 
@@ -379,7 +379,7 @@
   BOOST_TEST(tail.value().start_offset >= 0);
   BOOST_TEST(tail.value().end_offset >= tail.value().start_offset);
   for (const ports::KeyedRecord& record : tail.value().records) {
-    if (!record.fault.empty()) BOOST_TEST(record.value.empty());
+    if (!record.decode_error.empty()) BOOST_TEST(record.value.empty());
   }
 }
 
--- a/tests/gang_waiting_test.cc
+++ b/tests/gang_waiting_test.cc
@@ -141,7 +141,7 @@
                {.number = ++ends_,
                 .task = started[i].task,
                 .attempt = started[i].attempt,
-                .kind = i == failed ? EndKind::kFailed : EndKind::kBroken},
+                .kind = i == failed ? EndKind::kFailed : EndKind::kGangFailed},
                now_, orders);
     }
   }
--- a/tests/jobs_schedule_test.cc
+++ b/tests/jobs_schedule_test.cc
@@ -761,8 +761,8 @@
   };
   stopping.BeginShutdown();
   stopping.OnAdvise(call, note);
-  BOOST_TEST(stopping.open_advice() == 1);
-  stopping.EndIntake();
+  BOOST_TEST(stopping.advice_in_flight() == 1);
+  stopping.StopAccepting();
   // The leader hears at once that it has to ask elsewhere.
   stopping.OnAdvise(call, note);
   BOOST_REQUIRE_EQUAL(verdicts.size(), 1U);
@@ -770,7 +770,7 @@
   cell.RunFor(Millis(100));
   BOOST_REQUIRE_EQUAL(verdicts.size(), 2U);
   BOOST_TEST(verdicts[1] == 0);
-  BOOST_TEST(stopping.open_advice() == 0);
+  BOOST_TEST(stopping.advice_in_flight() == 0);
 }
 
 /// The store turns only the leader away. A job handed in right then is not
--- a/tests/jobsim/host_fake.cc
+++ b/tests/jobsim/host_fake.cc
@@ -91,7 +91,7 @@
   return out;
 }
 
-void HostsFake::CheckHolder(Host& host, const ports::UpkeepOrder& order,
+void HostsFake::CheckHolder(Host& host, const ports::MaintenanceOrder& order,
                             TimePoint sent) {
   if (order.fence == host.fence && order.holder != host.holder) {
     broken_.push_back("two holders with one token: " + order.host);
@@ -105,7 +105,7 @@
   host.held_since = sent;
 }
 
-ports::HostReply HostsFake::Begin(const ports::UpkeepOrder& order,
+ports::HostReply HostsFake::Begin(const ports::MaintenanceOrder& order,
                                   Millis held_up) {
   const bool late = held_up > Millis(0);
   const auto found = hosts_.find(order.host);
@@ -129,16 +129,16 @@
            request.hosts.end();
   };
   if (wave == waves_.end() || !holds(wave->second)) {
-    return {.verdict = HostVerdict::kNotOfWave};
+    return {.verdict = HostVerdict::kNotInWave};
   }
   if (host.begun.count(order.wave) > 0) return {.verdict = HostVerdict::kDone};
   if (host.state != HostState::kUp) return {.verdict = HostVerdict::kBusy};
   const auto away =
       std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& other) {
-        return other.second.state == HostState::kUpkeep &&
+        return other.second.state == HostState::kMaintenance &&
                other.second.away_for == order.wave;
       });
-  if (static_cast<size_t>(away) >= wave->second.most_at_once) {
+  if (static_cast<size_t>(away) >= wave->second.max_unavailable) {
     broken_.push_back("too many away at once: " + order.host);
   }
   if (!late) {
@@ -151,7 +151,7 @@
   ++begins_;
   host.begun.insert(order.wave);
   EndLife(host);
-  host.state = HostState::kUpkeep;
+  host.state = HostState::kMaintenance;
   host.away_for = order.wave;
   clock_.At(
       clock_.now() + kUpkeep,
@@ -208,8 +208,9 @@
   executor_.RunAfter(faults.delay, [done, page] { done(*page); });
 }
 
-void HostAccess::BeginUpkeep(const ports::UpkeepOrder& order, Millis timeout,
-                             std::function<void(ports::HostReply)> done) {
+void HostAccess::BeginMaintenance(const ports::MaintenanceOrder& order,
+                                  Millis timeout,
+                                  std::function<void(ports::HostReply)> done) {
   HostApiFaults& faults = hosts_.faults();
   hosts_.NoteCall(false);
   const auto lost = [&] {
--- a/tests/jobsim/host_fake.h
+++ b/tests/jobsim/host_fake.h
@@ -50,7 +50,7 @@
   ports::HostPage List(const std::string& after) const;
   /// `held_up`: how long it was on its way. What a late one ends is not laid to
   /// its sender, and holders take turns by when they sent, not by when it acts.
-  ports::HostReply Begin(const ports::UpkeepOrder& order,
+  ports::HostReply Begin(const ports::MaintenanceOrder& order,
                          Millis held_up = Millis(0));
 
   HostApiFaults& faults() { return faults_; }
@@ -89,7 +89,8 @@
     std::map<std::string, int64_t> refused;
   };
 
-  void CheckHolder(Host& host, const ports::UpkeepOrder& order, TimePoint sent);
+  void CheckHolder(Host& host, const ports::MaintenanceOrder& order,
+                   TimePoint sent);
   void EndLife(Host& host);
   void BeginLife(const std::string& name, int life);
 
@@ -106,15 +107,15 @@
 };
 
 /// One entry's way to the API of hosts, and to where waves are told of.
-class HostAccess final : public ports::HostPort, public ports::WaveBoardPort {
+class HostAccess final : public ports::HostPort, public ports::WaveStatusPort {
  public:
   HostAccess(HostsFake& hosts, Executor& executor)
       : hosts_(hosts), executor_(executor) {}
 
   void ListHosts(const std::string& after, Millis timeout,
                  Callback<ports::HostPage> done) override;
-  void BeginUpkeep(const ports::UpkeepOrder& order, Millis timeout,
-                   std::function<void(ports::HostReply)> done) override;
+  void BeginMaintenance(const ports::MaintenanceOrder& order, Millis timeout,
+                        std::function<void(ports::HostReply)> done) override;
   std::string status_table() const override;
   ports::KeyedRecord EncodeStatus(int64_t wave,
                                   ports::WaveStatus status) const override;
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -40,7 +40,7 @@
                 .peers = peers,
                 .metrics = metrics,
                 .hosts = cell.options_.hosts ? &hosts : nullptr,
-                .wave_board = &hosts},
+                .wave_status = &hosts},
             Options(name, cell.options_))) {
     entry->Start();
   }
--- a/tests/jobsim/store_fake.cc
+++ b/tests/jobsim/store_fake.cc
@@ -43,7 +43,7 @@
   wire::UpstreamRecord record;
   if (!out.listed) return out;
   if (!rpc::DecodeInto(value, record) || record.address.empty()) {
-    out.fault = "does not decode";
+    out.decode_error = "does not decode";
     return out;
   }
   out.pool = record.pool;
@@ -111,7 +111,7 @@
     return {.verdict = AppendVerdict::kRefused, .detail = "too large"};
   }
   Table& table = tables_[call.table];
-  if (call.only_at && *call.only_at != table.end) {
+  if (call.expected_end_offset && *call.expected_end_offset != table.end) {
     return {.verdict = AppendVerdict::kConflict, .end_offset = table.end};
   }
   if (call.writer) {
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -157,7 +157,7 @@
     const std::string& id) const {
   const auto found = upstreams_.find(id);
   if (found == upstreams_.end()) return std::nullopt;
-  if (found->second.life == Life::kReplaced) return CallVerdict::kGone;
+  if (found->second.life == Life::kReplaced) return CallVerdict::kReplaced;
   if (found->second.life == Life::kCrashed) return CallVerdict::kNotSent;
   return std::nullopt;
 }
@@ -280,7 +280,7 @@
   }
   upstream.fence = call.fence;
   if (call.lease_until_ms <= reply.clock_ms) {
-    reply.verdict = CallVerdict::kLeaseOver;
+    reply.verdict = CallVerdict::kLeaseExpired;
     return reply;
   }
   int64_t& last = upstream.last_attempt[call.task];
@@ -307,7 +307,8 @@
                 const auto& running = upstreams_[id].running;
                 const auto found = running.find(task);
                 if (found == running.end() || found->second.id != run) return;
-                if (!found->second.working) End(id, task, run, EndKind::kAlone);
+                if (!found->second.working)
+                  End(id, task, run, EndKind::kGangIncomplete);
               });
   }
   reply.verdict = CallVerdict::kDone;
@@ -386,7 +387,7 @@
       }
     }
     for (const auto& [member, member_run] : broken) {
-      End(other_id, member, member_run, EndKind::kBroken);
+      End(other_id, member, member_run, EndKind::kGangFailed);
     }
   }
 }
@@ -402,7 +403,8 @@
     }
     // What ended before counts as never ended, if nobody took note of it.
     upstream.last_before_lapse = upstream.last_end;
-    for (const auto& [task, run] : all) End(id, task, run, EndKind::kLapsed);
+    for (const auto& [task, run] : all)
+      End(id, task, run, EndKind::kLeaseExpired);
   });
 }
 
@@ -446,13 +448,13 @@
     Lapse(target.id);
   }
   for (const ports::EndedTask& end : upstream.ended) {
-    if (end.number <= call.ends_seen && end.kind == EndKind::kDone &&
+    if (end.number <= call.acked_ends && end.kind == EndKind::kDone &&
         end.number > upstream.last_before_lapse) {
       done_seen_.insert(end.task);
     }
   }
   std::erase_if(upstream.ended, [&](const ports::EndedTask& end) {
-    return end.number <= call.ends_seen;
+    return end.number <= call.acked_ends;
   });
   for (const auto& [task, run] : upstream.running) {
     const auto worked =
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -69,14 +69,14 @@
   StoreAccess store{fake, executor, "self", &machine};
   HeldGreetings peers;
   metrics::Registry metrics;
-  faults::EntryFaults faults{metrics};
+  faults::MalformedRecordReporter bad_records{metrics};
   leadership::LeadershipOptions options{.member = MemberAt("self"),
                                         .seeds = {"next:1"}};
   leadership::Leadership self{
       executor,
       store,
       peers,
-      faults,
+      bad_records,
       options,
       {.on_elected = [](int64_t) {},
        .on_leadership_lost = [] {},
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -16,8 +16,8 @@
 namespace {
 
 using maintenance::DecideWave;
+using maintenance::HostMaintenancePhase;
 using maintenance::HostView;
-using maintenance::UpkeepProgress;
 using maintenance::WaveDecision;
 using maintenance::WaveView;
 using ports::HostState;
@@ -71,7 +71,7 @@
 /// Three idle hosts, one at a time, a minute left.
 WaveView ThreeHosts() {
   WaveView out{.wave = kWave,
-               .most_at_once = 1,
+               .max_unavailable = 1,
                .time_left = Millis(60000),
                .free_millicores = 100000};
   for (const char* name : {"a", "b", "c"}) out.hosts.push_back({.host = name});
@@ -82,7 +82,7 @@
 
 BOOST_AUTO_TEST_CASE(AnIdleHostIsSentAndTheNextOneDrains) {
   const WaveDecision decision = DecideWave(ThreeHosts());
-  BOOST_TEST(decision.send == Names({"a"}));
+  BOOST_TEST(decision.start_maintenance == Names({"a"}));
   BOOST_TEST(decision.drain == Names({"a", "b"}));
   BOOST_CHECK(decision.status == WaveStatus::kRunning);
 }
@@ -91,35 +91,38 @@
 BOOST_AUTO_TEST_CASE(NoMoreThanAllowedAreAway) {
   struct Row {
     const char* what;
-    UpkeepProgress progress;
+    HostMaintenancePhase progress;
     HostState state;
     bool listed;
     bool another;
   };
   const std::vector<Row> rows{
-      {"ordered, nobody knows", UpkeepProgress::kOrdered, HostState::kUp, true,
-       false},
-      {"ordered, and gone from the list", UpkeepProgress::kOrdered,
-       HostState::kUnclear, false, false},
-      {"begun, still up in an old reading", UpkeepProgress::kBegun,
+      {"ordered, nobody knows", HostMaintenancePhase::kRequested,
        HostState::kUp, true, false},
-      {"begun, away", UpkeepProgress::kBegun, HostState::kUpkeep, true, false},
-      {"sent by somebody else", UpkeepProgress::kDue, HostState::kUpkeep, true,
-       false},
-      {"seen back", UpkeepProgress::kOver, HostState::kUp, true, true},
-      {"begun, left for good", UpkeepProgress::kBegun, HostState::kDown, false,
-       true},
-      {"crashed before its turn", UpkeepProgress::kDue, HostState::kDown, true,
+      {"ordered, and gone from the list", HostMaintenancePhase::kRequested,
+       HostState::kUnknown, false, false},
+      {"begun, still up in an old reading", HostMaintenancePhase::kInProgress,
+       HostState::kUp, true, false},
+      {"begun, away", HostMaintenancePhase::kInProgress,
+       HostState::kMaintenance, true, false},
+      {"sent by somebody else", HostMaintenancePhase::kPending,
+       HostState::kMaintenance, true, false},
+      {"seen back", HostMaintenancePhase::kCompleted, HostState::kUp, true,
        true},
+      {"begun, left for good", HostMaintenancePhase::kInProgress,
+       HostState::kDown, false, true},
+      {"crashed before its turn", HostMaintenancePhase::kPending,
+       HostState::kDown, true, true},
   };
   for (const Row& row : rows) {
     WaveView view = ThreeHosts();
     view.hosts[0].progress = row.progress;
     view.hosts[0].state = row.state;
     view.hosts[0].listed = row.listed;
-    view.hosts[0].waits = row.progress == UpkeepProgress::kOrdered;
+    view.hosts[0].on_hold = row.progress == HostMaintenancePhase::kRequested;
     const WaveDecision decision = DecideWave(view);
-    BOOST_TEST(decision.send.size() == (row.another ? 1U : 0U), row.what);
+    BOOST_TEST(decision.start_maintenance.size() == (row.another ? 1U : 0U),
+               row.what);
   }
 }
 
@@ -127,29 +130,33 @@
 BOOST_AUTO_TEST_CASE(CompleteOnlyWhenAllHaveBegun) {
   struct Row {
     const char* what;
-    UpkeepProgress progress;
+    HostMaintenancePhase progress;
     HostState state;
     bool listed;
     bool complete;
   };
   const std::vector<Row> rows{
-      {"due", UpkeepProgress::kDue, HostState::kUp, true, false},
-      {"crashed", UpkeepProgress::kDue, HostState::kDown, true, false},
-      {"away for another wave", UpkeepProgress::kDue, HostState::kUpkeep, true,
+      {"due", HostMaintenancePhase::kPending, HostState::kUp, true, false},
+      {"crashed", HostMaintenancePhase::kPending, HostState::kDown, true,
        false},
-      {"in doubt", UpkeepProgress::kOrdered, HostState::kUp, true, false},
-      {"in doubt, seen away", UpkeepProgress::kOrdered, HostState::kUpkeep,
-       true, false},
-      {"begun", UpkeepProgress::kBegun, HostState::kUpkeep, true, true},
-      {"back", UpkeepProgress::kOver, HostState::kUp, true, true},
-      {"left before its turn", UpkeepProgress::kDue, HostState::kUnclear, false,
-       true},
-      {"not of the wave", UpkeepProgress::kExcluded, HostState::kUp, true,
+      {"away for another wave", HostMaintenancePhase::kPending,
+       HostState::kMaintenance, true, false},
+      {"in doubt", HostMaintenancePhase::kRequested, HostState::kUp, true,
+       false},
+      {"in doubt, seen away", HostMaintenancePhase::kRequested,
+       HostState::kMaintenance, true, false},
+      {"begun", HostMaintenancePhase::kInProgress, HostState::kMaintenance,
+       true, true},
+      {"back", HostMaintenancePhase::kCompleted, HostState::kUp, true, true},
+      {"left before its turn", HostMaintenancePhase::kPending,
+       HostState::kUnknown, false, true},
+      {"not of the wave", HostMaintenancePhase::kExcluded, HostState::kUp, true,
        true},
   };
   for (const Row& row : rows) {
     WaveView view = ThreeHosts();
-    for (HostView& host : view.hosts) host.progress = UpkeepProgress::kOver;
+    for (HostView& host : view.hosts)
+      host.progress = HostMaintenancePhase::kCompleted;
     view.hosts[1].progress = row.progress;
     view.hosts[1].state = row.state;
     view.hosts[1].listed = row.listed;
@@ -170,9 +177,9 @@
                                          {Millis(4000), 3},
                                          {Millis(0), 3}}) {
     WaveView view = ThreeHosts();
-    view.most_at_once = 3;
+    view.max_unavailable = 3;
     view.time_left = row.left;
-    BOOST_TEST(DecideWave(view).send.size() == row.sent,
+    BOOST_TEST(DecideWave(view).start_maintenance.size() == row.sent,
                "time left " << row.left.count() << " ms");
   }
 }
@@ -184,24 +191,24 @@
   view.hosts[1].work = {.tasks = 3, .drained_in = Millis(300)};
   view.hosts[2].work = {.tasks = 2, .drained_in = Millis(4000)};
   WaveDecision decision = DecideWave(view);
-  BOOST_TEST(decision.send.empty());
+  BOOST_TEST(decision.start_maintenance.empty());
   BOOST_TEST(decision.drain == Names({"b", "c"}));
   // It keeps draining what it began to drain.
   view.hosts[2].draining = true;
   view.hosts[2].drained_for = Millis(2000);
   BOOST_TEST(DecideWave(view).drain == Names({"c", "b"}));
-  BOOST_TEST(DecideWave(view).clear.empty());
+  BOOST_TEST(DecideWave(view).evict.empty());
   // The drain takes too long: the work is stopped, the wave is in time. Until
   // it has ended the host does not go, whatever the time.
   view.hosts[2].drained_for = Millis(10000);
-  BOOST_TEST(DecideWave(view).clear == Names({"c"}));
+  BOOST_TEST(DecideWave(view).evict == Names({"c"}));
   view.time_left = Millis(0);
-  BOOST_TEST(DecideWave(view).send.empty());
+  BOOST_TEST(DecideWave(view).start_maintenance.empty());
   view.hosts[2].work = {};
-  BOOST_TEST(DecideWave(view).send == Names({"c"}));
+  BOOST_TEST(DecideWave(view).start_maintenance == Names({"c"}));
   // What is not known is not ended either.
   view.hosts[2].work = {.known = false};
-  BOOST_TEST(DecideWave(view).send.empty());
+  BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
 /// Without room elsewhere nothing drains ahead of its turn.
@@ -219,20 +226,20 @@
 /// What is in doubt is settled by ordering it again, and needs no new place.
 BOOST_AUTO_TEST_CASE(AnOrderInDoubtIsRepeated) {
   WaveView view = ThreeHosts();
-  view.hosts[2].progress = UpkeepProgress::kOrdered;
-  BOOST_TEST(DecideWave(view).send == Names({"c"}));
-  view.hosts[2].waits = true;
-  BOOST_TEST(DecideWave(view).send.empty());
+  view.hosts[2].progress = HostMaintenancePhase::kRequested;
+  BOOST_TEST(DecideWave(view).start_maintenance == Names({"c"}));
+  view.hosts[2].on_hold = true;
+  BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
 /// Two hosts look ordered where one may be away: they go one after the other.
 BOOST_AUTO_TEST_CASE(OrdersInDoubtKeepToTheLimitToo) {
   WaveView view = ThreeHosts();
-  view.hosts[1].progress = UpkeepProgress::kOrdered;
-  view.hosts[2].progress = UpkeepProgress::kOrdered;
-  BOOST_TEST(DecideWave(view).send == Names({"b"}));
-  view.hosts[1].progress = UpkeepProgress::kBegun;
-  BOOST_TEST(DecideWave(view).send.empty());
+  view.hosts[1].progress = HostMaintenancePhase::kRequested;
+  view.hosts[2].progress = HostMaintenancePhase::kRequested;
+  BOOST_TEST(DecideWave(view).start_maintenance == Names({"b"}));
+  view.hosts[1].progress = HostMaintenancePhase::kInProgress;
+  BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
 BOOST_AUTO_TEST_CASE(RecordsComeBackAsTheyWere) {
@@ -307,7 +314,7 @@
       {200, "", HostVerdict::kDone},
       {409, R"({"reason":"fence"})", HostVerdict::kFenced},
       {409, R"({"reason":"busy"})", HostVerdict::kBusy},
-      {409, R"({"reason":"wave"})", HostVerdict::kNotOfWave},
+      {409, R"({"reason":"wave"})", HostVerdict::kNotInWave},
       {409, "", HostVerdict::kBusy},
       {400, "{}", HostVerdict::kNoSuchHost},
       {429, "", HostVerdict::kRefused},
@@ -316,16 +323,17 @@
       {404, "", HostVerdict::kUnknown},
   };
   for (const Row& row : rows) {
-    const auto reply = platform::DecodeUpkeep(
+    const auto reply = platform::DecodeMaintenance(
         http::Response{.status = row.status, .body = row.body});
     BOOST_CHECK_MESSAGE(reply.verdict == row.verdict,
                         row.status << " " << row.body);
   }
   using Failed = Result<http::Response>;
-  BOOST_CHECK(platform::DecodeUpkeep(Failed(Errc::kUnavailable)).verdict ==
+  BOOST_CHECK(platform::DecodeMaintenance(Failed(Errc::kUnavailable)).verdict ==
               HostVerdict::kRefused);
-  BOOST_CHECK(platform::DecodeUpkeep(Failed(Errc::kDisconnected)).verdict ==
-              HostVerdict::kUnknown);
+  BOOST_CHECK(
+      platform::DecodeMaintenance(Failed(Errc::kDisconnected)).verdict ==
+      HostVerdict::kUnknown);
 }
 
 BOOST_AUTO_TEST_CASE(ListsOfHostsAreRead) {
@@ -338,8 +346,8 @@
       R"("nextToken":"t"})");
   BOOST_REQUIRE(page.ok());
   BOOST_REQUIRE(page.value().hosts.size() == 2);
-  BOOST_CHECK(page.value().hosts[0].state == HostState::kUpkeep);
-  BOOST_CHECK(page.value().hosts[1].state == HostState::kUnclear);
+  BOOST_CHECK(page.value().hosts[0].state == HostState::kMaintenance);
+  BOOST_CHECK(page.value().hosts[1].state == HostState::kUnknown);
   BOOST_TEST(page.value().hosts[1].upstream == "w");
   BOOST_TEST(page.value().next == "t");
   // Taken for an empty list, these would say that every host has left.
@@ -357,7 +365,7 @@
   BOOST_TEST(wave.value().wave == 3);
   BOOST_TEST(wave.value().hosts == Names({"m1", "m2"}));
   BOOST_TEST(wave.value().duration.count() == 20500);
-  BOOST_TEST(wave.value().most_at_once == 2U);
+  BOOST_TEST(wave.value().max_unavailable == 2U);
   BOOST_TEST(!platform::DecodeWave(R"({"wave":3})").ok());
   BOOST_TEST(!platform::DecodeWave(R"({"machines":["m"]})").ok());
   BOOST_TEST(platform::WaveKey(3) == "wave/3");
@@ -375,7 +383,7 @@
   return {.wave = number,
           .hosts = std::move(hosts),
           .duration = duration,
-          .most_at_once = most};
+          .max_unavailable = most};
 }
 
 const Names kAll{"host-0", "host-1", "host-2", "host-3", "host-4", "host-5"};
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -185,7 +185,7 @@
       DecodeNewest(R"({"items":[{"key":"a","value":"*"}],"endOffset":6})");
   BOOST_REQUIRE(odd.ok());
   BOOST_REQUIRE_EQUAL(odd.value().records.size(), 1U);
-  BOOST_TEST(!odd.value().records[0].fault.empty());
+  BOOST_TEST(!odd.value().records[0].decode_error.empty());
   BOOST_TEST(odd.value().records[0].value.empty());
   BOOST_TEST(!DecodeNewest(R"({"items":[{"key":"a","value":"*"}]})").ok());
   BOOST_TEST(!DecodeNewest("no").ok());
@@ -240,10 +240,11 @@
        {Row{200, R"({"clockMs":5})", CallVerdict::kDone},
         Row{409, R"({"reason":"fence"})", CallVerdict::kFenced},
         Row{409, R"({"reason":"old"})", CallVerdict::kStale},
-        Row{409, R"({"reason":"late"})", CallVerdict::kLeaseOver},
-        Row{409, R"({"reason":"room"})", CallVerdict::kNoRoom},
+        Row{409, R"({"reason":"late"})", CallVerdict::kLeaseExpired},
+        Row{409, R"({"reason":"room"})", CallVerdict::kNoCapacity},
         Row{409, R"({"reason":"ticket"})", CallVerdict::kBadTicket},
-        Row{421, "", CallVerdict::kGone}, Row{429, "", CallVerdict::kUnhealthy},
+        Row{421, "", CallVerdict::kReplaced},
+        Row{429, "", CallVerdict::kUnhealthy},
         Row{503, "", CallVerdict::kUnhealthy},
         Row{400, "", CallVerdict::kMalformed},
         Row{500, "", CallVerdict::kUnknown},
@@ -272,7 +273,7 @@
   const auto report = DecodeRenew(Answer(200, good));
   BOOST_TEST((report.call.verdict == CallVerdict::kDone));
   BOOST_TEST(report.running.at(0).percent == 41);
-  BOOST_TEST((report.ended.at(0).kind == ports::EndKind::kLapsed));
+  BOOST_TEST((report.ended.at(0).kind == ports::EndKind::kLeaseExpired));
   BOOST_TEST(report.ended.at(0).number == 58);
   for (const char* bad :
        {R"({"running":[["x",2,"c",41]]})", R"({"running":[[1,2]]})",
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -341,7 +341,7 @@
   const Orders first = b.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 2U);
   b.End(first.starts[0], EndKind::kFailed);
-  b.End(first.starts[1], EndKind::kBroken);
+  b.End(first.starts[1], EndKind::kGangFailed);
   b.s.pool().NoteSuccess(first.starts[0].upstream);
   b.now += Millis(500);
   const Orders again = b.Place();
@@ -598,7 +598,7 @@
   b.s.Add(fill, b.now, 0);
   std::vector<StartOrder> running = b.Place().starts;
   BOOST_REQUIRE_EQUAL(running.size(), 2U);
-  b.End(first.starts[1], EndKind::kBroken);
+  b.End(first.starts[1], EndKind::kGangFailed);
   b.End(first.starts[0], EndKind::kFailed);
   size_t gang_starts = 0;
   JobId next = 3;
@@ -870,7 +870,7 @@
   BOOST_TEST(lanes.Take(1, now) == "a");
   lanes.Free("a", true, now);
   BOOST_TEST(lanes.Take(1, now).empty());
-  now += coordinator::AdviceLanes::kRest;
+  now += coordinator::AdviceLanes::kFailureBackoff;
   BOOST_TEST(lanes.Take(1, now) == "a");
 }
 
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -29,19 +29,19 @@
 Outcome Stop(const ShutdownOptions& options, Millis answer_takes) {
   std::vector<Millis> answered_at;
   ShutdownView view;
-  for (;; view.waited += Millis(1)) {
-    const auto now = view.waited;
+  for (;; view.elapsed += Millis(1)) {
+    const auto now = view.elapsed;
     answered_at.erase(std::remove_if(answered_at.begin(), answered_at.end(),
                                      [now](Millis at) { return at <= now; }),
                       answered_at.end());
-    if (!view.intake_ended && now.count() % kArrivalGap.count() == 0) {
+    if (!view.accepting_stopped && now.count() % kArrivalGap.count() == 0) {
       answered_at.push_back(now + answer_takes);
     }
     view.open_requests = static_cast<int64_t>(answered_at.size());
     view.connections = answered_at.size();
     if (now.count() % kLook.count() != 0) continue;
     const ShutdownStep step = NextStep(options, view);
-    if (step == ShutdownStep::kEndIntake) view.intake_ended = true;
+    if (step == ShutdownStep::kStopAccepting) view.accepting_stopped = true;
     if (step == ShutdownStep::kEnd) {
       return {.ended = now, .unanswered = answered_at.size()};
     }
@@ -162,8 +162,9 @@
       const Outcome outcome = Stop({}, answer);
       BOOST_TEST(outcome.unanswered == 0U);
       // It is back the sooner: callers who are refused go elsewhere.
-      BOOST_TEST(outcome.ended.count() <=
-                 (ShutdownOptions().unready + answer + 3 * kLook).count());
+      BOOST_TEST(
+          outcome.ended.count() <=
+          (ShutdownOptions().unready_period + answer + 3 * kLook).count());
     }
   }
 }
@@ -180,7 +181,7 @@
 BOOST_AUTO_TEST_CASE(AfterItsIntakeAServerRefuses) {
   HeldServer held;
   held.server().BeginShutdown();
-  held.server().EndIntake();
+  held.server().StopAccepting();
   BOOST_TEST(ComesToRefuse(held));
   BOOST_TEST(held.server().open_requests() == 0);
 }
@@ -202,7 +203,7 @@
   BOOST_REQUIRE(!error);
   Send(partial, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /3 HT");
   held.WaitForHeld(2);
-  held.server().EndIntake();
+  held.server().StopAccepting();
   BOOST_REQUIRE(ComesToRefuse(held));
   BOOST_TEST(ReadToEnd(idle).empty());
   Send(partial, "TP/1.1\r\nHost: a\r\n\r\n");
@@ -251,7 +252,7 @@
   held.WaitForHeld(1);
   held.AnswerAll();
   std::this_thread::sleep_for(Millis(50));
-  held.server().EndIntake();
+  held.server().StopAccepting();
   held.Stall(Millis(400));
   std::this_thread::sleep_for(Millis(50));
   Send(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
--- a/tests/traffic_test.cc
+++ b/tests/traffic_test.cc
@@ -99,7 +99,7 @@
   Traffic traffic;
   Registry registry;
   traffic.Count("/hold", Direction::kOut, 120);
-  ShowTraffic(traffic, registry);
+  ExportTraffic(traffic, registry);
   const std::string text = registry.Text();
   BOOST_TEST(text.find("mimosarail_traffic_bytes{direction=\"out\","
                        "message=\"/hold\"} 120\n") != std::string::npos);
--- a/tests/upstream_link_test.cc
+++ b/tests/upstream_link_test.cc
@@ -48,7 +48,7 @@
     ended.insert(ended.end(), fresh.begin(), fresh.end());
   }
   void OnReachable(UpstreamIndex, bool) override {}
-  void OnEmpty(UpstreamIndex, scheduling::UpstreamLoss) override {}
+  void OnAllRunsEnded(UpstreamIndex, scheduling::UpstreamLoss) override {}
   void OnStartReply(const scheduling::StartOrder&,
                     const ports::CallReply& reply) override {
     starts.push_back(reply.verdict);
@@ -132,16 +132,16 @@
   link->Open();
   Answer(0, 1000, {}, DoneEnds(1, kEndsAnAnswer), true);
   BOOST_TEST(told.ended.size() == static_cast<size_t>(kEndsAnAnswer));
-  BOOST_TEST(!link->settled());
+  BOOST_TEST(!link->reconciled());
   Answer(1, 1010, {}, DoneEnds(1, kEndsAnAnswer), true);
-  BOOST_TEST(!link->settled());
-  link->EndsSafe(kEndsAnAnswer);
+  BOOST_TEST(!link->reconciled());
+  link->AcknowledgeEnds(kEndsAnAnswer);
   clock.RunFor(Millis(300));
   BOOST_REQUIRE_EQUAL(calls.renewals.size(), 3U);
-  BOOST_TEST(calls.renewals[2].call.ends_seen == kEndsAnAnswer);
+  BOOST_TEST(calls.renewals[2].call.acked_ends == kEndsAnAnswer);
   Answer(2, 1300, {}, DoneEnds(kEndsAnAnswer + 1, kEndsAnAnswer + 3));
   BOOST_TEST(told.ended.size() == static_cast<size_t>(kEndsAnAnswer + 3));
-  BOOST_TEST(link->settled());
+  BOOST_TEST(link->reconciled());
 }
 
 /// Guards against a second start of a task that ended beyond them.
@@ -155,7 +155,7 @@
   Answer(raised, 1020, {}, DoneEnds(1, kEndsAnAnswer), true);
   BOOST_TEST(told.starts.empty());
   if (raised > 1) Answer(1, 1030, {}, DoneEnds(1, kEndsAnAnswer), true);
-  link->EndsSafe(kEndsAnAnswer);
+  link->AcknowledgeEnds(kEndsAnAnswer);
   clock.RunFor(Millis(300));
   BOOST_REQUIRE(calls.renewals.size() > raised + 1);
   Answer(calls.renewals.size() - 1, 1300, {},
