--- a/bench/arrivals.h
+++ b/bench/arrivals.h
@@ -18,9 +18,9 @@
   placement::Amount size;
   int tasks = 1;
   int priority = 4;
-  double arrives = 0;   ///< Seconds.
-  double runs = 0;      ///< Seconds, in truth.
-  double declared = 0;  ///< Seconds, as the caller says.
+  double arrival_time = 0;       ///< Seconds.
+  double run_time = 0;           ///< Seconds, in truth.
+  double declared_run_time = 0;  ///< Seconds, as the caller says.
   std::string team;
   bool repeatable = true;
 };
@@ -35,7 +35,7 @@
   bool overnight = false;      ///< Half of the batch work comes in one minute.
   double gang_share = 0.1;     ///< Of the offered core-seconds.
   double failing = 0;          ///< Share of upstreams that fail everything.
-  bool rack_lost = false;      ///< One rack dies in the middle.
+  bool rack_outage = false;    ///< One rack dies in the middle.
 };
 
 /// Jobs of a load on `cores` cores, in order of arrival. Seeded.
@@ -51,11 +51,11 @@
   while (offered < wanted) {
     Job job;
     const double pick = uniform(0, 1);
-    job.arrives = uniform(0, load.seconds);
+    job.arrival_time = uniform(0, load.seconds);
     if (pick < 0.5) {
       job.kind = JobKind::kUrgent;
       job.size = {{500, 256, 0, 1, 1}};
-      job.runs = uniform(0.2, 3);
+      job.run_time = uniform(0.2, 3);
       job.priority = 0;
       job.team = "field";
       job.repeatable = false;
@@ -63,13 +63,13 @@
       job.kind = JobKind::kGang;
       job.tasks = 4 + static_cast<int>(random() % 13);
       job.size = {{4000, 6000, 0, 1, 1}};
-      job.runs = uniform(30, 120);
+      job.run_time = uniform(30, 120);
       job.priority = 3;
       job.team = "studio";
     } else if (pick < 0.6) {
       job.kind = JobKind::kService;
       job.size = {{1000, 2000, 0, 4, 1}};
-      job.runs = uniform(300, 900);
+      job.run_time = uniform(300, 900);
       job.priority = 2;
       job.team = "portal";
     } else {
@@ -79,19 +79,19 @@
       job.size = {
           {cores_each * 1000, cores_each * gb_per_core * 1024, 0, 1, 1}};
       if (random() % 50 == 0) job.size[placement::Dimension::kAccelerators] = 1;
-      job.runs = uniform(10, 180);
+      job.run_time = uniform(10, 180);
       job.priority = 4 + static_cast<int>(random() % 3);
       job.team = "batch-" + std::to_string(random() % 6);
       if (load.overnight && random() % 2 == 0) {
-        job.arrives = uniform(0, 60);
+        job.arrival_time = uniform(0, 60);
       }
     }
-    job.declared = job.runs;
+    job.declared_run_time = job.run_time;
     if (load.declared_spread > 1) {
-      job.declared *= uniform(0.3, load.declared_spread);
+      job.declared_run_time *= uniform(0.3, load.declared_spread);
     }
-    offered +=
-        job.size[placement::Dimension::kCores] / 1000.0 * job.tasks * job.runs;
+    offered += job.size[placement::Dimension::kCores] / 1000.0 * job.tasks *
+               job.run_time;
     jobs.push_back(job);
   }
   if (load.burst) {
@@ -99,17 +99,18 @@
       Job job;
       job.kind = JobKind::kUrgent;
       job.size = {{500, 256, 0, 1, 1}};
-      job.runs = uniform(0.2, 1);
-      job.declared = job.runs;
-      job.arrives = load.seconds / 2 + uniform(0, 0.5);
+      job.run_time = uniform(0.2, 1);
+      job.declared_run_time = job.run_time;
+      job.arrival_time = load.seconds / 2 + uniform(0, 0.5);
       job.priority = 0;
       job.team = "field";
       job.repeatable = false;
       jobs.push_back(job);
     }
   }
-  std::sort(jobs.begin(), jobs.end(),
-            [](const Job& a, const Job& b) { return a.arrives < b.arrives; });
+  std::sort(jobs.begin(), jobs.end(), [](const Job& a, const Job& b) {
+    return a.arrival_time < b.arrival_time;
+  });
   return jobs;
 }
 
--- a/bench/leader_bench.cc
+++ b/bench/leader_bench.cc
@@ -56,9 +56,9 @@
   spec.queue.ticket_valid_ms = 1500;
   spec.steps[0].estimate_ms = kind.millis;
   for (int32_t i = 0; i < kind.tasks; ++i) {
-    const auto takes = static_cast<int64_t>(kind.millis / 2) +
-                       static_cast<int64_t>(random() % kind.millis);
-    cell.upstreams().script({id, 0, 0, i}).takes = Millis(takes);
+    const auto run_time = static_cast<int64_t>(kind.millis / 2) +
+                          static_cast<int64_t>(random() % kind.millis);
+    cell.upstreams().behavior({id, 0, 0, i}).run_time = Millis(run_time);
   }
   const auto names = cell.names();
   cell.Submit(names[random() % names.size()], spec);
--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -75,17 +75,18 @@
 
   Figures Run() {
     size_t next = 0;
-    bool rack_lost = false;
+    bool rack_outage = false;
     while (next < jobs_.size() || !ends_.empty()) {
-      double when = next < jobs_.size() ? jobs_[next].arrives : 1e18;
+      double when = next < jobs_.size() ? jobs_[next].arrival_time : 1e18;
       if (!ends_.empty()) when = std::min(when, ends_.top().when);
       Advance(when);
       if (when > load_.seconds * 4) break;
-      if (load_.rack_lost && !rack_lost && when > load_.seconds / 2) {
-        rack_lost = true;
+      if (load_.rack_outage && !rack_outage && when > load_.seconds / 2) {
+        rack_outage = true;
         LoseRack();
       }
-      while (next < jobs_.size() && jobs_[next].arrives <= now_) Arrive(next++);
+      while (next < jobs_.size() && jobs_[next].arrival_time <= now_)
+        Arrive(next++);
       while (!ends_.empty() && ends_.top().when <= now_) End();
       Drain();
     }
@@ -126,14 +127,14 @@
     item.id = index;
     item.priority = contender_.product ? job.priority : 4;
     item.team = contender_.product ? job.team : "all";
-    item.since = At(job.arrives);
-    item.core_seconds =
-        contender_.product
-            ? job.size[Dimension::kCores] / 1000.0 * job.tasks * job.declared
-            : 0;
+    item.since = At(job.arrival_time);
+    item.core_seconds = contender_.product
+                            ? job.size[Dimension::kCores] / 1000.0 * job.tasks *
+                                  job.declared_run_time
+                            : 0;
     item.shape = Shape(job);
     item.large = job.tasks > 1 || job.size[Dimension::kCores] >= 8000;
-    item.declared = Millis(static_cast<int64_t>(job.declared * 1000));
+    item.declared = Millis(static_cast<int64_t>(job.declared_run_time * 1000));
     queue_.Push(item);
   }
 
@@ -189,8 +190,9 @@
     Running running{.job = index, .rows = std::move(rows), .serial = ++serial_};
     running.fails = std::any_of(running.rows.begin(), running.rows.end(),
                                 [&](RowId row) { return row < failing_; });
-    running.when = now_ + (running.fails ? kFailAfter : job.runs);
-    if (!running.fails) figures_.waits[job.kind].push_back(now_ - job.arrives);
+    running.when = now_ + (running.fails ? kFailAfter : job.run_time);
+    if (!running.fails)
+      figures_.waits[job.kind].push_back(now_ - job.arrival_time);
     ends_.push(std::move(running));
   }
 
@@ -396,7 +398,7 @@
            {.name = "gangs", .utilisation = 0.95, .gang_share = 0.3},
            {.name = "wrong_sizes", .utilisation = 0.9, .declared_spread = 5},
            {.name = "failing_10", .utilisation = 0.8, .failing = 0.1},
-           {.name = "rack_lost", .utilisation = 0.8, .rack_lost = true}}) {
+           {.name = "rack_lost", .utilisation = 0.8, .rack_outage = true}}) {
     mimosarail::bench::RunLoad(load, 6, 16);
   }
   mimosarail::bench::RunLoad({.name = "dalmatia_110", .utilisation = 1.1}, 6,
--- a/tests/accepted_jobs_test.cc
+++ b/tests/accepted_jobs_test.cc
@@ -14,7 +14,7 @@
 
 #include "src/coordinator/job_table.h"
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -29,7 +29,7 @@
 /// Until all that is owed is done once everything has healed: leases and trust
 /// of earlier leaders run out, and what waits runs.
 constexpr Millis kCalm{40000};
-constexpr Millis kLook{500};
+constexpr Millis kPollInterval{500};
 /// Every entry has answered within this: callers wait 3 s, and one call to the
 /// leader takes a second at most.
 constexpr Millis kAnswerWait{4000};
@@ -73,12 +73,12 @@
 /// stood still.
 void CheckOneAnswerEach(const JobCell& cell) {
   for (const CallerCall& call : cell.calls()) {
-    const bool owed = !call.broken_off;
+    const bool owed = !call.connection_lost;
     BOOST_CHECK_MESSAGE(call.answers <= 1,
                         "answered more than once: " << CallText(call));
     BOOST_CHECK_MESSAGE(!owed || call.answers == 1,
                         "never answered: " << CallText(call));
-    const bool late = call.answers > 0 && !call.held_up &&
+    const bool late = call.answers > 0 && !call.entry_paused &&
                       call.ended - call.sent > kAnswerWait;
     BOOST_CHECK_MESSAGE(!late, "answered too late: " << CallText(call));
   }
@@ -113,7 +113,7 @@
   auto told = std::make_shared<Told>();
   for (const std::string& name : cell.names()) {
     for (const JobId id : jobs) {
-      cell.AskState(name, id, [told, name, id](jobentry::JobAnswer answer) {
+      cell.QueryState(name, id, [told, name, id](jobentry::JobAnswer answer) {
         (*told)[{name, id}] = answer;
       });
     }
@@ -123,7 +123,7 @@
 }
 
 bool AllFinal(JobCell& cell, const std::set<JobId>& jobs) {
-  const auto told = AskAll(cell, jobs, kLook);
+  const auto told = AskAll(cell, jobs, kPollInterval);
   return told->size() == jobs.size() * cell.names().size() &&
          std::all_of(told->begin(), told->end(), [](const auto& row) {
            return row.second.verdict == JobVerdict::kDone &&
@@ -175,7 +175,7 @@
 
 /// The promises made to callers, once nothing fails any more: at once, and
 /// again from what is stored alone.
-void CheckPromises(JobCell& cell) {
+void CheckInvariants(JobCell& cell) {
   for (const std::string& name : cell.names()) {
     if (cell.entry(name) == nullptr) cell.Restart(name);
   }
@@ -183,7 +183,7 @@
   const std::set<JobId> jobs = Accepted(cell);
   const TimePoint until = cell.clock().now() + kCalm;
   while (cell.clock().now() < until && !AllFinal(cell, jobs)) {
-    cell.RunFor(kLook);
+    cell.RunFor(kPollInterval);
   }
   CheckKnown(cell, jobs, "in the end");
   CheckOneAnswerEach(cell);
@@ -191,7 +191,7 @@
   for (const std::string& name : cell.names()) cell.Restart(name);
   cell.RunFor(kSettle);
   CheckKnown(cell, jobs, "after a restart of all");
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 std::string SomeFollower(JobCell& cell, const std::string& leader) {
@@ -209,7 +209,7 @@
   int64_t cancelled = 0;
   int64_t denied = 0;
   int64_t repeats = 0;
-  int64_t broken_off = 0;
+  int64_t connection_lost = 0;
   int64_t terms = 0;
   int64_t out_of_order = 0;
 };
@@ -234,7 +234,7 @@
     // Callers go on until each knows what became of its job.
     constexpr int kLastSteps = 20;
     for (int i = 0; i < kLastSteps; ++i) Pass(Millis(200));
-    CheckPromises(cell_);
+    CheckInvariants(cell_);
     CheckCancels();
     CheckDenied();
     Count();
@@ -263,7 +263,8 @@
       const JobId id = 0xace0000 + hand_ins_.size();
       HandIn job;
       job.spec = OneStepJob(id, 1, kMillicores);
-      cell_.upstreams().script({id, 0, 0, 0}).takes = Millis(50 + Pick(600));
+      cell_.upstreams().behavior({id, 0, 0, 0}).run_time =
+          Millis(50 + Pick(600));
       hand_ins_.push_back(job);
       Send(hand_ins_.back());
     }
@@ -282,8 +283,8 @@
     constexpr Millis kStep{25};
     while (Now() < until) {
       cell_.RunFor(kStep);
-      if (cell_.store().faults().append_takes > kQuick) {
-        cell_.upstreams().NoteDisturbance();
+      if (cell_.store().faults().append_latency > kQuick) {
+        cell_.upstreams().RecordFault();
       }
       for (HandIn& job : hand_ins_) Look(job);
       NoteCancels();
@@ -303,7 +304,7 @@
         call.answers == 0 && Now() - call.sent > kCallerPatience;
     const bool unknown =
         call.answers > 0 && call.verdict == JobVerdict::kUnknown;
-    if (call.broken_off || unknown || silent) {
+    if (call.connection_lost || unknown || silent) {
       job.again_at = Now() + Millis(Pick(300));
     } else if (call.answers > 0) {
       Settle(job, call.verdict);
@@ -323,7 +324,7 @@
 
   void HandInAgain(HandIn& job) {
     const auto id = static_cast<JobId>(job.spec.id);
-    const bool ran_unasked = cell_.refused(id) && cell_.upstreams().Ran(id);
+    const bool ran_unasked = cell_.refused(id) && cell_.upstreams().HasRun(id);
     BOOST_CHECK_MESSAGE(!ran_unasked, "refused, and ran: " << JobIdText(id));
     Send(job);
   }
@@ -350,7 +351,7 @@
     for (size_t i = 0; i < calls.size(); ++i) {
       const CallerCall& call = calls[i];
       if (call.job != id || call.kind != CallKind::kSubmit) continue;
-      const bool ended = call.answers > 0 || call.broken_off;
+      const bool ended = call.answers > 0 || call.connection_lost;
       if (!ended || call.ended > calls[cancel].ended || i > cancel) return true;
     }
     return false;
@@ -361,7 +362,7 @@
   void NoteDenied() {
     std::erase_if(cancels_, [this](size_t at) {
       const CallerCall& call = cell_.calls()[at];
-      if (call.answers == 0) return call.broken_off;
+      if (call.answers == 0) return call.connection_lost;
       const bool denied = call.verdict == JobVerdict::kNoSuchJob;
       if (denied && !HandInOpen(at)) {
         denied_[call.job] = cell_.upstreams().Starts({call.job, 0, 0, 0});
@@ -405,7 +406,7 @@
       tally.refused += cell_.refused(id) ? 1 : 0;
     }
     for (const CallerCall& call : cell_.calls()) {
-      tally.broken_off += call.broken_off ? 1 : 0;
+      tally.connection_lost += call.connection_lost ? 1 : 0;
       tally.repeats += call.kind == CallKind::kSubmit ? 1 : 0;
     }
     tally.repeats -= static_cast<int64_t>(hand_ins_.size());
@@ -437,9 +438,10 @@
         return cell_.clock().At(Now() + Millis(300 + Pick(4000)),
                                 [this, name] { cell_.Resume(name); });
       case 3:
-        cell_.Cut(name, true);
-        return cell_.clock().At(Now() + Millis(300 + Pick(3000)),
-                                [this, name] { cell_.Cut(name, false); });
+        cell_.SetIsolated(name, true);
+        return cell_.clock().At(Now() + Millis(300 + Pick(3000)), [this, name] {
+          cell_.SetIsolated(name, false);
+        });
       default:
         if (cell_.entry(name) == nullptr) return;
         cell_.entry(name)->BeginShutdown();
@@ -480,14 +482,14 @@
 
   void SlowStore() {
     StoreFaults& store = cell_.store().faults();
-    store.append_takes = Millis(60 + Pick(Chance(30) ? 940 : 240));
+    store.append_latency = Millis(60 + Pick(Chance(30) ? 940 : 240));
     store.jitter = Millis(150 + Pick(500));
     store.refused_percent = Chance(30) ? Pick(30) : 0;
   }
 
   void QuickStore() {
     StoreFaults& store = cell_.store().faults();
-    store.append_takes = kQuick;
+    store.append_latency = kQuick;
     store.jitter = Millis(0);
     store.refused_percent = 0;
   }
@@ -504,18 +506,18 @@
       case 4:
         return QuickStore();
       case 5:
-        store.lose_answers = static_cast<int>(Pick(4));
+        store.drop_replies = static_cast<int>(Pick(4));
         return;
       case 6:
-        store.late_appends = static_cast<int>(1 + Pick(2));
-        store.late_by = Millis(100 + Pick(3500));
+        store.delayed_appends = static_cast<int>(1 + Pick(2));
+        store.execution_delay = Millis(100 + Pick(3500));
         return;
       case 7:
-        store.turned_away.insert(leader.empty() || Chance(50) ? SomeEntry()
-                                                              : leader);
+        store.partitioned_entries.insert(
+            leader.empty() || Chance(50) ? SomeEntry() : leader);
         return;
       case 8:
-        store.turned_away.clear();
+        store.partitioned_entries.clear();
         store.down = false;
         return;
       case 9:
@@ -533,7 +535,7 @@
     cell_.store().faults() = {};
     for (const std::string& name : cell_.names()) {
       cell_.Resume(name);
-      cell_.Cut(name, false);
+      cell_.SetIsolated(name, false);
       const bool stops = stopping_.count(name) > 0;
       if (stops || cell_.entry(name) == nullptr) Restart(name);
     }
@@ -556,11 +558,11 @@
 };
 
 /// Callers hand in a job at a follower every few milliseconds.
-void HandInFor(JobCell& cell, JobId first, Millis span, Millis takes) {
+void HandInFor(JobCell& cell, JobId first, Millis span, Millis run_time) {
   constexpr Millis kGap{20};
   const std::string entry = SomeFollower(cell, cell.Leader());
   for (Millis passed{0}; passed < span; passed += kGap) {
-    cell.upstreams().script({first, 0, 0, 0}).takes = takes;
+    cell.upstreams().behavior({first, 0, 0, 0}).run_time = run_time;
     cell.Submit(entry, OneStepJob(first++, 1, kMillicores));
     cell.RunFor(kGap);
   }
@@ -582,7 +584,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Guards against answers that a change of leaders or a bad store makes untrue.
 BOOST_DATA_TEST_CASE(WhatWasAnsweredHolds,
@@ -597,15 +599,15 @@
                              << ", refused " << tally.refused << ", cancelled "
                              << tally.cancelled << ", denied " << tally.denied
                              << ", repeats " << tally.repeats << ", broken off "
-                             << tally.broken_off << ", terms " << tally.terms
-                             << ", appends out of order "
+                             << tally.connection_lost << ", terms "
+                             << tally.terms << ", appends out of order "
                              << tally.out_of_order);
   BOOST_TEST(tally.accepted >= 100 * tally.days);
   BOOST_TEST(tally.refused >= 2 * tally.days);
   BOOST_TEST(tally.cancelled >= tally.days);
   BOOST_TEST(tally.denied >= tally.days);
   BOOST_TEST(tally.repeats >= 20 * tally.days);
-  BOOST_TEST(tally.broken_off >= 10 * tally.days);
+  BOOST_TEST(tally.connection_lost >= 10 * tally.days);
   BOOST_TEST(tally.terms >= 6 * tally.days);
   BOOST_TEST(tally.out_of_order >= tally.days);
 }
@@ -617,9 +619,9 @@
   JobCell cell({});
   cell.RunFor(kSettle);
   StoreFaults& store = cell.store().faults();
-  store.append_takes = 2 * kUsual;
+  store.append_latency = 2 * kUsual;
   cell.Kill(cell.Leader());
-  store.ways_there[kJobTable] = {kUsual, kLong, kUsual};
+  store.append_request_delays[kJobTable] = {kUsual, kLong, kUsual};
   AwaitLeader(cell);
   HandInFor(cell, 0xfa0000, Millis(2000), Millis(5000));
   store = {};
@@ -628,7 +630,7 @@
   for (const JobId id : accepted) CheckStored(cell, id);
   // What only this leader's memory holds goes with it.
   ReplaceLeader(cell);
-  CheckPromises(cell);
+  CheckInvariants(cell);
 }
 
 /// Guards against a second run, or no answer, when a leader dies storing.
@@ -636,7 +638,7 @@
   constexpr JobId kJob = 0xfb0000;
   JobCell cell({});
   cell.RunFor(kSettle);
-  cell.store().faults().append_takes = Millis(400);
+  cell.store().faults().append_latency = Millis(400);
   cell.Submit(SomeFollower(cell, cell.Leader()),
               OneStepJob(kJob, 1, kMillicores));
   const std::string key = coordinator::SpecKey(kJob);
@@ -648,7 +650,7 @@
   cell.store().faults() = {};
   cell.RunFor(kSettle);
   BOOST_TEST(cell.accepted(kJob));
-  CheckPromises(cell);
+  CheckInvariants(cell);
   BOOST_TEST(cell.upstreams().Starts({kJob, 0, 0, 0}) == 1);
 }
 
@@ -662,7 +664,7 @@
       HandInFor(cell, 0xfc0000, Millis(400), Millis(5000));
       const size_t before = Accepted(cell).size();
       BOOST_REQUIRE(before > 0U);
-      cell.store().faults().append_takes = Millis(400);
+      cell.store().faults().append_latency = Millis(400);
       ReplaceLeader(cell);
       const std::string second = cell.Leader();
       cell.RunFor(Millis(100));
@@ -682,7 +684,7 @@
       cell.store().faults() = {};
       cell.RunFor(kSettle);
       BOOST_TEST(Accepted(cell).size() > before);
-      CheckPromises(cell);
+      CheckInvariants(cell);
     }
   }
 }
@@ -700,8 +702,8 @@
   const std::string entry = SomeFollower(cell, first);
   const wire::JobSpec repeated = OneStepJob(kRepeated, 1, kMillicores);
   const wire::JobSpec undone = OneStepJob(kUndone, 1, kMillicores);
-  cell.upstreams().script({kUndone, 0, 0, 0}).takes = Millis(9000);
-  cell.store().faults().ways_there[kJobTable] = {Millis(late_ms)};
+  cell.upstreams().behavior({kUndone, 0, 0, 0}).run_time = Millis(9000);
+  cell.store().faults().append_request_delays[kJobTable] = {Millis(late_ms)};
   cell.Submit(first, repeated);
   cell.Submit(first, undone);
   cell.RunFor(Millis(100));
@@ -719,7 +721,7 @@
   BOOST_TEST(cell.cancelled(kUndone));
   cell.Resume(first);
   cell.RunFor(kSettle);
-  CheckPromises(cell);
+  CheckInvariants(cell);
   BOOST_TEST((cell.State(kUndone) == JobState::kCancelled));
   BOOST_TEST(cell.upstreams().Starts({kRepeated, 0, 0, 0}) == 1);
 }
@@ -732,8 +734,9 @@
   JobCell cell({});
   cell.RunFor(kSettle);
   const std::string first = cell.Leader();
-  cell.upstreams().script({kJob, 0, 0, 0}).takes = Millis(9000);
-  cell.store().faults().ways_there[kJobTable] = {Millis(late_ms), kFence};
+  cell.upstreams().behavior({kJob, 0, 0, 0}).run_time = Millis(9000);
+  cell.store().faults().append_request_delays[kJobTable] = {Millis(late_ms),
+                                                            kFence};
   cell.Submit(first, OneStepJob(kJob, 1, kMillicores));
   cell.RunFor(Millis(30));
   cell.Pause(first);
@@ -748,7 +751,7 @@
       (verdict == JobVerdict::kDone || verdict == JobVerdict::kNoSuchJob));
   const int starts = cell.upstreams().Starts({kJob, 0, 0, 0});
   cell.Kill(first);
-  CheckPromises(cell);
+  CheckInvariants(cell);
   BOOST_TEST(cell.upstreams().Starts({kJob, 0, 0, 0}) == starts);
 }
 
--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -45,7 +45,7 @@
  public:
   SlowCell() : JobCell({}) {
     for (const auto& id : upstreams().ids()) {
-      upstreams().faults(id).look = kSlowLook;
+      upstreams().faults(id).long_poll_wait = kSlowLook;
       upstreams().faults(id).stop_time = kSlowStop;
     }
     RunFor(Millis(2000));
@@ -59,27 +59,29 @@
   }
   /// Hands in a job of one long task; the upstream that runs it.
   std::string StartLong(JobId id) {
-    upstreams().script({id, 0, 0, 0}).takes = Millis(20000);
+    upstreams().behavior({id, 0, 0, 0}).run_time = Millis(20000);
     Submit(Leader(), OneStepJob(id, 1, 1000));
     RunFor(Millis(100));
-    return upstreams().Where({id, 0, 0, 0});
+    return upstreams().UpstreamRunning({id, 0, 0, 0});
   }
   /// Hands in such a job, whose start is carried out later than its sender
   /// waits for; the upstream that it went to.
-  std::string StartLongLate(JobId id, Millis late_by) {
+  std::string StartLongLate(JobId id, Millis execution_delay) {
     for (const auto& up : upstreams().ids()) {
-      faults(up).late_starts = 1;
-      faults(up).late_by = late_by;
+      faults(up).delayed_starts = 1;
+      faults(up).execution_delay = execution_delay;
     }
     StartLong(id);
     std::string sent_to;
     for (const auto& up : upstreams().ids()) {
-      if (faults(up).late_starts == 0) sent_to = up;
-      faults(up).late_starts = 0;
+      if (faults(up).delayed_starts == 0) sent_to = up;
+      faults(up).delayed_starts = 0;
     }
     return sent_to;
   }
-  bool Runs(JobId id) { return !upstreams().Where({id, 0, 0, 0}).empty(); }
+  bool Runs(JobId id) {
+    return !upstreams().UpstreamRunning({id, 0, 0, 0}).empty();
+  }
   bool GoneWithin(JobId id, Millis limit) {
     RunFor(limit);
     return !Runs(id);
@@ -97,7 +99,7 @@
   void Play() {
     for (const auto& id : cell_.upstreams().ids()) {
       listed_[id] = cell_.store().Records(kUpstreamTable).at(id);
-      cell_.upstreams().faults(id).look = Millis(50 + Pick(950));
+      cell_.upstreams().faults(id).long_poll_wait = Millis(50 + Pick(950));
       cell_.upstreams().faults(id).stop_time = Millis(100 + Pick(800));
     }
     cell_.RunFor(Millis(2000));
@@ -142,9 +144,9 @@
         OneStepJob(id, 1 + static_cast<int32_t>(Pick(3)),
                    500 + 500 * static_cast<int32_t>(Pick(3)), Chance(20));
     for (int32_t i = 0; i < spec.steps[0].tasks; ++i) {
-      auto& script = cell_.upstreams().script({id, 0, 0, i});
-      script.takes = Chance(40) ? Millis(30000) : Millis(100 + Pick(1500));
-      script.fails = Chance(4) ? 1 : 0;
+      auto& behavior = cell_.upstreams().behavior({id, 0, 0, i});
+      behavior.run_time = Chance(40) ? Millis(30000) : Millis(100 + Pick(1500));
+      behavior.failing_runs = Chance(4) ? 1 : 0;
     }
     jobs_.push_back(id);
     cell_.Submit(SomeEntry(), spec);
@@ -169,20 +171,20 @@
         for (const auto& name : cell_.names()) cell_.Resume(name);
         return;
       case 4:
-        faults.late_starts = 1 + static_cast<int>(Pick(2));
-        faults.late_by = Millis(2000 + Pick(10000));
+        faults.delayed_starts = 1 + static_cast<int>(Pick(2));
+        faults.execution_delay = Millis(2000 + Pick(10000));
         return;
       case 5:
-        faults.lose_stops = 1 + static_cast<int>(Pick(2));
-        faults.lose_starts = static_cast<int>(Pick(2));
+        faults.drop_stops = 1 + static_cast<int>(Pick(2));
+        faults.drop_start_replies = static_cast<int>(Pick(2));
         return;
       case 6:
-        faults.cut = Chance(60);
+        faults.unreachable = Chance(60);
         return;
       case 7:
         return List(upstream, Chance(50));
       default:
-        cell_.store().faults().lose_answers = static_cast<int>(Pick(3));
+        cell_.store().faults().drop_replies = static_cast<int>(Pick(3));
     }
   }
 
@@ -196,17 +198,19 @@
     cell_.store().faults() = {};
     for (const auto& id : cell_.upstreams().ids()) {
       UpstreamFaults& faults = cell_.upstreams().faults(id);
-      faults = {.look = faults.look, .stop_time = faults.stop_time};
+      faults = {.long_poll_wait = faults.long_poll_wait,
+                .stop_time = faults.stop_time};
       List(id, true);
     }
   }
 
   void Check() {
-    for (const std::string& what : cell_.Broken()) BOOST_ERROR(what);
+    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
     for (const JobId id : jobs_) {
       for (int32_t i = 0; i < 3; ++i) {
         if (!cell_.cancelled(id)) continue;
-        const std::string where = cell_.upstreams().Where({id, 0, 0, i});
+        const std::string where =
+            cell_.upstreams().UpstreamRunning({id, 0, 0, i});
         BOOST_CHECK_MESSAGE(where.empty(), "cancelled and runs on "
                                                << where << ": "
                                                << JobIdText(id));
@@ -227,7 +231,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_DATA_TEST_CASE(CancelledWorkEndsThroughFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
@@ -244,15 +248,15 @@
   BOOST_REQUIRE(!at.empty());
   const std::string first = cell.Leader();
   const std::string other = cell.Follower();
-  cell.faults(at).cut = true;
+  cell.faults(at).unreachable = true;
   cell.Kill(first);
   cell.Cancel(other, 1);
   cell.RunFor(Millis(1800));
   BOOST_REQUIRE(cell.cancelled(1));
-  cell.faults(at).cut = false;
+  cell.faults(at).unreachable = false;
   BOOST_TEST(cell.Runs(1));
   BOOST_TEST(cell.GoneWithin(1, Millis(1700)));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A user cancels a render, and the stop is lost on its way. The leader had
@@ -262,11 +266,11 @@
   SlowCell cell;
   const std::string at = cell.StartLong(2);
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).lose_stops = 1;
+  cell.faults(at).drop_stops = 1;
   cell.Cancel(cell.Follower(), 2);
   BOOST_TEST(cell.GoneWithin(2, Millis(2900)));
   BOOST_TEST(cell.cancelled(2));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A job is cancelled while the answer to its start is awaited. The upstream is
@@ -276,14 +280,14 @@
   SlowCell cell;
   const std::string at = cell.StartLongLate(3, Millis(2000));
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).cut = true;
+  cell.faults(at).unreachable = true;
   cell.Cancel(cell.Follower(), 3);
   cell.RunFor(Millis(2100));
   BOOST_REQUIRE(cell.cancelled(3));
   BOOST_TEST(cell.Runs(3));
-  cell.faults(at).cut = false;
+  cell.faults(at).unreachable = false;
   BOOST_TEST(cell.GoneWithin(3, Millis(1700)));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An entry sends a start and is removed for good; the start is carried out 2 s
@@ -296,18 +300,18 @@
   const std::string other = cell.Follower();
   const std::string at = cell.StartLongLate(4, Millis(2000));
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).cut = true;
+  cell.faults(at).unreachable = true;
   cell.Kill(first);
   cell.Cancel(other, 4);
   cell.RunFor(Millis(2100));
   BOOST_REQUIRE(cell.cancelled(4));
   BOOST_TEST(cell.Runs(4));
-  cell.faults(at).cut = false;
+  cell.faults(at).unreachable = false;
   BOOST_TEST(cell.GoneWithin(4, Millis(1700)));
   const std::string counters = cell.Metrics(cell.Leader());
   BOOST_TEST(counters.find("unasked_runs{why=\"job cancelled\"} 1\n") !=
              std::string::npos);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The same with an upstream that can be reached: the next leader's first
@@ -324,7 +328,7 @@
   BOOST_TEST(!cell.Runs(5));
   // At most the one that the next leader ordered before it was asked to cancel.
   BOOST_TEST(cell.upstreams().starts() <= 1);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A cancel is acknowledged, and the leader is lost before its stop arrives.
@@ -333,7 +337,7 @@
   SlowCell cell;
   const std::string at = cell.StartLong(6);
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).lose_stops = 1;
+  cell.faults(at).drop_stops = 1;
   const std::string first = cell.Leader();
   cell.Cancel(first, 6);
   for (int i = 0; i < 100 && !cell.cancelled(6); ++i) cell.RunFor(Millis(1));
@@ -342,7 +346,7 @@
   BOOST_TEST(cell.GoneWithin(6, Millis(3900)));
   cell.RunFor(Millis(6000));
   BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A cancelled job is forgotten after a while. Should an upstream then tell of
@@ -373,7 +377,7 @@
 BOOST_AUTO_TEST_CASE(AJobCancelledBeforeItsStartNeverRuns) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({8, 0, 0, 0}).takes = Millis(3000);
+  cell.upstreams().behavior({8, 0, 0, 0}).run_time = Millis(3000);
   cell.Submit("entry-0", OneStepJob(8, 1, 8000));
   cell.RunFor(Millis(100));
   cell.Submit("entry-0", OneStepJob(9, 1, 8000));
@@ -382,11 +386,11 @@
   cell.RunFor(Millis(100));
   BOOST_REQUIRE(cell.cancelled(9));
   cell.RunFor(Millis(4000));
-  BOOST_TEST(!cell.upstreams().Ran(9));
+  BOOST_TEST(!cell.upstreams().HasRun(9));
   cell.Kill(cell.Leader());
   cell.RunFor(Millis(4000));
-  BOOST_TEST(!cell.upstreams().Ran(9));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(!cell.upstreams().HasRun(9));
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An upstream leaves the list while it runs a task, and the leader is lost.
@@ -402,20 +406,21 @@
   cell.Cancel(other, 10);
   BOOST_TEST(cell.GoneWithin(10, Millis(3900)));
   BOOST_TEST(cell.cancelled(10));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A task of a job fails for good, and the stop of its other one is lost. The
 /// job is shown as failed, and what is left of it ends all the same.
 BOOST_AUTO_TEST_CASE(WhatIsLeftOfAFailedJobEnds) {
   SlowCell cell;
-  cell.upstreams().script({11, 0, 0, 0}).takes = Millis(20000);
-  cell.upstreams().script({11, 0, 0, 1}) = {.takes = Millis(100), .fails = 9};
+  cell.upstreams().behavior({11, 0, 0, 0}).run_time = Millis(20000);
+  cell.upstreams().behavior({11, 0, 0, 1}) = {.run_time = Millis(100),
+                                              .failing_runs = 9};
   cell.Submit(cell.Follower(), OneStepJob(11, 2, 1000));
   cell.RunFor(Millis(50));
-  const std::string at = cell.upstreams().Where({11, 0, 0, 0});
+  const std::string at = cell.upstreams().UpstreamRunning({11, 0, 0, 0});
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).lose_stops = 1;
+  cell.faults(at).drop_stops = 1;
   BOOST_REQUIRE(cell.RunUntilFinal(11, Millis(6000)));
   BOOST_TEST((cell.State(11) == JobState::kFailed));
   BOOST_TEST(cell.GoneWithin(11, Millis(2900)));
@@ -427,10 +432,12 @@
 /// leader's and gave its office up.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatComesBackDeposesNobody) {
   SlowCell cell;
-  for (const auto& id : cell.upstreams().ids()) cell.faults(id).lose_starts = 1;
+  for (const auto& id : cell.upstreams().ids())
+    cell.faults(id).drop_start_replies = 1;
   const std::string at = cell.StartLong(12);
   BOOST_REQUIRE(!at.empty());
-  for (const auto& id : cell.upstreams().ids()) cell.faults(id).lose_starts = 0;
+  for (const auto& id : cell.upstreams().ids())
+    cell.faults(id).drop_start_replies = 0;
   cell.RunFor(Millis(2000));
   cell.Cancel(cell.Follower(), 12);
   cell.RunFor(Millis(2000));
@@ -438,14 +445,14 @@
   const int64_t term = cell.entry(leader)->leadership().term();
   const std::string record = cell.store().Records(kUpstreamTable).at(at);
   cell.store().Put(kUpstreamTable, at, "");
-  cell.faults(at).cut = true;
+  cell.faults(at).unreachable = true;
   cell.RunFor(Millis(7000));
-  cell.faults(at).cut = false;
+  cell.faults(at).unreachable = false;
   cell.store().Put(kUpstreamTable, at, record);
   cell.RunFor(Millis(4000));
   BOOST_TEST(cell.Leader() == leader);
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A user is told that there is no such job, takes it for cancelled, and it
@@ -455,20 +462,20 @@
   SlowCell cell;
   const std::string frozen = cell.Leader();
   // The successor's announcement is lost.
-  cell.Cut(frozen, true);
+  cell.SetIsolated(frozen, true);
   cell.Pause(frozen);
   for (int i = 0; i < 400 && cell.Leader().empty(); ++i) {
     cell.RunFor(Millis(10));
   }
   BOOST_REQUIRE(cell.Leader() != frozen);
   BOOST_REQUIRE(!cell.StartLong(13).empty());
-  cell.Cut(frozen, false);
+  cell.SetIsolated(frozen, false);
   cell.Resume(frozen);
   cell.Cancel(frozen, 13);
   cell.RunFor(Millis(4500));
   BOOST_TEST(cell.cancelled(13));
   BOOST_TEST(!cell.Runs(13));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A caller hands a job in and cancels it at another entry at the same time.
@@ -476,7 +483,7 @@
 /// heard so, the job had been accepted, and it ran for 20 s.
 BOOST_AUTO_TEST_CASE(ACancelThatCrossesItsJobIsNoDenial) {
   SlowCell cell;
-  cell.upstreams().script({14, 0, 0, 0}).takes = Millis(20000);
+  cell.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
   cell.Cancel(cell.Follower(), 14);
   cell.RunFor(Millis(2));
   cell.Submit(cell.Leader(), OneStepJob(14, 1, 1000));
@@ -484,7 +491,7 @@
   BOOST_TEST(cell.accepted(14));
   BOOST_TEST(cell.cancelled(14));
   BOOST_TEST(!cell.Runs(14));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A report waits for ever beside an idle upstream. The answer to a renewal had
@@ -494,20 +501,20 @@
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   UpstreamFaults& faults = cell.upstreams().faults("up-0");
-  cell.upstreams().script({15, 0, 0, 0}).takes = Millis(1700);
-  cell.upstreams().script({16, 0, 0, 0}).takes = Millis(2000);
+  cell.upstreams().behavior({15, 0, 0, 0}).run_time = Millis(1700);
+  cell.upstreams().behavior({16, 0, 0, 0}).run_time = Millis(2000);
   cell.Submit("entry-0", OneStepJob(15, 1, 4000));
   cell.RunFor(Millis(1400));
-  faults.late_answers = 1;
+  faults.delayed_renew_replies = 1;
   // Its start is in doubt after 0.7 s, and a second renewal goes out.
-  faults.lose_starts = 1;
+  faults.drop_start_replies = 1;
   cell.Submit("entry-0", OneStepJob(16, 1, 1000));
   cell.RunFor(Millis(3000));
   cell.Submit("entry-0", OneStepJob(17, 1, 6000));
   BOOST_TEST(cell.RunUntilFinal(17, Millis(5000)));
   const std::string counters = cell.Metrics(cell.Leader());
   BOOST_TEST(counters.find("unasked_runs") == std::string::npos);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/closed_upstreams_test.cc
+++ b/tests/closed_upstreams_test.cc
@@ -3,7 +3,7 @@
 
 #include "src/libs/rpc/codec.h"
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -19,7 +19,7 @@
   int begun = 0;
   for (int32_t i = 0; i < tasks; ++i) {
     const TaskId task{id, 0, 0, i};
-    if (!cell.upstreams().Where(task).empty() ||
+    if (!cell.upstreams().UpstreamRunning(task).empty() ||
         cell.upstreams().DoneRuns(task) > 0) {
       ++begun;
     }
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// An upstream is gone, which the leader has seen. Then the leader dies while
 /// half of a job's tasks still wait for room. The next leader can't know what
@@ -38,17 +38,17 @@
 BOOST_AUTO_TEST_CASE(ALostUpstreamDoesNotHoldUpJobsThatCannotBeThere) {
   JobCell cell({});
   cell.RunFor(kSettle);
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(20000);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  const std::string lost = cell.upstreams().Where({1, 0, 0, 0});
+  const std::string lost = cell.upstreams().UpstreamRunning({1, 0, 0, 0});
   BOOST_REQUIRE(!lost.empty());
-  cell.upstreams().faults(lost).cut = true;
+  cell.upstreams().faults(lost).unreachable = true;
   cell.RunFor(kNoticed);
   // Five upstreams are left, each with room for one of these at a time.
   constexpr int32_t kTasks = 10;
   for (int32_t i = 0; i < kTasks; ++i) {
-    cell.upstreams().script({2, 0, 0, i}).takes = Millis(1000);
+    cell.upstreams().behavior({2, 0, 0, i}).run_time = Millis(1000);
   }
   cell.Submit("entry-0", OneStepJob(2, kTasks, 8000));
   cell.RunFor(Millis(200));
@@ -61,8 +61,8 @@
   BOOST_TEST(cell.upstreams().starts() == 1 + kTasks);
   BOOST_TEST(cell.RunUntilFinal(2, Millis(5000)));
   cell.RunFor(Millis(8000));
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) != "");
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) != "");
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An upstream was told to drain and is taken back into service. It is closed
@@ -81,7 +81,7 @@
   entry.failure_domain = domain;
   cell.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
   BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An upstream did not answer for a while and is back. A job starts there; then
@@ -91,22 +91,22 @@
 BOOST_AUTO_TEST_CASE(AReopenedUpstreamCountsAgain) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kSettle);
-  cell.upstreams().faults("up-0").cut = true;
+  cell.upstreams().faults("up-0").unreachable = true;
   cell.RunFor(kNoticed);
-  cell.upstreams().faults("up-0").cut = false;
+  cell.upstreams().faults("up-0").unreachable = false;
   cell.RunFor(Millis(1000));
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(20000);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  BOOST_REQUIRE(cell.upstreams().Where({1, 0, 0, 0}) == "up-0");
-  cell.upstreams().faults("up-0").cut = true;
+  BOOST_REQUIRE(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  cell.upstreams().faults("up-0").unreachable = true;
   cell.Kill(cell.Leader());
   cell.RunFor(kTakeOver);
-  cell.upstreams().faults("up-0").cut = false;
+  cell.upstreams().faults("up-0").unreachable = false;
   cell.RunFor(Millis(3000));
   BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) == "up-0");
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The store is away when an upstream comes back. New work must wait until the
@@ -114,20 +114,20 @@
 BOOST_AUTO_TEST_CASE(NothingStartsBeforeTheReopeningIsStored) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kSettle);
-  cell.upstreams().faults("up-0").cut = true;
+  cell.upstreams().faults("up-0").unreachable = true;
   cell.RunFor(kNoticed);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(200));
   BOOST_REQUIRE(cell.accepted(1));
   cell.store().faults().down = true;
   cell.RunFor(Millis(100));
-  cell.upstreams().faults("up-0").cut = false;
+  cell.upstreams().faults("up-0").unreachable = false;
   cell.RunFor(Millis(1500));
   BOOST_TEST(cell.upstreams().starts() == 0);
   cell.store().faults().down = false;
   BOOST_TEST(cell.RunUntilFinal(1, Millis(10000)));
   BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// All upstreams shrink to a quarter, and the leader dies. What they could take
@@ -150,7 +150,7 @@
   cell.Submit(cell.Leader(), OneStepJob(1, kTasks, 1000));
   BOOST_TEST(cell.RunUntilFinal(1, Millis(30000)));
   BOOST_TEST((cell.State(1) == JobState::kComplete));
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -16,8 +16,8 @@
 namespace mimosarail::sim {
 namespace {
 
-using standins::LogStandin;
-using standins::UpstreamStandin;
+using standins::LogServerFake;
+using standins::UpstreamServerFake;
 
 wire::ListedInstance Listed() {
   wire::ListedInstance listed;
@@ -46,7 +46,7 @@
   ManualClock clock;
   ManualExecutor executor{clock};
   standins::History history;
-  UpstreamStandin upstream{executor, history, Listed()};
+  UpstreamServerFake upstream{executor, history, Listed()};
 
   wire::AttachReply Attach(const std::string& controller, int64_t term) {
     wire::AttachCall call;
@@ -189,14 +189,14 @@
 
 struct LogContract {
   const char* name;
-  bool (*holds)(ManualClock&, LogStandin&);
+  bool (*holds)(ManualClock&, LogServerFake&);
 };
 
 std::ostream& operator<<(std::ostream& out, const LogContract& c) {
   return out << c.name;
 }
 
-std::optional<int64_t> Append(ManualClock& clock, LogStandin& log,
+std::optional<int64_t> Append(ManualClock& clock, LogServerFake& log,
                               const std::string& data) {
   wire::AppendCall call;
   call.stream = "s";
@@ -207,7 +207,7 @@
   return out;
 }
 
-std::optional<wire::ReadReply> Read(ManualClock& clock, LogStandin& log,
+std::optional<wire::ReadReply> Read(ManualClock& clock, LogServerFake& log,
                                     int64_t start, int64_t wait_ms = 0) {
   wire::ReadCall call;
   call.stream = "s";
@@ -222,7 +222,7 @@
 
 const std::vector<LogContract> kLogContracts{
     {"P7 offsets rise by one and reads keep their order",
-     [](ManualClock& c, LogStandin& log) {
+     [](ManualClock& c, LogServerFake& log) {
        Append(c, log, "a");
        Append(c, log, "b");
        const auto read = Read(c, log, 0);
@@ -230,13 +230,13 @@
               read->records[1].data == "b" && read->upper == 2;
      }},
     {"P7 an append without a reply may have taken effect",
-     [](ManualClock& c, LogStandin& log) {
+     [](ManualClock& c, LogServerFake& log) {
        log.faults().drop_append_replies = 1;
        const bool told = Append(c, log, "a").has_value();
        return !told && Read(c, log, 0)->records.size() == 1;
      }},
     {"P8 what is trimmed is told by first_retained",
-     [](ManualClock& c, LogStandin& log) {
+     [](ManualClock& c, LogServerFake& log) {
        Append(c, log, "a");
        c.RunFor(Millis(2000));
        Append(c, log, "b");
@@ -244,12 +244,12 @@
        return read->first_retained == 1 && read->records.size() == 1;
      }},
     {"P9 a read waits for a record, and comes back empty in time",
-     [](ManualClock& c, LogStandin& log) {
+     [](ManualClock& c, LogServerFake& log) {
        const auto read = Read(c, log, 0, 300);
        return read.has_value() && read->records.empty();
      }},
     {"P10 an outage swallows calls and loses nothing",
-     [](ManualClock& c, LogStandin& log) {
+     [](ManualClock& c, LogServerFake& log) {
        Append(c, log, "a");
        log.faults().down = true;
        const bool silent = !Read(c, log, 0) && !Append(c, log, "b");
@@ -547,7 +547,7 @@
                      c) {
   ManualClock clock;
   ManualExecutor executor(clock);
-  LogStandin log(executor, Millis(1000));
+  LogServerFake log(executor, Millis(1000));
   BOOST_TEST(c.holds(clock, log));
 }
 
@@ -561,7 +561,7 @@
 BOOST_AUTO_TEST_CASE(list_contract) {
   ManualClock clock;
   ManualExecutor executor(clock);
-  standins::ListStandin list(executor, {Listed()});
+  standins::InstanceListFake list(executor, {Listed()});
   list.SetLag(Millis(500));
   list.SetState("up", wire::ListedState::kLeaving);
   clock.RunFor(Millis(400));
@@ -575,7 +575,7 @@
 // double).
 BOOST_AUTO_TEST_CASE(a_followed_key_is_counted_once) {
   Cell cell({.seed = 3});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
   spec.keyed = true;
   spec.id = "part";
@@ -626,7 +626,7 @@
 // back after a second. It must not take down one upstream after another.
 BOOST_AUTO_TEST_CASE(a_request_that_crashes_its_upstreams_is_given_up) {
   Cell cell({.seed = 6});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
   spec.repeatable = true;
   spec.payload = "crash=1";
@@ -644,7 +644,7 @@
 // elsewhere. Its old placement call comes out of the network now.
 BOOST_AUTO_TEST_CASE(a_fenced_attempt_is_refused_for_good) {
   Cell cell({.seed = 4});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   instance::Instance& entry = RichestEntry(cell);
   wire::FindCall fence;
   fence.request_id = "late";
@@ -660,7 +660,7 @@
 // it settles; the heartbeat that it names tells its age.
 BOOST_AUTO_TEST_CASE(a_placement_call_that_is_too_old_is_refused) {
   Cell cell({.seed = 5});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   instance::Instance& entry = RichestEntry(cell);
   wire::PlaceCall call = PlaceOf("old", 1000);
   call.heartbeat_seen = entry.members().sequence();
@@ -692,7 +692,7 @@
 // as soon as room came free.
 BOOST_AUTO_TEST_CASE(a_key_is_not_taken_from_an_owner_that_is_only_cut_off) {
   Cell cell({.seed = 6});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   FillCell(cell, 25000);
   cell.Run(Millis(500));
   wire::RequestSpec spec = MakeSpec("contested", 3000);
@@ -701,8 +701,8 @@
   cell.Submit(2, spec);
   cell.Run(Millis(500));
   for (const int other : {0, 1}) {
-    cell.network().Cut(Cell::EntryName(2), Cell::EntryName(other));
-    cell.network().Cut(Cell::EntryName(other), Cell::EntryName(2));
+    cell.network().BlockLink(Cell::EntryName(2), Cell::EntryName(other));
+    cell.network().BlockLink(Cell::EntryName(other), Cell::EntryName(2));
   }
   cell.Run(Millis(6000));
   cell.Submit(0, spec);
@@ -717,7 +717,7 @@
 // "Not run" would have its caller believe that nothing had happened.
 BOOST_AUTO_TEST_CASE(what_failed_once_is_never_told_not_run) {
   Cell cell({.seed = 7});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("fails", 10);
   spec.size.millicores = 4000;
   spec.payload = "fail=1";
@@ -740,9 +740,9 @@
 // confirm all upstreams at once and callers would be told "unknown".
 BOOST_AUTO_TEST_CASE(an_entry_that_hears_nobody_stops_contesting) {
   Cell cell({.seed = 8});
-  BOOST_REQUIRE(cell.Settle());
-  cell.network().Cut(Cell::EntryName(0), Cell::EntryName(2));
-  cell.network().Cut(Cell::EntryName(1), Cell::EntryName(2));
+  BOOST_REQUIRE(cell.WaitUntilReady());
+  cell.network().BlockLink(Cell::EntryName(0), Cell::EntryName(2));
+  cell.network().BlockLink(Cell::EntryName(1), Cell::EntryName(2));
   cell.Run(Millis(8000));
   const size_t before = cell.history().events().size();
   cell.Run(Millis(20000));
--- a/tests/crashing_tasks_test.cc
+++ b/tests/crashing_tasks_test.cc
@@ -8,7 +8,7 @@
 
 #include "src/libs/rpc/codec.h"
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -33,13 +33,13 @@
 }
 
 void MakeCrash(JobCell& cell, const TaskId& task, Millis after = kCrash) {
-  cell.upstreams().script(task).crashes_after = after;
+  cell.upstreams().behavior(task).crash_delay = after;
 }
 
 void CheckGivenUp(JobCell& cell, JobId id) {
   const auto state = cell.State(id);
   BOOST_TEST((state && *state == JobState::kFailed));
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// The upstream that runs the task, once one does; empty if none does in 10 s.
@@ -48,7 +48,7 @@
   std::string at;
   for (int look = 0; look < kLooks && at.empty(); ++look) {
     cell.RunFor(Millis(50));
-    at = cell.upstreams().Where(task);
+    at = cell.upstreams().UpstreamRunning(task);
   }
   return at;
 }
@@ -62,8 +62,8 @@
     const TimePoint until = cell_.clock().now() + span;
     while (cell_.clock().now() < until) {
       const JobId id = kFirst + jobs_.size();
-      cell_.upstreams().script({id, 0, 0, 0}).takes = Millis(800);
-      cell_.upstreams().script({id, 0, 0, 1}).takes = Millis(800);
+      cell_.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(800);
+      cell_.upstreams().behavior({id, 0, 0, 1}).run_time = Millis(800);
       jobs_.push_back(id);
       cell_.Submit("entry-0", OneStepJob(id, 2, 1000));
       cell_.RunFor(Millis(100));
@@ -122,7 +122,8 @@
     spec.queue.advised = Chance(50);
     spec.queue.ticket_valid_ms = 1500;
     for (int32_t i = 0; i < tasks; ++i) {
-      cell_.upstreams().script({id, 0, 0, i}).takes = Millis(100 + Pick(2000));
+      cell_.upstreams().behavior({id, 0, 0, i}).run_time =
+          Millis(100 + Pick(2000));
     }
     const bool crashes = Chance(5);
     if (crashes) {
@@ -141,7 +142,7 @@
       case 0:
         return cell_.upstreams().Crash(upstream);
       case 1:
-        cell_.upstreams().faults(upstream).cut = Chance(60);
+        cell_.upstreams().faults(upstream).unreachable = Chance(60);
         return;
       default:
         if (!leader.empty()) cell_.Restart(leader);
@@ -149,7 +150,7 @@
   }
 
   void Check() {
-    for (const std::string& what : cell_.Broken()) BOOST_ERROR(what);
+    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
     for (const auto& [id, job] : jobs_) {
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
@@ -172,7 +173,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Callers of other jobs saw their work lost again and again, and a part check
 /// that never ended: both of its tasks crash the upstream that starts them,
@@ -197,7 +198,7 @@
 /// The upstream's next life comes when its entry has left the list and its
 /// leases have run out: its silence was all that could be seen until then.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatAreLongAwayAreCounted) {
-  JobCell cell({.upstreams = 16, .reborn = Millis(7000)});
+  JobCell cell({.upstreams = 16, .replacement_delay = Millis(7000)});
   cell.RunFor(kSettle);
   MakeCrash(cell, {1, 0, 0, 0});
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -207,7 +208,7 @@
 
 /// The next life comes at another address: nothing ever answers at the old one.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatNeverAnswerAgainAreCounted) {
-  JobCell cell({.upstreams = 16, .reborn_elsewhere = true});
+  JobCell cell({.upstreams = 16, .replacement_at_new_address = true});
   cell.RunFor(kSettle);
   MakeCrash(cell, {1, 0, 0, 0});
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -256,7 +257,7 @@
 BOOST_AUTO_TEST_CASE(ATaskThatCrashesItsUpstreamsLateIsGivenUp) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kSettle);
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(5000);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(5000);
   MakeCrash(cell, {1, 0, 0, 0}, Millis(1500));
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(kLong);
@@ -294,7 +295,7 @@
   MakeCrash(cell, {1, 0, 0, 0});
   constexpr JobId kBeside = 8;
   for (JobId id = 2; id < 2 + kBeside; ++id) {
-    cell.upstreams().script({id, 0, 0, 0}).takes = Millis(3000);
+    cell.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(3000);
   }
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   for (JobId id = 2; id < 2 + kBeside; ++id) {
@@ -313,19 +314,19 @@
   JobCell cell({.upstreams = 8});
   cell.RunFor(kSettle);
   const TaskId task{1, 0, 0, 0};
-  cell.upstreams().script(task).takes = Millis(3000);
+  cell.upstreams().behavior(task).run_time = Millis(3000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   constexpr int kCuts = 5;
   for (int i = 0; i < kCuts; ++i) {
     const std::string at = AwaitRun(cell, task);
     BOOST_REQUIRE(!at.empty());
-    cell.upstreams().faults(at).cut = true;
+    cell.upstreams().faults(at).unreachable = true;
     cell.RunFor(Millis(6500));
-    cell.upstreams().faults(at).cut = false;
+    cell.upstreams().faults(at).unreachable = false;
   }
   BOOST_TEST(cell.RunUntilFinal(1, Millis(20000)));
   BOOST_TEST((cell.State(1) == JobState::kComplete));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// Upstreams that have said that they leave end with what they run: no crash,
@@ -334,13 +335,13 @@
   JobCell cell({.upstreams = 8});
   cell.RunFor(kSettle);
   const TaskId task{1, 0, 0, 0};
-  cell.upstreams().script(task).takes = Millis(2000);
+  cell.upstreams().behavior(task).run_time = Millis(2000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   constexpr int kLeaving = 5;
   for (int i = 0; i < kLeaving; ++i) {
     const std::string at = AwaitRun(cell, task);
     BOOST_REQUIRE(!at.empty());
-    wire::UpstreamRecord entry = cell.Listed(at);
+    wire::UpstreamRecord entry = cell.ListEntryOf(at);
     entry.failure_domain = "draining";
     cell.store().Put(kUpstreamTable, at, rpc::Encode(entry));
     cell.RunFor(Millis(400));
@@ -348,7 +349,7 @@
   }
   BOOST_TEST(cell.RunUntilFinal(1, Millis(20000)));
   BOOST_TEST((cell.State(1) == JobState::kComplete));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// Days of crashes for all causes: none of a crashing task's starts is one too
@@ -362,13 +363,13 @@
 /// their entries last.
 BOOST_DATA_TEST_CASE(CrashesWithLongAbsences,
                      boost::unit_test::data::make(Seeds()), seed) {
-  Day(seed, {.upstreams = 16, .reborn = Millis(6000)}).Play();
+  Day(seed, {.upstreams = 16, .replacement_delay = Millis(6000)}).Play();
 }
 
 /// The same, with next lives that never answer at the old address.
 BOOST_DATA_TEST_CASE(CrashesWithLivesElsewhere,
                      boost::unit_test::data::make(Seeds()), seed) {
-  Day(seed, {.upstreams = 16, .reborn_elsewhere = true}).Play();
+  Day(seed, {.upstreams = 16, .replacement_at_new_address = true}).Play();
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/foreign_entries_test.cc
+++ b/tests/foreign_entries_test.cc
@@ -39,16 +39,16 @@
 }  // namespace
 
 /// MIMOSARAIL_TRACE=1 prints the log lines of a run.
-struct Trace {
-  Trace() {
+struct LogFixture {
+  LogFixture() {
     if (std::getenv("MIMOSARAIL_TRACE") != nullptr) {
       logging::Start("foreign", logging::Level::kDebug);
     }
   }
-  ~Trace() { logging::Stop(); }
+  ~LogFixture() { logging::Stop(); }
 };
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Another writer puts entries into the list that nobody can read, again and
 /// again, while jobs run. The jobs go on; nobody calls what the entries name;
@@ -67,12 +67,12 @@
   for (JobId id = 1; id <= 8; ++id) {
     BOOST_TEST(cell.RunUntilFinal(id, Millis(10000)));
   }
-  BOOST_TEST(!cell.upstreams().Called("up-bad"));
+  BOOST_TEST(!cell.upstreams().WasCalled("up-bad"));
   BOOST_TEST(Told(cell, "upstream list", 2));
   cell.store().DropHistory();
   cell.RunFor(Millis(1000));
   BOOST_TEST(Told(cell, "upstream list", 2));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The entry of an upstream that runs a task turns bad. Its task is neither
@@ -81,25 +81,25 @@
 BOOST_AUTO_TEST_CASE(AKnownUpstreamWhoseEntryTurnsBadKeepsItsTasks) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(9000);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(9000);
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
   cell.store().Put(kUpstreamTable, "up-0", kNoise);
   cell.RunFor(Millis(500));
   cell.Submit("entry-1", OneStepJob(2, 1, 1000));
   // Longer than any lease: it is renewed all the while.
   cell.RunFor(Millis(8000));
   BOOST_TEST(cell.accepted(2));
-  BOOST_TEST(!cell.upstreams().Ran(2));
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(!cell.upstreams().HasRun(2));
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
   BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
   BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-  BOOST_TEST(!cell.upstreams().Ran(2));
+  BOOST_TEST(!cell.upstreams().HasRun(2));
   cell.store().Put(kUpstreamTable, "up-0", rpc::Encode(cell.ListEntry(0)));
   BOOST_TEST(cell.RunUntilFinal(2, Millis(5000)));
   BOOST_TEST(cell.upstreams().starts() == 2);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The same while the leader is lost: the next one holds the upstream by the
@@ -107,23 +107,23 @@
 BOOST_AUTO_TEST_CASE(ANewLeaderHoldsAnUpstreamWhoseEntryIsBad) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(20000);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
   cell.store().Put(kUpstreamTable, "up-0", kNoise);
   cell.RunFor(Millis(300));
   RestartAll(cell);
   cell.RunFor(Millis(9000));
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
   BOOST_TEST(cell.upstreams().starts() == 1);
   cell.Submit("entry-1", OneStepJob(2, 1, 1000));
   cell.RunFor(Millis(1000));
-  BOOST_TEST(!cell.upstreams().Ran(2));
+  BOOST_TEST(!cell.upstreams().HasRun(2));
   cell.Cancel("entry-0", 1);
   cell.RunFor(Millis(2000));
   BOOST_TEST(cell.cancelled(1));
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) == "");
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "");
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An entry of a service that nothing names stands among the others. A call to
@@ -136,14 +136,14 @@
   cell.upstreams().Add(stranger.id, 8000, 16000);
   cell.store().Put(kUpstreamTable, stranger.id, rpc::Encode(stranger));
   cell.RunFor(Millis(3000));
-  BOOST_TEST(!cell.upstreams().Called(stranger.id));
+  BOOST_TEST(!cell.upstreams().WasCalled(stranger.id));
   BOOST_TEST(Told(cell, "upstream list", 1));
   wire::JobSpec job = OneStepJob(1, 1, 1000);
   job.queue.pool = "strange";
   cell.Submit("entry-1", job);
   BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  BOOST_TEST(cell.upstreams().Called(stranger.id));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.upstreams().WasCalled(stranger.id));
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A configuration that nobody can read follows one that is in force, and comes
@@ -209,7 +209,7 @@
       cell.RunFor(Millis(2500));
     }
     const int64_t before = cell.entry(cell.Leader())->leadership().term();
-    cell.upstreams().script({1, 0, 0, 0}).takes = Millis(4000);
+    cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(4000);
     cell.Submit("entry-1", OneStepJob(1, 1, 1000));
     cell.RunFor(Millis(300));
     KillAll(cell);
@@ -221,7 +221,7 @@
       BOOST_TEST(cell.entry(cell.Leader())->leadership().term() > before);
       BOOST_TEST(cell.RunUntilFinal(1, Millis(9000)));
       BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-      BOOST_TEST(cell.Broken().empty());
+      BOOST_TEST(cell.Violations().empty());
     }
   }
 }
@@ -254,7 +254,7 @@
     JobCell cell({});
     cell.RunFor(Millis(2000));
     for (const JobId id : {bad_id, good_id}) {
-      cell.upstreams().script({id, 0, 0, 0}).takes = Millis(1500);
+      cell.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(1500);
       cell.Submit("entry-1", OneStepJob(id, 1, 1000));
     }
     cell.RunFor(Millis(300));
@@ -277,7 +277,7 @@
       BOOST_TEST(!cell.State(bad_id).has_value());
       BOOST_TEST(cell.store().Records(kJobTable).at(key) == row.value);
       BOOST_TEST(Told(cell, "jobs", 1));
-      BOOST_TEST(cell.Broken().empty());
+      BOOST_TEST(cell.Violations().empty());
     }
   }
 }
@@ -292,9 +292,10 @@
   const TaskId ends{1, 0, 0, 0};
   const TaskId runs_on{1, 0, 0, 1};
   const TaskId fails{1, 0, 0, 2};
-  cell.upstreams().script(ends).takes = Millis(600);
-  cell.upstreams().script(runs_on).takes = Millis(20000);
-  cell.upstreams().script(fails) = {.takes = Millis(600), .fails = 1};
+  cell.upstreams().behavior(ends).run_time = Millis(600);
+  cell.upstreams().behavior(runs_on).run_time = Millis(20000);
+  cell.upstreams().behavior(fails) = {.run_time = Millis(600),
+                                      .failing_runs = 1};
   cell.Submit("entry-1", OneStepJob(1, 3, 1000));
   cell.RunFor(Millis(300));
   BOOST_TEST(cell.upstreams().starts() == 3);
@@ -305,18 +306,18 @@
   cell.store().Put(kJobTable, key, kNoise);
   RestartAll(cell);
   cell.RunFor(Millis(12000));
-  BOOST_TEST(cell.upstreams().Where(runs_on) == "");
+  BOOST_TEST(cell.upstreams().UpstreamRunning(runs_on) == "");
   BOOST_TEST(cell.upstreams().starts() == 3);
   KillAll(cell);
   cell.store().Put(kJobTable, key, record);
-  cell.upstreams().script(runs_on).takes = Millis(500);
+  cell.upstreams().behavior(runs_on).run_time = Millis(500);
   RestartAll(cell);
   BOOST_TEST(cell.RunUntilFinal(1, Millis(20000)));
   BOOST_TEST(cell.upstreams().DoneRuns(ends) == 1);
   BOOST_TEST(cell.upstreams().DoneRuns(runs_on) == 1);
   BOOST_TEST(cell.upstreams().DoneRuns(fails) == 1);
   BOOST_TEST(cell.upstreams().starts() == 5);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A record of a kind that this version does not know stands beside a job's. It
@@ -324,7 +325,7 @@
 BOOST_AUTO_TEST_CASE(ARecordOfAnUnknownKindIsLeftAlone) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(1500);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(1500);
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(300));
   KillAll(cell);
@@ -336,7 +337,7 @@
   BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
   BOOST_TEST(cell.store().Records(kJobTable).at(key) == kNoise);
   BOOST_TEST(Told(cell, "jobs", 2));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The roster's record of an upstream that runs a task can't be read, the
@@ -346,21 +347,21 @@
 BOOST_AUTO_TEST_CASE(ABadRosterRecordIsWaitedFor) {
   JobCell cell({.upstreams = 2});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({1, 0, 0, 0}).takes = Millis(20000);
+  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  const std::string where = cell.upstreams().Where({1, 0, 0, 0});
+  const std::string where = cell.upstreams().UpstreamRunning({1, 0, 0, 0});
   BOOST_REQUIRE(!where.empty());
   KillAll(cell);
-  cell.upstreams().faults(where).cut = true;
+  cell.upstreams().faults(where).unreachable = true;
   cell.store().Put(kUpstreamTable, where, "");
   cell.store().Put(kJobTable, "u" + where, kNoise);
   RestartAll(cell);
   cell.RunFor(Millis(9000));
   BOOST_TEST(cell.upstreams().starts() == 2);
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) != where);
-  BOOST_TEST(cell.upstreams().Where({1, 0, 0, 0}) != "");
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) != where);
+  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) != "");
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A peer names terms that nobody can have, hands in jobs that no entry takes,
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -55,7 +55,7 @@
 /// then from a frame of the handler that had returned.
 BOOST_AUTO_TEST_CASE(WhatWasGivenUpIsNotCarriedOut) {
   sim::Cell cell({});
-  BOOST_REQUIRE(cell.Settle());
+  BOOST_REQUIRE(cell.WaitUntilReady());
   sim::Node& node = cell.node(0);
   StalledExecutor stalled(*node.executor);
   HttpApi api(*node.instance, stalled, *node.metrics,
--- a/tests/jobs_schedule_test.cc
+++ b/tests/jobs_schedule_test.cc
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -79,9 +79,9 @@
     }
     for (int32_t s = 0; s < static_cast<int32_t>(spec.steps.size()); ++s) {
       for (int32_t i = 0; i < spec.steps[static_cast<size_t>(s)].tasks; ++i) {
-        auto& script = cell_.upstreams().script({id, 0, s, i});
-        script.takes = Millis(100 + Pick(1500));
-        script.fails = Chance(4) ? 1 : 0;
+        auto& behavior = cell_.upstreams().behavior({id, 0, s, i});
+        behavior.run_time = Millis(100 + Pick(1500));
+        behavior.failing_runs = Chance(4) ? 1 : 0;
       }
     }
     jobs_.push_back(id);
@@ -104,37 +104,37 @@
         for (const auto& name : cell_.names()) cell_.Resume(name);
         return;
       case 3:
-        return cell_.Cut(entry, Chance(60));
+        return cell_.SetIsolated(entry, Chance(60));
       case 4:
         cell_.store().faults().down = Chance(50);
         return;
       case 5:
         if (Chance(60)) {
-          cell_.store().faults().turned_away.insert(entry);
+          cell_.store().faults().partitioned_entries.insert(entry);
         } else {
-          cell_.store().faults().turned_away.clear();
+          cell_.store().faults().partitioned_entries.clear();
         }
         return;
       case 6:
-        cell_.store().faults().lose_answers = static_cast<int>(Pick(4));
-        cell_.store().faults().late_appends = static_cast<int>(Pick(2));
+        cell_.store().faults().drop_replies = static_cast<int>(Pick(4));
+        cell_.store().faults().delayed_appends = static_cast<int>(Pick(2));
         return;
       case 7:
         cell_.store().DropHistory();
         return;
       case 8:
-        cell_.upstreams().faults(SomeUpstream()).lose_starts = 2;
-        cell_.upstreams().faults(SomeUpstream()).late_starts = 1;
+        cell_.upstreams().faults(SomeUpstream()).drop_start_replies = 2;
+        cell_.upstreams().faults(SomeUpstream()).delayed_starts = 1;
         return;
       default:
-        cell_.upstreams().faults(SomeUpstream()).cut = Chance(50);
+        cell_.upstreams().faults(SomeUpstream()).unreachable = Chance(50);
     }
   }
 
   void Heal() {
     for (const auto& name : cell_.names()) {
       cell_.Resume(name);
-      cell_.Cut(name, false);
+      cell_.SetIsolated(name, false);
     }
     cell_.store().faults() = {};
     for (const auto& id : cell_.upstreams().ids()) {
@@ -143,7 +143,7 @@
   }
 
   void Check() {
-    for (const std::string& what : cell_.Broken()) BOOST_ERROR(what);
+    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
     for (const JobId id : jobs_) {
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
@@ -181,9 +181,9 @@
     }
     RunFor(kShutdown);
     cell_.store().faults() = {};
-    for (const auto& name : cell_.names()) cell_.Cut(name, false);
+    for (const auto& name : cell_.names()) cell_.SetIsolated(name, false);
     cell_.RunFor(Millis(25000));
-    for (const std::string& what : cell_.Broken()) BOOST_ERROR(what);
+    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
     for (const JobId id : jobs_) {
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
@@ -228,7 +228,7 @@
     }
     const JobId id = 0xdef0000 + jobs_.size();
     jobs_.push_back(id);
-    cell_.upstreams().script({id, 0, 0, 0}).takes = Millis(20 + Pick(100));
+    cell_.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(20 + Pick(100));
     cell_.Submit(name, OneStepJob(id, 1, 500));
     if (stopping != stopping_.end()) stopping->second.taken.push_back(id);
     if (Pick(100) >= 15) return;
@@ -272,12 +272,12 @@
         store.down = !store.down;
         return;
       case 1:
-        return cell_.Cut(some, true);
+        return cell_.SetIsolated(some, true);
       case 2:
-        for (const auto& name : names) cell_.Cut(name, false);
+        for (const auto& name : names) cell_.SetIsolated(name, false);
         return;
       case 3:
-        store.turned_away.insert(some);
+        store.partitioned_entries.insert(some);
         return;
       default:
         store = {};
@@ -293,7 +293,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_DATA_TEST_CASE(PromisesHoldThroughFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
@@ -316,7 +316,7 @@
   for (int32_t i = 0; i < 3; ++i) {
     BOOST_TEST(cell.upstreams().DoneRuns({7, 0, 0, i}) == 1);
   }
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A caller's push is accepted, then all entries lose power at once. They come
@@ -325,7 +325,7 @@
 BOOST_AUTO_TEST_CASE(AnAcceptedJobSurvivesTheLossOfAllEntries) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({9, 0, 0, 0}).takes = Millis(3000);
+  cell.upstreams().behavior({9, 0, 0, 0}).run_time = Millis(3000);
   cell.Submit("entry-2", OneStepJob(9, 1, 1000));
   cell.RunFor(Millis(100));
   BOOST_TEST(cell.accepted(9));
@@ -334,7 +334,7 @@
   for (const auto& name : cell.names()) cell.Restart(name);
   BOOST_TEST(cell.RunUntilFinal(9, Millis(12000)));
   BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A job fails for good on its second run. The leader is killed between the two
@@ -343,13 +343,14 @@
 BOOST_AUTO_TEST_CASE(FailuresCountInAnyOrderAfterATakeover) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({11, 0, 0, 0}) = {.takes = Millis(300), .fails = 9};
+  cell.upstreams().behavior({11, 0, 0, 0}) = {.run_time = Millis(300),
+                                              .failing_runs = 9};
   cell.Submit("entry-0", OneStepJob(11, 1, 1000));
   cell.RunFor(Millis(150));
   // From now on the leader stores nothing; it goes on with what it knows.
-  cell.store().faults().turned_away.insert(cell.Leader());
+  cell.store().faults().partitioned_entries.insert(cell.Leader());
   cell.RunFor(Millis(20000));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
   const auto state = cell.State(11);
   BOOST_TEST(state.has_value());
   BOOST_TEST((state == JobState::kFailed));
@@ -362,12 +363,12 @@
   JobCell cell({});
   cell.RunFor(Millis(2000));
   for (const auto& id : cell.upstreams().ids()) {
-    cell.upstreams().faults(id).late_starts = 1;
+    cell.upstreams().faults(id).delayed_starts = 1;
   }
-  cell.upstreams().script({13, 0, 0, 0}).takes = Millis(4000);
+  cell.upstreams().behavior({13, 0, 0, 0}).run_time = Millis(4000);
   cell.Submit("entry-0", OneStepJob(13, 1, 1000));
   BOOST_TEST(cell.RunUntilFinal(13, Millis(30000)));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
   BOOST_TEST(cell.upstreams().DoneRuns({13, 0, 0, 0}) == 1);
 }
 
@@ -377,7 +378,7 @@
   JobCell cell({});
   cell.RunFor(Millis(2000));
   for (JobId id = 20; id < 30; ++id) {
-    cell.upstreams().script({id, 0, 0, 0}).takes = Millis(1500);
+    cell.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(1500);
     cell.Submit("entry-3", OneStepJob(id, 1, 4000));
   }
   cell.RunFor(Millis(120));
@@ -390,7 +391,7 @@
   for (JobId id = 20; id < 30; ++id) {
     BOOST_TEST(cell.RunUntilFinal(id, Millis(20000)));
   }
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A caller cancels a push and is told that there is no such job; the push runs
@@ -403,7 +404,7 @@
   const std::string frozen = cell.Leader();
   cell.Pause(frozen);
   cell.RunFor(Millis(5000));
-  cell.upstreams().script({69, 0, 0, 0}).takes = Millis(9000);
+  cell.upstreams().behavior({69, 0, 0, 0}).run_time = Millis(9000);
   cell.Submit(cell.Leader(), OneStepJob(69, 1, 1000));
   cell.RunFor(Millis(200));
   BOOST_REQUIRE(cell.accepted(69));
@@ -420,7 +421,7 @@
   for (const auto verdict : told) {
     BOOST_TEST((verdict == coordinator::JobVerdict::kDone));
   }
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The same, but what came while the leader stood still is read before the
@@ -437,10 +438,10 @@
       const std::string frozen = cell.Leader();
       cell.Pause(frozen);
       cell.RunFor(Millis(600));
-      cell.Cut(frozen, true);
+      cell.SetIsolated(frozen, true);
       cell.RunFor(Millis(4400));
-      cell.Cut(frozen, false);
-      cell.upstreams().script({70, 0, 0, 0}).takes = Millis(9000);
+      cell.SetIsolated(frozen, false);
+      cell.upstreams().behavior({70, 0, 0, 0}).run_time = Millis(9000);
       cell.Submit(cell.Leader(), OneStepJob(70, 1, 1000));
       cell.RunFor(Millis(200));
       BOOST_REQUIRE(cell.accepted(70));
@@ -449,7 +450,7 @@
       cell.Resume(frozen);
       cell.RunFor(Millis(4000));
       BOOST_TEST(cell.cancelled(70));
-      BOOST_TEST(cell.Broken().empty());
+      BOOST_TEST(cell.Violations().empty());
     }
   }
 }
@@ -458,29 +459,30 @@
 BOOST_AUTO_TEST_CASE(AnAppendThatIsOvertakenLosesNoAcceptedJob) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.store().faults().append_takes = Millis(200);
+  cell.store().faults().append_latency = Millis(200);
   cell.Kill(cell.Leader());
   cell.RunFor(Millis(3000));
   const std::string leader = cell.Leader();
   BOOST_REQUIRE(!leader.empty());
-  cell.store().faults().ways_there["jobs"] = {Millis(400), Millis(100)};
+  cell.store().faults().append_request_delays["jobs"] = {Millis(400),
+                                                         Millis(100)};
   constexpr JobId kJobs = 6;
   for (JobId id = 1; id <= kJobs; ++id) {
     for (int32_t i = 0; i < 2; ++i) {
-      cell.upstreams().script({id, 0, 0, i}).takes = Millis(20000);
+      cell.upstreams().behavior({id, 0, 0, i}).run_time = Millis(20000);
     }
     cell.Submit(leader, OneStepJob(id, 2, 1000));
     cell.RunFor(Millis(60));
   }
   cell.RunFor(Millis(1500));
-  cell.store().faults().append_takes = Millis(4);
+  cell.store().faults().append_latency = Millis(4);
   cell.Kill(leader);
   cell.RunFor(Millis(4000));
   for (JobId id = 1; id <= kJobs; ++id) {
     if (!cell.accepted(id)) continue;
     BOOST_TEST(cell.State(id).has_value(), "accepted and lost: " << id);
   }
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// Guards against one job whose record is never stored holding up all others.
@@ -494,10 +496,10 @@
   cell.Submit("entry-2", OneStepJob(2, 1, 1000));
   cell.RunFor(Millis(3000));
   BOOST_TEST(cell.refused(1));
-  BOOST_TEST(!cell.upstreams().Ran(1));
+  BOOST_TEST(!cell.upstreams().HasRun(1));
   BOOST_TEST(cell.accepted(2));
   BOOST_TEST(cell.RunUntilFinal(2, Millis(3000)));
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// The store is away: a new job is refused, and must then never run. Callers
@@ -514,8 +516,8 @@
   BOOST_TEST(cell.refused(31));
   cell.store().faults().down = false;
   cell.RunFor(Millis(10000));
-  BOOST_TEST(!cell.upstreams().Ran(31));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(!cell.upstreams().HasRun(31));
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The store falls silent. A job handed in just after waits behind an append
@@ -537,8 +539,8 @@
   cell.RunFor(Millis(2000));
   cell.Submit("entry-3", OneStepJob(34, 1, 1000));
   BOOST_TEST(cell.RunUntilFinal(34, Millis(10000)));
-  BOOST_TEST(!cell.upstreams().Ran(33));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(!cell.upstreams().HasRun(33));
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A caller's cancel is never acknowledged: its record was stored, but what
@@ -548,7 +550,7 @@
   sim::ManualClock clock;
   StoreFake store(clock);
   sim::ManualExecutor executor(clock);
-  StoreAccess access(store, executor, "entry-0");
+  StoreClientFake access(store, executor, "entry-0");
   const auto journal = std::make_shared<journal::Journal>(
       executor, access,
       journal::JournalOptions{.table = "jobs", .writer = "leader", .epoch = 1},
@@ -582,7 +584,7 @@
       cell.Leader() == "entry-0" ? "entry-1" : "entry-0";
   cell.entry(stopping)->BeginShutdown();
   cell.RunFor(Millis(3000));
-  cell.Cut(stopping, true);
+  cell.SetIsolated(stopping, true);
   cell.Submit(stopping, OneStepJob(36, 1, 1000));
   cell.RunFor(Millis(1500));
   BOOST_TEST(cell.answered(36));
@@ -600,12 +602,12 @@
   cell.store().faults().down = true;
   cell.entry(stopping)->BeginShutdown();
   cell.RunFor(Millis(1300));
-  cell.Cut(stopping, true);
+  cell.SetIsolated(stopping, true);
   cell.store().faults().down = false;
   while (cell.Leader().empty()) cell.RunFor(Millis(50));
   BOOST_REQUIRE(cell.Leader() != stopping);
   cell.RunFor(Millis(50));
-  cell.Cut(stopping, false);
+  cell.SetIsolated(stopping, false);
   cell.RunFor(Millis(500));
   cell.Submit(stopping, OneStepJob(61, 1, 1000));
   cell.RunFor(Millis(500));
@@ -620,7 +622,7 @@
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
-  cell.upstreams().script({64, 0, 0, 0}).takes = Millis(9000);
+  cell.upstreams().behavior({64, 0, 0, 0}).run_time = Millis(9000);
   cell.Submit(leader, OneStepJob(64, 1, 1000));
   cell.RunFor(Millis(500));
   BOOST_REQUIRE(cell.accepted(64));
@@ -639,7 +641,7 @@
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
-  cell.upstreams().script({66, 0, 0, 0}).takes = Millis(9000);
+  cell.upstreams().behavior({66, 0, 0, 0}).run_time = Millis(9000);
   cell.Submit(leader, OneStepJob(66, 1, 1000));
   cell.RunFor(Millis(500));
   cell.store().faults().down = true;
@@ -660,11 +662,11 @@
   const std::string leader = cell.Leader();
   const std::string stopping = leader == "entry-0" ? "entry-1" : "entry-0";
   cell.entry(stopping)->BeginShutdown();
-  cell.Cut(stopping, true);
+  cell.SetIsolated(stopping, true);
   cell.Kill(leader);
   cell.RunFor(Millis(2000));
   BOOST_REQUIRE(!cell.Leader().empty());
-  cell.Cut(stopping, false);
+  cell.SetIsolated(stopping, false);
   cell.RunFor(Millis(1000));
   cell.Submit(stopping, OneStepJob(62, 1, 1000));
   cell.RunFor(Millis(500));
@@ -684,12 +686,12 @@
       const std::string leader = cell.Leader();
       const std::string follower = leader == "entry-0" ? "entry-1" : "entry-0";
       if (stops) cell.entry(follower)->BeginShutdown();
-      cell.store().faults().turned_away.insert(follower);
-      cell.Cut(follower, true);
+      cell.store().faults().partitioned_entries.insert(follower);
+      cell.SetIsolated(follower, true);
       cell.Kill(leader);
       cell.RunFor(Millis(2000));
       BOOST_REQUIRE(!cell.Leader().empty());
-      cell.Cut(follower, false);
+      cell.SetIsolated(follower, false);
       cell.RunFor(Millis(1000));
       cell.Submit(follower, OneStepJob(67, 1, 1000));
       cell.RunFor(Millis(500));
@@ -709,17 +711,17 @@
       JobCell cell({.upstreams = upstreams});
       cell.RunFor(Millis(2000));
       const std::string first = cell.Leader();
-      cell.store().faults().turned_away.insert(first);
-      cell.Cut(first, true);
+      cell.store().faults().partitioned_entries.insert(first);
+      cell.SetIsolated(first, true);
       cell.RunFor(Millis(4000));
       BOOST_REQUIRE(cell.Leader() != first);
-      cell.Cut(first, false);
+      cell.SetIsolated(first, false);
       cell.RunFor(Millis(1000));
       BOOST_TEST(!cell.entry(first)->leadership().leading());
       cell.Submit(first, OneStepJob(68, 1, 1000));
       cell.RunFor(Millis(500));
       BOOST_TEST(cell.accepted(68));
-      BOOST_TEST(cell.Broken().empty());
+      BOOST_TEST(cell.Violations().empty());
     }
   }
 }
@@ -735,7 +737,7 @@
   BOOST_REQUIRE(!cell.Leader().empty());
   const std::string started =
       cell.Leader() == "entry-3" ? "entry-2" : "entry-3";
-  cell.store().faults().turned_away.insert(started);
+  cell.store().faults().partitioned_entries.insert(started);
   cell.Restart(started);
   cell.RunFor(Millis(3000));
   cell.Submit(started, OneStepJob(63, 1, 1000));
@@ -779,7 +781,7 @@
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string first = cell.Leader();
-  cell.store().faults().turned_away.insert(first);
+  cell.store().faults().partitioned_entries.insert(first);
   cell.RunFor(Millis(600));
   const std::string other = first == "entry-0" ? "entry-1" : "entry-0";
   cell.Submit(other, OneStepJob(35, 1, 1000));
@@ -788,7 +790,7 @@
   BOOST_TEST(cell.accepted(35));
   BOOST_TEST(cell.Leader() != first);
   BOOST_TEST(cell.RunUntilFinal(35, Millis(10000)));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// One member of a gang fails: the others break, and the whole gang starts
@@ -796,11 +798,12 @@
 BOOST_AUTO_TEST_CASE(ABrokenGangStartsAnewAsAWhole) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({40, 0, 0, 1}) = {.takes = Millis(200), .fails = 1};
+  cell.upstreams().behavior({40, 0, 0, 1}) = {.run_time = Millis(200),
+                                              .failing_runs = 1};
   cell.Submit("entry-0", OneStepJob(40, 4, 3000, true));
   BOOST_TEST(cell.RunUntilFinal(40, Millis(15000)));
   BOOST_TEST((cell.State(40) == JobState::kComplete));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An upstream dies with a task. Nothing says so but its silence; the task may
@@ -808,17 +811,17 @@
 BOOST_AUTO_TEST_CASE(ATaskOfADeadUpstreamRunsElsewhere) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.upstreams().script({50, 0, 0, 0}).takes = Millis(2000);
+  cell.upstreams().behavior({50, 0, 0, 0}).run_time = Millis(2000);
   cell.Submit("entry-0", OneStepJob(50, 1, 1000));
   cell.RunFor(Millis(300));
-  const std::string at = cell.upstreams().Where({50, 0, 0, 0});
+  const std::string at = cell.upstreams().UpstreamRunning({50, 0, 0, 0});
   BOOST_REQUIRE(!at.empty());
-  cell.upstreams().faults(at).dead = true;
+  cell.upstreams().faults(at).terminated = true;
   cell.RunFor(Millis(3500));
   BOOST_TEST(cell.upstreams().starts() == 1);
   BOOST_TEST(cell.RunUntilFinal(50, Millis(15000)));
   BOOST_TEST(cell.upstreams().starts() == 2);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// An entry is stopped for maintenance while it leads: another leads within
@@ -850,7 +853,7 @@
   BOOST_TEST(cell.RunUntilFinal(60, Millis(10000)));
   cell.RunFor(Millis(3000));
   BOOST_TEST(cell.Leader() == "entry-2");
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// With nobody fitter known, weak entries replace a dead leader at once.
--- a/tests/jobsim/host_fake.cc
+++ b/tests/jobsim/host_fake.cc
@@ -25,26 +25,26 @@
   hosts_[host].record = record;
 }
 
-void HostsFake::Ask(const ports::WaveRequest& wave) {
+void HostsFake::RequestWave(const ports::WaveRequest& wave) {
   waves_[wave.wave] = wave;
-  store_.AskWave(wave);
+  store_.RequestWave(wave);
 }
 
-void HostsFake::EndLife(Host& host) {
+void HostsFake::TerminateUpstream(Host& host) {
   if (host.upstream.empty()) return;
-  upstreams_.EndLife(host.upstream);
+  upstreams_.TerminateUpstream(host.upstream);
   store_.Put(kUpstreamTable, host.upstream, "");
   host.upstream.clear();
   ++host.lives;
 }
 
-void HostsFake::BeginLife(const std::string& name, int life) {
+void HostsFake::StartUpstream(const std::string& name, int incarnation) {
   const auto found = hosts_.find(name);
-  if (found == hosts_.end() || found->second.lives != life) return;
+  if (found == hosts_.end() || found->second.lives != incarnation) return;
   Host& host = found->second;
   host.state = HostState::kUp;
   host.away_for = 0;
-  host.upstream = name + "-life" + std::to_string(life);
+  host.upstream = name + "-life" + std::to_string(incarnation);
   wire::UpstreamRecord record = host.record;
   record.id = host.upstream;
   record.address = host.upstream + ":1";
@@ -56,18 +56,19 @@
                       std::optional<Millis> back_after) {
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || found->second.state != HostState::kUp) return;
-  EndLife(found->second);
+  TerminateUpstream(found->second);
   found->second.state = HostState::kDown;
   if (!back_after) return;
-  clock_.At(
-      clock_.now() + *back_after,
-      [this, host, life = found->second.lives] { BeginLife(host, life); });
+  clock_.At(clock_.now() + *back_after,
+            [this, host, incarnation = found->second.lives] {
+              StartUpstream(host, incarnation);
+            });
 }
 
 void HostsFake::Leave(const std::string& host) {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return;
-  EndLife(found->second);
+  TerminateUpstream(found->second);
   hosts_.erase(found);
 }
 
@@ -94,20 +95,20 @@
 void HostsFake::CheckHolder(Host& host, const ports::MaintenanceOrder& order,
                             TimePoint sent) {
   if (order.fence == host.fence && order.holder != host.holder) {
-    broken_.push_back("two holders with one token: " + order.host);
+    violations_.push_back("two holders with one token: " + order.host);
   }
   if (order.holder == host.holder) return;
   const bool turns = order.holder == host.holder_before &&
                      sent - host.held_since < kHolderLease;
-  if (turns) broken_.push_back("holders take turns: " + order.host);
+  if (turns) violations_.push_back("holders take turns: " + order.host);
   host.holder_before = host.holder;
   host.holder = order.holder;
   host.held_since = sent;
 }
 
 ports::HostReply HostsFake::Begin(const ports::MaintenanceOrder& order,
-                                  Millis held_up) {
-  const bool late = held_up > Millis(0);
+                                  Millis transit_delay) {
+  const bool late = transit_delay > Millis(0);
   const auto found = hosts_.find(order.host);
   if (found == hosts_.end()) return {.verdict = HostVerdict::kNoSuchHost};
   Host& host = found->second;
@@ -117,12 +118,12 @@
     const bool again =
         before != host.refused.end() && before->second == order.fence;
     if (again && !late) {
-      broken_.push_back("a refused token was used again: " + order.host);
+      violations_.push_back("a refused token was used again: " + order.host);
     }
     host.refused[order.holder] = order.fence;
     return {.verdict = HostVerdict::kFenced};
   }
-  CheckHolder(host, order, clock_.now() - held_up);
+  CheckHolder(host, order, clock_.now() - transit_delay);
   host.fence = order.fence;
   const auto holds = [&](const ports::WaveRequest& request) {
     return std::find(request.hosts.begin(), request.hosts.end(), order.host) !=
@@ -139,23 +140,24 @@
                other.second.away_for == order.wave;
       });
   if (static_cast<size_t>(away) >= wave->second.max_unavailable) {
-    broken_.push_back("too many away at once: " + order.host);
+    violations_.push_back("too many away at once: " + order.host);
   }
   if (!late) {
-    upstreams_.CheckEnded(host.upstream);
-    upstreams_.LoseEnds(host.upstream);
+    upstreams_.CheckTerminationAllowed(host.upstream);
+    upstreams_.DropUnacknowledgedEnds(host.upstream);
     if (upstreams_.Running(host.upstream) > 0) {
-      broken_.push_back("not cleared before its upkeep: " + order.host);
+      violations_.push_back("not cleared before its upkeep: " + order.host);
     }
   }
   ++begins_;
   host.begun.insert(order.wave);
-  EndLife(host);
+  TerminateUpstream(host);
   host.state = HostState::kMaintenance;
   host.away_for = order.wave;
-  clock_.At(
-      clock_.now() + kUpkeep,
-      [this, name = order.host, life = host.lives] { BeginLife(name, life); });
+  clock_.At(clock_.now() + kMaintenanceTime,
+            [this, name = order.host, incarnation = host.lives] {
+              StartUpstream(name, incarnation);
+            });
   return {.verdict = HostVerdict::kDone};
 }
 
@@ -181,36 +183,36 @@
       if (host == hosts_.end() || host->second.begun.count(number) > 0) {
         continue;
       }
-      broken_.push_back("told as complete without " + name);
+      violations_.push_back("told as complete without " + name);
     }
   }
 }
 
-void HostAccess::ListHosts(const std::string& after, Millis timeout,
-                           Callback<ports::HostPage> done) {
+void HostClientFake::ListHosts(const std::string& after, Millis timeout,
+                               Callback<ports::HostPage> done) {
   HostApiFaults& faults = hosts_.faults();
   hosts_.NoteCall(true);
-  if (faults.silent) {
+  if (faults.down) {
     return executor_.RunAfter(timeout, [done] {
       done(Result<ports::HostPage>(Errc::kTimeout, "no answer"));
     });
   }
-  if (faults.throttled > 0) {
-    --faults.throttled;
-    return executor_.RunAfter(faults.delay, [done] {
+  if (faults.throttled_calls > 0) {
+    --faults.throttled_calls;
+    return executor_.RunAfter(faults.latency, [done] {
       done(Result<ports::HostPage>(Errc::kUnavailable, "answers 429"));
     });
   }
   // The list is as it was when the call arrived; its answer travels.
   auto page = std::make_shared<ports::HostPage>();
-  hosts_.clock().At(hosts_.clock().now() + faults.delay / 2,
+  hosts_.clock().At(hosts_.clock().now() + faults.latency / 2,
                     [this, after, page] { *page = hosts_.List(after); });
-  executor_.RunAfter(faults.delay, [done, page] { done(*page); });
+  executor_.RunAfter(faults.latency, [done, page] { done(*page); });
 }
 
-void HostAccess::BeginMaintenance(const ports::MaintenanceOrder& order,
-                                  Millis timeout,
-                                  std::function<void(ports::HostReply)> done) {
+void HostClientFake::BeginMaintenance(
+    const ports::MaintenanceOrder& order, Millis timeout,
+    std::function<void(ports::HostReply)> done) {
   HostApiFaults& faults = hosts_.faults();
   hosts_.NoteCall(false);
   const auto lost = [&] {
@@ -218,34 +220,34 @@
       done({.verdict = HostVerdict::kUnknown, .detail = "no answer"});
     });
   };
-  if (faults.silent) return lost();
-  if (faults.throttled > 0) {
-    --faults.throttled;
-    return executor_.RunAfter(faults.delay, [done] {
+  if (faults.down) return lost();
+  if (faults.throttled_calls > 0) {
+    --faults.throttled_calls;
+    return executor_.RunAfter(faults.latency, [done] {
       done({.verdict = HostVerdict::kRefused, .detail = "429"});
     });
   }
-  if (faults.late_orders > 0) {
-    --faults.late_orders;
-    hosts_.clock().At(hosts_.clock().now() + faults.late_by,
-                      [this, order, held_up = faults.late_by] {
-                        hosts_.Begin(order, held_up);
+  if (faults.delayed_orders > 0) {
+    --faults.delayed_orders;
+    hosts_.clock().At(hosts_.clock().now() + faults.execution_delay,
+                      [this, order, transit_delay = faults.execution_delay] {
+                        hosts_.Begin(order, transit_delay);
                       });
     return lost();
   }
-  const bool silent = faults.lose_answers > 0;
-  if (silent) --faults.lose_answers;
+  const bool silent = faults.drop_replies > 0;
+  if (silent) --faults.drop_replies;
   auto reply = std::make_shared<ports::HostReply>();
-  hosts_.clock().At(hosts_.clock().now() + faults.delay / 2,
+  hosts_.clock().At(hosts_.clock().now() + faults.latency / 2,
                     [this, order, reply] { *reply = hosts_.Begin(order); });
   if (silent) return lost();
-  executor_.RunAfter(faults.delay, [done, reply] { done(*reply); });
+  executor_.RunAfter(faults.latency, [done, reply] { done(*reply); });
 }
 
-std::string HostAccess::status_table() const { return kStatusTable; }
+std::string HostClientFake::status_table() const { return kStatusTable; }
 
-ports::KeyedRecord HostAccess::EncodeStatus(int64_t wave,
-                                            ports::WaveStatus status) const {
+ports::KeyedRecord HostClientFake::EncodeStatus(
+    int64_t wave, ports::WaveStatus status) const {
   return {StatusKey(wave), std::string(ports::kWaveStatusNames.Name(status))};
 }
 
--- a/tests/jobsim/host_fake.h
+++ b/tests/jobsim/host_fake.h
@@ -16,23 +16,23 @@
 /// Faults of the API of hosts, switched by tests.
 struct HostApiFaults {
   /// No call gets an answer, and none is carried out.
-  bool silent = false;
+  bool down = false;
   /// So many calls are refused: too many of them.
-  int throttled = 0;
+  int throttled_calls = 0;
   /// So many orders are carried out and not answered.
-  int lose_answers = 0;
+  int drop_replies = 0;
   /// So many orders are carried out this much later and not answered.
-  int late_orders = 0;
-  Millis late_by{5000};
+  int delayed_orders = 0;
+  Millis execution_delay{5000};
   /// Time of an answer.
-  Millis delay{20};
+  Millis latency{20};
 };
 
 /// The platform's hosts, each with the upstream that it is now, and the checks
 /// of what is ordered for them.
 class HostsFake {
  public:
-  static constexpr Millis kUpkeep{2000};
+  static constexpr Millis kMaintenanceTime{2000};
   static constexpr Millis kHolderLease{3000};
 
   HostsFake(sim::ManualClock& clock, StoreFake& store, UpstreamsFake& upstreams)
@@ -41,17 +41,18 @@
   void Add(const std::string& host, const std::string& upstream,
            const wire::UpstreamRecord& record);
   /// An operator asks for a wave.
-  void Ask(const ports::WaveRequest& wave);
+  void RequestWave(const ports::WaveRequest& wave);
   /// The host crashes, and comes back as another upstream or never.
   void Crash(const std::string& host, std::optional<Millis> back_after);
   /// The host leaves the list for good.
   void Leave(const std::string& host);
 
   ports::HostPage List(const std::string& after) const;
-  /// `held_up`: how long it was on its way. What a late one ends is not laid to
-  /// its sender, and holders take turns by when they sent, not by when it acts.
+  /// `transit_delay`: how long it was on its way. What a late one ends is not
+  /// laid to its sender, and holders take turns by when they sent, not by when
+  /// it acts.
   ports::HostReply Begin(const ports::MaintenanceOrder& order,
-                         Millis held_up = Millis(0));
+                         Millis transit_delay = Millis(0));
 
   HostApiFaults& faults() { return faults_; }
   sim::ManualClock& clock() { return clock_; }
@@ -71,7 +72,7 @@
   std::string UpstreamOf(const std::string& host) const;
   /// Upkeeps begun, counting a host once a wave.
   int begins() const { return begins_; }
-  const std::vector<std::string>& broken() const { return broken_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
   struct Host {
@@ -91,8 +92,8 @@
 
   void CheckHolder(Host& host, const ports::MaintenanceOrder& order,
                    TimePoint sent);
-  void EndLife(Host& host);
-  void BeginLife(const std::string& name, int life);
+  void TerminateUpstream(Host& host);
+  void StartUpstream(const std::string& name, int incarnation);
 
   sim::ManualClock& clock_;
   StoreFake& store_;
@@ -100,16 +101,17 @@
   HostApiFaults faults_;
   std::map<std::string, Host> hosts_;
   std::map<int64_t, ports::WaveRequest> waves_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   int calls_ = 0;
   int lists_ = 0;
   int begins_ = 0;
 };
 
 /// One entry's way to the API of hosts, and to where waves are told of.
-class HostAccess final : public ports::HostPort, public ports::WaveStatusPort {
+class HostClientFake final : public ports::HostPort,
+                             public ports::WaveStatusPort {
  public:
-  HostAccess(HostsFake& hosts, Executor& executor)
+  HostClientFake(HostsFake& hosts, Executor& executor)
       : hosts_(hosts), executor_(executor) {}
 
   void ListHosts(const std::string& after, Millis timeout,
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -61,26 +61,28 @@
 
   sim::ManualExecutor executor;
   metrics::Registry metrics;
-  StoreAccess store;
-  TaskAccess tasks;
-  PeerAccess peers;
-  HostAccess hosts;
+  StoreClientFake store;
+  UpstreamClientFake tasks;
+  PeerClientFake peers;
+  HostClientFake hosts;
   std::unique_ptr<jobentry::JobEntry> entry;
 };
 
 JobCell::JobCell(CellOptions options) : options_(options) {
   store_.Put(kConfigTable, "config", "1");
   for (int i = 0; i < options_.upstreams; ++i) AddUpstream(i);
-  upstreams_.SetReborn(options_.reborn, options_.reborn_elsewhere);
+  upstreams_.SetReplacement(options_.replacement_delay,
+                            options_.replacement_at_new_address);
   upstreams_.OnCrash([this](const std::string& id) {
-    clock_.At(clock_.now() + options_.entry_lapse,
+    clock_.At(clock_.now() + options_.list_entry_ttl,
               [this, id] { store_.Put(kUpstreamTable, id, ""); });
   });
-  upstreams_.OnReborn([this](const std::string& id) { ReplaceUpstream(id); });
+  upstreams_.OnReplacement(
+      [this](const std::string& id) { ReplaceUpstream(id); });
   for (int i = 0; i < options_.entries; ++i) {
     Start("entry-" + std::to_string(i));
   }
-  Watch();
+  CheckPeriodically();
 }
 
 JobCell::~JobCell() = default;
@@ -108,31 +110,33 @@
 void JobCell::ReplaceUpstream(const std::string& crashed) {
   wire::UpstreamRecord record = listed_[crashed];
   // The last digit, by which the adviser decides, stays.
-  record.id = "life-" + std::to_string(++lives_) + "-" + crashed.back();
+  record.id =
+      "life-" + std::to_string(++upstreams_created_) + "-" + crashed.back();
   listed_[record.id] = record;
   upstreams_.Add(record.id, record.millicores, record.memory_mb);
   store_.Put(kUpstreamTable, crashed, "");
   store_.Put(kUpstreamTable, record.id, rpc::Encode(record));
 }
 
-void JobCell::Watch() {
-  if (Disturbed()) upstreams_.NoteDisturbance();
+void JobCell::CheckPeriodically() {
+  if (HasActiveFault()) upstreams_.RecordFault();
   upstreams_.CheckCancelled();
-  clock_.At(clock_.now() + kWatch, [this] { Watch(); });
+  clock_.At(clock_.now() + kWatch, [this] { CheckPeriodically(); });
 }
 
-bool JobCell::Disturbed() const {
+bool JobCell::HasActiveFault() const {
   const StoreFaults& store = store_.faults();
-  if (store.down || !store.turned_away.empty() || store.lose_answers > 0 ||
-      store.late_appends > 0 || !store.answers_late_by.empty() ||
-      store.jitter > Millis(0) || store.refused_percent > 0 || !cut_.empty()) {
+  if (store.down || !store.partitioned_entries.empty() ||
+      store.drop_replies > 0 || store.delayed_appends > 0 ||
+      !store.append_reply_delays.empty() || store.jitter > Millis(0) ||
+      store.refused_percent > 0 || !isolated_.empty()) {
     return true;
   }
   const bool paused = std::any_of(
       processes_.begin(), processes_.end(), [](const auto& process) {
         return process.second && process.second->executor.paused();
       });
-  return paused || upstreams_.Disturbed();
+  return paused || upstreams_.HasActiveFault();
 }
 
 std::string JobCell::Metrics(const std::string& entry) const {
@@ -153,19 +157,19 @@
 }
 
 void JobCell::Start(const std::string& name) {
-  upstreams_.NoteDisturbance();
+  upstreams_.RecordFault();
   processes_[name] = std::make_unique<Process>(*this, name);
 }
 
 void JobCell::Kill(const std::string& entry) {
   auto& process = processes_[entry];
   if (!process) return;
-  upstreams_.NoteDisturbance();
+  upstreams_.RecordFault();
   process->executor.Kill();
   for (CallerCall& call : calls_) {
-    const bool open = call.answers == 0 && !call.broken_off;
+    const bool open = call.answers == 0 && !call.connection_lost;
     if (call.entry != entry || !open) continue;
-    call.broken_off = true;
+    call.connection_lost = true;
     call.ended = clock_.now();
   }
   ended_.push_back(std::move(process));
@@ -180,7 +184,7 @@
   if (!processes_[entry]) return;
   processes_[entry]->executor.Pause();
   for (CallerCall& call : calls_) {
-    if (call.entry == entry && call.answers == 0) call.held_up = true;
+    if (call.entry == entry && call.answers == 0) call.entry_paused = true;
   }
 }
 
@@ -188,24 +192,24 @@
   if (processes_[entry]) processes_[entry]->executor.Resume();
 }
 
-void JobCell::Cut(const std::string& entry, bool cut) {
-  if (cut) {
-    cut_.insert(entry);
+void JobCell::SetIsolated(const std::string& entry, bool isolated) {
+  if (isolated) {
+    isolated_.insert(entry);
   } else {
-    cut_.erase(entry);
+    isolated_.erase(entry);
   }
 }
 
-void JobCell::Part(const std::set<std::string>& entries,
-                   const std::set<std::string>& upstreams) {
-  for (const std::string& entry : island_) {
-    store_.faults().turned_away.erase(entry);
+void JobCell::SetPartition(const std::set<std::string>& entries,
+                           const std::set<std::string>& upstreams) {
+  for (const std::string& entry : partition_) {
+    store_.faults().partitioned_entries.erase(entry);
   }
-  island_ = entries;
-  store_.faults().turned_away.insert(entries.begin(), entries.end());
+  partition_ = entries;
+  store_.faults().partitioned_entries.insert(entries.begin(), entries.end());
   std::set<std::string> all = entries;
   all.insert(upstreams.begin(), upstreams.end());
-  upstreams_.Part(std::move(all));
+  upstreams_.SetPartition(std::move(all));
 }
 
 std::vector<std::string> JobCell::names() const {
@@ -238,8 +242,8 @@
                     .job = id,
                     .entry = entry,
                     .sent = clock_.now(),
-                    .broken_off = !process,
-                    .held_up = process && process->executor.paused()});
+                    .connection_lost = !process,
+                    .entry_paused = process && process->executor.paused()});
   return calls_.size() - 1;
 }
 
@@ -250,7 +254,7 @@
 }
 
 void JobCell::Submit(const std::string& entry, wire::JobSpec spec) {
-  upstreams_.Know(spec);
+  upstreams_.RegisterJob(spec);
   const auto id = static_cast<JobId>(spec.id);
   const size_t call = NoteCall(CallKind::kSubmit, entry, id);
   auto& process = processes_[entry];
@@ -269,8 +273,8 @@
   });
 }
 
-void JobCell::AskState(const std::string& entry, JobId id,
-                       std::function<void(jobentry::JobAnswer)> done) {
+void JobCell::QueryState(const std::string& entry, JobId id,
+                         std::function<void(jobentry::JobAnswer)> done) {
   auto& process = processes_[entry];
   if (!process) return;
   auto* target = process->entry.get();
@@ -363,11 +367,11 @@
   return false;
 }
 
-std::vector<std::string> JobCell::Broken() const {
-  std::vector<std::string> out = upstreams_.broken();
-  out.insert(out.end(), hosts_.broken().begin(), hosts_.broken().end());
+std::vector<std::string> JobCell::Violations() const {
+  std::vector<std::string> out = upstreams_.violations();
+  out.insert(out.end(), hosts_.violations().begin(), hosts_.violations().end());
   for (const auto& [id, answers] : answers_) {
-    if (refused(id) && upstreams_.Ran(id)) {
+    if (refused(id) && upstreams_.HasRun(id)) {
       out.push_back("refused, and ran: " + JobIdText(id));
     }
   }
@@ -393,7 +397,7 @@
 }
 
 template <typename Reply>
-void PeerAccess::Call(
+void PeerClientFake::Call(
     const std::string& address, size_t bytes, Millis timeout,
     Callback<Reply> done,
     std::function<void(jobentry::JobEntry&, std::function<void(Reply)>)>
@@ -411,10 +415,12 @@
     if (std::exchange(*answered, true)) return;
     done(Result<Reply>(Errc::kTimeout, "no answer"));
   });
-  if (cell_.cut_.count(name) > 0 || cell_.cut_.count(self_) > 0) return;
-  if (cell_.island_.count(name) != cell_.island_.count(self_)) return;
+  if (cell_.isolated_.count(name) > 0 || cell_.isolated_.count(self_) > 0)
+    return;
+  if (cell_.partition_.count(name) != cell_.partition_.count(self_)) return;
   auto* process = found->second.get();
-  const Millis way = kWay + cell_.slow_[name] + cell_.slow_[self_];
+  const Millis way =
+      kWay + cell_.peer_latency_[name] + cell_.peer_latency_[self_];
   MachineFake& here = cell_.Machine(self_);
   MachineFake& there = cell_.Machine(name);
   const auto give = [answered, done](const Reply& reply) {
@@ -422,7 +428,7 @@
     done(reply);
   };
   const auto answer = [this, &here, &there, give, way](const Reply& reply) {
-    there.out.Carry(WireBytes(reply), [this, &here, give, way, reply] {
+    there.out.Transfer(WireBytes(reply), [this, &here, give, way, reply] {
       here.Receive(WireBytes(reply), [this, give, way, reply] {
         executor_.RunAfter(way, [give, reply] { give(reply); });
       });
@@ -432,55 +438,56 @@
     process->executor.RunAfter(
         way, [process, serve, answer] { serve(*process->entry, answer); });
   };
-  here.out.Carry(bytes,
-                 [&there, bytes, arrive] { there.Receive(bytes, arrive); });
+  here.out.Transfer(bytes,
+                    [&there, bytes, arrive] { there.Receive(bytes, arrive); });
 }
 
-void PeerAccess::Heartbeat(const std::string& address,
-                           const wire::HeartbeatCall& call, Millis timeout,
-                           Callback<wire::HeartbeatReply> done) {
+void PeerClientFake::Heartbeat(const std::string& address,
+                               const wire::HeartbeatCall& call, Millis timeout,
+                               Callback<wire::HeartbeatReply> done) {
   Call<wire::HeartbeatReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { reply(entry.OnHeartbeat(call)); });
 }
-void PeerAccess::Announce(const std::string& address,
-                          const wire::AnnounceCall& call, Millis timeout,
-                          Callback<wire::AnnounceReply> done) {
+void PeerClientFake::Announce(const std::string& address,
+                              const wire::AnnounceCall& call, Millis timeout,
+                              Callback<wire::AnnounceReply> done) {
   Call<wire::AnnounceReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { reply(entry.OnAnnounce(call)); });
 }
-void PeerAccess::SubmitJob(const std::string& address,
-                           const wire::SubmitJobCall& call, Millis timeout,
-                           Callback<wire::SubmitJobReply> done) {
+void PeerClientFake::SubmitJob(const std::string& address,
+                               const wire::SubmitJobCall& call, Millis timeout,
+                               Callback<wire::SubmitJobReply> done) {
   Call<wire::SubmitJobReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnSubmit(call, reply); });
 }
-void PeerAccess::JobState(const std::string& address,
-                          const wire::JobStateCall& call, Millis timeout,
-                          Callback<wire::JobStateReply> done) {
+void PeerClientFake::JobState(const std::string& address,
+                              const wire::JobStateCall& call, Millis timeout,
+                              Callback<wire::JobStateReply> done) {
   Call<wire::JobStateReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnState(call, reply); });
 }
-void PeerAccess::CancelJob(const std::string& address,
-                           const wire::CancelJobCall& call, Millis timeout,
-                           Callback<wire::CancelJobReply> done) {
+void PeerClientFake::CancelJob(const std::string& address,
+                               const wire::CancelJobCall& call, Millis timeout,
+                               Callback<wire::CancelJobReply> done) {
   Call<wire::CancelJobReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnCancel(call, reply); });
 }
-void PeerAccess::PendingJobs(const std::string& address,
-                             const wire::PendingJobsCall& call, Millis timeout,
-                             Callback<wire::PendingJobsReply> done) {
+void PeerClientFake::PendingJobs(const std::string& address,
+                                 const wire::PendingJobsCall& call,
+                                 Millis timeout,
+                                 Callback<wire::PendingJobsReply> done) {
   Call<wire::PendingJobsReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnPending(call, reply); });
 }
-void PeerAccess::Advise(const std::string& address,
-                        const wire::AdviseCall& call, Millis timeout,
-                        Callback<wire::AdviseReply> done) {
+void PeerClientFake::Advise(const std::string& address,
+                            const wire::AdviseCall& call, Millis timeout,
+                            Callback<wire::AdviseReply> done) {
   Call<wire::AdviseReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnAdvise(call, reply); });
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cell.h
@@ -21,9 +21,9 @@
 class JobCell;
 
 /// One entry's way to the other entries of the cell.
-class PeerAccess final : public leadership::JobPeerPort {
+class PeerClientFake final : public leadership::JobPeerPort {
  public:
-  PeerAccess(JobCell& cell, Executor& executor, std::string self)
+  PeerClientFake(JobCell& cell, Executor& executor, std::string self)
       : cell_(cell), executor_(executor), self_(std::move(self)) {}
 
   void Heartbeat(const std::string& address, const wire::HeartbeatCall& call,
@@ -68,9 +68,9 @@
   bool hosts = false;
   /// After a crash of an upstream its entry leaves the list after this, if
   /// another life has not taken its place before.
-  Millis entry_lapse{4000};
-  Millis reborn{3000};
-  bool reborn_elsewhere = false;
+  Millis list_entry_ttl{4000};
+  Millis replacement_delay{3000};
+  bool replacement_at_new_address = false;
   /// Each way of an entry's link, and its processor.
   LinkRate link{};
   LinkRate processor{};
@@ -86,9 +86,9 @@
   std::string entry;
   TimePoint sent{};
   /// The entry's process ended before it had answered, or was not there.
-  bool broken_off = false;
+  bool connection_lost = false;
   /// The entry's process stood still meanwhile.
-  bool held_up = false;
+  bool entry_paused = false;
   int answers = 0;
   /// When it was answered or broken off.
   TimePoint ended{};
@@ -107,14 +107,16 @@
   void Pause(const std::string& entry);
   void Resume(const std::string& entry);
   /// Cuts the entry off from all other entries, both ways.
-  void Cut(const std::string& entry, bool cut);
+  void SetIsolated(const std::string& entry, bool isolated);
   /// From now on these entries and upstreams reach each other only, and not the
   /// store; with none, all reach all.
-  void Part(const std::set<std::string>& entries,
-            const std::set<std::string>& upstreams);
+  void SetPartition(const std::set<std::string>& entries,
+                    const std::set<std::string>& upstreams);
   /// Every call to or from the entry takes this much longer each way; its way
   /// to the store stays as it is.
-  void Slow(const std::string& entry, Millis way) { slow_[entry] = way; }
+  void SetPeerLatency(const std::string& entry, Millis way) {
+    peer_latency_[entry] = way;
+  }
   /// The entry that believes to lead with the highest term; empty if none.
   std::string Leader();
   std::vector<std::string> names() const;
@@ -128,8 +130,8 @@
   std::optional<JobState> State(JobId id);
   /// Asks one entry for the job's state. `done` runs once unless the entry's
   /// process ends before.
-  void AskState(const std::string& entry, JobId id,
-                std::function<void(jobentry::JobAnswer)> done);
+  void QueryState(const std::string& entry, JobId id,
+                  std::function<void(jobentry::JobAnswer)> done);
   /// All calls of callers so far, in order.
   const std::vector<CallerCall>& calls() const { return calls_; }
   bool accepted(JobId id) const { return accepted_.count(id) > 0; }
@@ -152,7 +154,7 @@
 
   /// What the entry has sent to other entries and to the store so far.
   int64_t BytesSent(const std::string& entry) {
-    return Machine(entry).out.carried();
+    return Machine(entry).out.bytes_transferred();
   }
 
   sim::ManualClock& clock() { return clock_; }
@@ -161,15 +163,15 @@
   /// What the upstream's own entry in the list says.
   wire::UpstreamRecord ListEntry(int number) const;
   /// The same of any life of an upstream. Precondition: it was listed.
-  const wire::UpstreamRecord& Listed(const std::string& id) const {
+  const wire::UpstreamRecord& ListEntryOf(const std::string& id) const {
     return listed_.at(id);
   }
   HostsFake& hosts() { return hosts_; }
   /// Rules broken, as upstreams and callers saw it.
-  std::vector<std::string> Broken() const;
+  std::vector<std::string> Violations() const;
 
  private:
-  friend class PeerAccess;
+  friend class PeerClientFake;
   struct Process;
 
   void Start(const std::string& name);
@@ -182,8 +184,8 @@
   void ReplaceUpstream(const std::string& crashed);
   /// Looks again and again whether anything is out of order, and whether what
   /// was cancelled is gone.
-  void Watch();
-  bool Disturbed() const;
+  void CheckPeriodically();
+  bool HasActiveFault() const;
 
   CellOptions options_;
   sim::ManualClock clock_;
@@ -193,12 +195,12 @@
   std::map<std::string, std::unique_ptr<Process>> processes_;
   /// Processes that were killed; their executors may still be pointed at.
   std::vector<std::unique_ptr<Process>> ended_;
-  std::set<std::string> cut_;
-  std::set<std::string> island_;
-  std::map<std::string, Millis> slow_;
+  std::set<std::string> isolated_;
+  std::set<std::string> partition_;
+  std::map<std::string, Millis> peer_latency_;
   /// What the list says of each life of an upstream.
   std::map<std::string, wire::UpstreamRecord> listed_;
-  int lives_ = 0;
+  int upstreams_created_ = 0;
   std::map<std::string, std::unique_ptr<MachineFake>> machines_;
   std::vector<CallerCall> calls_;
   std::set<JobId> accepted_;
--- a/tests/jobsim/link_fake.h
+++ b/tests/jobsim/link_fake.h
@@ -13,7 +13,7 @@
 struct LinkRate {
   double bytes_per_s = 0;
   /// On top of its bytes, for each message.
-  std::chrono::microseconds each{0};
+  std::chrono::microseconds per_message{0};
 };
 
 /// Carries messages one after the other: one way of a machine's link, or a
@@ -26,23 +26,24 @@
   void SetRate(LinkRate rate) { rate_ = rate; }
   /// Runs `done` when all bytes have been carried, and `progress`, if it is
   /// set, whenever a part of them has.
-  void Carry(size_t bytes, std::function<void()> done,
-             std::function<void()> progress = {}) {
+  void Transfer(size_t bytes, std::function<void()> done,
+                std::function<void()> progress = {}) {
     carried_ += static_cast<int64_t>(bytes);
-    CarryRest(bytes, Clock::duration(rate_.each), std::move(done),
-              std::move(progress));
+    TransferRest(bytes, Clock::duration(rate_.per_message), std::move(done),
+                 std::move(progress));
   }
 
   /// Bytes so far.
-  int64_t carried() const { return carried_; }
+  int64_t bytes_transferred() const { return carried_; }
 
  private:
   /// What a connection may have under way: the usual receive buffer.
-  static constexpr size_t kSlice = 212992;
+  static constexpr size_t kChunkBytes = 212992;
 
-  void CarryRest(size_t bytes, Clock::duration fixed,
-                 std::function<void()> done, std::function<void()> progress) {
-    const size_t slice = std::min(bytes, kSlice);
+  void TransferRest(size_t bytes, Clock::duration fixed,
+                    std::function<void()> done,
+                    std::function<void()> progress) {
+    const size_t slice = std::min(bytes, kChunkBytes);
     Clock::duration takes = fixed;
     if (rate_.bytes_per_s > 0) {
       const std::chrono::duration<double> on_the_way(
@@ -54,7 +55,7 @@
                          progress = std::move(progress)] {
       if (progress) progress();
       if (rest == 0) return done();
-      CarryRest(rest, {}, done, progress);
+      TransferRest(rest, {}, done, progress);
     });
   }
 
@@ -70,13 +71,13 @@
       : out(clock), in(clock), processor(clock) {}
 
   /// Runs `done` when bytes from elsewhere have arrived and been handled.
-  /// `progress` as in LinkFake::Carry().
+  /// `progress` as in LinkFake::Transfer().
   void Receive(size_t bytes, std::function<void()> done,
                const std::function<void()>& progress = {}) {
-    in.Carry(
+    in.Transfer(
         bytes,
         [this, bytes, done = std::move(done), progress]() mutable {
-          processor.Carry(bytes, std::move(done), progress);
+          processor.Transfer(bytes, std::move(done), progress);
         },
         progress);
   }
--- a/tests/jobsim/trace.h
+++ b/tests/jobsim/log_fixture.h
@@ -7,13 +7,13 @@
 namespace mimosarail::jobsim {
 
 /// MIMOSARAIL_TRACE=1 prints the log lines of a run. A global fixture.
-struct Trace {
-  Trace() {
+struct LogFixture {
+  LogFixture() {
     if (std::getenv("MIMOSARAIL_TRACE") != nullptr) {
       logging::Start("schedule", logging::Level::kDebug);
     }
   }
-  ~Trace() { logging::Stop(); }
+  ~LogFixture() { logging::Stop(); }
 };
 
 }  // namespace mimosarail::jobsim
--- a/tests/jobsim/store_fake.cc
+++ b/tests/jobsim/store_fake.cc
@@ -88,7 +88,7 @@
   }
 }
 
-void StoreFake::AskWave(const ports::WaveRequest& wave) {
+void StoreFake::RequestWave(const ports::WaveRequest& wave) {
   const std::string key = "wave/" + std::to_string(wave.wave);
   waves_[key] = wave;
   Put(kConfigTable, key, "asked");
@@ -150,10 +150,10 @@
   return std::nullopt;
 }
 
-Millis StoreFake::WayThere(const std::string& table) {
-  const auto given = faults_.ways_there.find(table);
-  if (given == faults_.ways_there.end() || given->second.empty()) {
-    return faults_.append_takes / 2 + Jitter();
+Millis StoreFake::NextAppendRequestDelay(const std::string& table) {
+  const auto given = faults_.append_request_delays.find(table);
+  if (given == faults_.append_request_delays.end() || given->second.empty()) {
+    return faults_.append_latency / 2 + Jitter();
   }
   const Millis way = given->second.front();
   given->second.pop_front();
@@ -191,18 +191,18 @@
   return out;
 }
 
-bool StoreAccess::Reachable() const {
+bool StoreClientFake::Reachable() const {
   const StoreFaults& faults = store_.faults();
-  return !faults.down && faults.turned_away.count(entry_) == 0;
+  return !faults.down && faults.partitioned_entries.count(entry_) == 0;
 }
 
-void StoreAccess::Send(size_t bytes, std::function<void()> there) {
+void StoreClientFake::Send(size_t bytes, std::function<void()> there) {
   if (machine_ == nullptr) return there();
-  machine_->out.Carry(bytes, std::move(there));
+  machine_->out.Transfer(bytes, std::move(there));
 }
 
-void StoreAccess::Receive(size_t bytes, std::function<void()> done,
-                          const std::function<void()>& progress) {
+void StoreClientFake::Receive(size_t bytes, std::function<void()> done,
+                              const std::function<void()>& progress) {
   if (machine_ == nullptr) return done();
   machine_->Receive(
       bytes,
@@ -210,8 +210,8 @@
       progress);
 }
 
-void StoreAccess::Append(const ports::AppendCall& call, Millis timeout,
-                         std::function<void(ports::AppendReply)> done) {
+void StoreClientFake::Append(const ports::AppendCall& call, Millis timeout,
+                             std::function<void(ports::AppendReply)> done) {
   if (!Reachable()) {
     return executor_.RunAfter(timeout, [done] {
       done({.verdict = ports::AppendVerdict::kUnknown, .detail = "no answer"});
@@ -223,20 +223,20 @@
       done({.verdict = ports::AppendVerdict::kUnknown, .detail = "lost"});
     });
   };
-  if (store_.Refuses()) {
+  if (store_.ShouldRefuseAppend()) {
     return executor_.RunAfter(kDelay, [done] {
       done({.verdict = ports::AppendVerdict::kRefused, .detail = "refused"});
     });
   }
-  if (faults.late_appends > 0) {
-    --faults.late_appends;
-    store_.clock().At(store_.clock().now() + faults.late_by,
+  if (faults.delayed_appends > 0) {
+    --faults.delayed_appends;
+    store_.clock().At(store_.clock().now() + faults.execution_delay,
                       [this, call] { store_.Append(call); });
     return lost();
   }
   // The store acts whatever becomes of the caller meanwhile.
-  const bool silent = faults.lose_answers > 0;
-  if (silent) --faults.lose_answers;
+  const bool silent = faults.drop_replies > 0;
+  if (silent) --faults.drop_replies;
   if (silent) lost();
   auto answered = std::make_shared<bool>(silent);
   const auto give = [answered, done](const ports::AppendReply& reply) {
@@ -247,13 +247,13 @@
       give({.verdict = ports::AppendVerdict::kUnknown, .detail = "no answer"});
     });
   }
-  const Millis there = store_.WayThere(call.table);
-  const Millis way_back = faults.append_takes / 2 + store_.Jitter();
+  const Millis there = store_.NextAppendRequestDelay(call.table);
+  const Millis way_back = faults.append_latency / 2 + store_.Jitter();
   Send(RecordBytes(call.records), [this, call, there, way_back, give] {
     store_.clock().At(
         store_.clock().now() + there, [this, call, way_back, give] {
           const ports::AppendReply reply = store_.Append(call);
-          const auto& late = store_.faults().answers_late_by;
+          const auto& late = store_.faults().append_reply_delays;
           const auto found = late.find(entry_);
           const Millis back =
               way_back + (found == late.end() ? Millis(0) : found->second);
@@ -265,8 +265,8 @@
 }
 
 template <typename T>
-void StoreAccess::Answer(Millis timeout, Callback<T> done,
-                         std::function<Result<T>()> read, Millis delay) {
+void StoreClientFake::Answer(Millis timeout, Callback<T> done,
+                             std::function<Result<T>()> read, Millis delay) {
   if (!Reachable()) {
     return executor_.RunAfter(
         timeout, [done] { done(Result<T>(Errc::kTimeout, "no answer")); });
@@ -285,8 +285,9 @@
   });
 }
 
-void StoreAccess::WatchSilence(Millis timeout, std::shared_ptr<TimePoint> heard,
-                               Callback<ports::NewestPage> give) {
+void StoreClientFake::WatchSilence(Millis timeout,
+                                   std::shared_ptr<TimePoint> heard,
+                                   Callback<ports::NewestPage> give) {
   const auto left =
       std::chrono::ceil<Millis>(*heard + timeout - executor_.Now());
   if (left <= Millis(0)) {
@@ -297,8 +298,9 @@
   });
 }
 
-void StoreAccess::ReadNewest(const std::string& table, const std::string& after,
-                             Millis timeout, Callback<ports::NewestPage> done) {
+void StoreClientFake::ReadNewest(const std::string& table,
+                                 const std::string& after, Millis timeout,
+                                 Callback<ports::NewestPage> done) {
   auto answered = std::make_shared<bool>(false);
   const auto give = [answered, done](Result<ports::NewestPage> page) {
     if (!std::exchange(*answered, true)) done(std::move(page));
@@ -320,15 +322,16 @@
       kDelay);
 }
 
-void StoreAccess::ReadTail(const std::string& table, int64_t from, Millis,
-                           Millis timeout, Callback<ports::TailReply> done) {
+void StoreClientFake::ReadTail(const std::string& table, int64_t from, Millis,
+                               Millis timeout,
+                               Callback<ports::TailReply> done) {
   Answer<ports::TailReply>(
       timeout, std::move(done),
       [this, table, from] { return store_.Tail(table, from); }, kDelay);
 }
 
-void StoreAccess::ReadNewest(Millis timeout,
-                             Callback<ports::ConfigUpdate> done) {
+void StoreClientFake::ReadNewest(Millis timeout,
+                                 Callback<ports::ConfigUpdate> done) {
   Answer<ports::ConfigUpdate>(
       timeout, std::move(done),
       [this]() -> Result<ports::ConfigUpdate> {
@@ -340,9 +343,9 @@
       kDelay);
 }
 
-void StoreAccess::ReadChange(int64_t cursor, Millis, Millis timeout,
-                             Callback<ports::ConfigUpdate> done) {
-  constexpr Millis kLook{100};
+void StoreClientFake::ReadChange(int64_t cursor, Millis, Millis timeout,
+                                 Callback<ports::ConfigUpdate> done) {
+  constexpr Millis kPollInterval{100};
   Answer<ports::ConfigUpdate>(
       timeout, std::move(done),
       [this, cursor]() -> Result<ports::ConfigUpdate> {
@@ -353,10 +356,10 @@
                                    .documents = ValuesOf(records),
                                    .waves = store_.Waves(records)};
       },
-      kLook);
+      kPollInterval);
 }
 
-Result<ports::CellConfig> StoreAccess::Decode(
+Result<ports::CellConfig> StoreClientFake::Decode(
     const std::string& document) const {
   // The fake's documents are just their version; there is one queue.
   ports::CellConfig out;
@@ -376,8 +379,8 @@
   return out;
 }
 
-void StoreAccess::ReadAll(Millis timeout,
-                          Callback<ports::UpstreamListUpdate> done) {
+void StoreClientFake::ReadAll(Millis timeout,
+                              Callback<ports::UpstreamListUpdate> done) {
   Answer<ports::UpstreamListUpdate>(
       timeout, std::move(done),
       [this]() -> Result<ports::UpstreamListUpdate> {
@@ -392,8 +395,8 @@
       kDelay);
 }
 
-void StoreAccess::ReadChanges(int64_t cursor, Millis timeout,
-                              Callback<ports::UpstreamListUpdate> done) {
+void StoreClientFake::ReadChanges(int64_t cursor, Millis timeout,
+                                  Callback<ports::UpstreamListUpdate> done) {
   Answer<ports::UpstreamListUpdate>(
       timeout, std::move(done),
       [this, cursor]() -> Result<ports::UpstreamListUpdate> {
--- a/tests/jobsim/store_fake.h
+++ b/tests/jobsim/store_fake.h
@@ -20,14 +20,14 @@
 /// Faults of the store, switched by tests. An entry is named as in its calls.
 struct StoreFaults {
   bool down = false;
-  std::set<std::string> turned_away;
+  std::set<std::string> partitioned_entries;
   /// So many appends are done and not answered.
-  int lose_answers = 0;
+  int drop_replies = 0;
   /// So many appends are done this much later and not answered.
-  int late_appends = 0;
-  Millis late_by{2000};
+  int delayed_appends = 0;
+  Millis execution_delay{2000};
   /// How long an append takes until it is answered; half of it there.
-  Millis append_takes{4};
+  Millis append_latency{4};
   /// Each way of a call takes up to this much longer, by chance, so that calls
   /// and answers overtake one another.
   Millis jitter{0};
@@ -35,9 +35,9 @@
   uint64_t refused_percent = 0;
   /// How long the next appends of a table are on their way to the store, in the
   /// order in which they leave; as usual after these.
-  std::map<std::string, std::deque<Millis>> ways_there{};
+  std::map<std::string, std::deque<Millis>> append_request_delays{};
   /// Answers to appends of these entries come so much later.
-  std::map<std::string, Millis> answers_late_by{};
+  std::map<std::string, Millis> append_reply_delays{};
 };
 
 /// The platform's store: tables whose newest record of a key counts, fenced
@@ -54,7 +54,7 @@
   }
 
   /// Puts an operator's wave beside the configuration.
-  void AskWave(const ports::WaveRequest& wave);
+  void RequestWave(const ports::WaveRequest& wave);
   /// The waves among these records.
   std::vector<ports::WaveRequest> Waves(
       const std::vector<ports::KeyedRecord>& records) const;
@@ -78,12 +78,12 @@
     return Millis(most == 0 ? 0 : random_() % (most + 1));
   }
   /// Whether chance has the store refuse an append.
-  bool Refuses() {
+  bool ShouldRefuseAppend() {
     return faults_.refused_percent > 0 &&
            random_() % 100 < faults_.refused_percent;
   }
   /// How long an append is on its way to the store.
-  Millis WayThere(const std::string& table);
+  Millis NextAppendRequestDelay(const std::string& table);
 
  private:
   struct Writer {
@@ -116,13 +116,13 @@
 };
 
 /// One entry's way to the store.
-class StoreAccess final : public ports::RecordStorePort,
-                          public ports::CellConfigPort,
-                          public ports::UpstreamListPort {
+class StoreClientFake final : public ports::RecordStorePort,
+                              public ports::CellConfigPort,
+                              public ports::UpstreamListPort {
  public:
   /// Everything given outlives it. Without a machine nothing takes its link.
-  StoreAccess(StoreFake& store, Executor& executor, std::string entry,
-              MachineFake* machine = nullptr)
+  StoreClientFake(StoreFake& store, Executor& executor, std::string entry,
+                  MachineFake* machine = nullptr)
       : store_(store),
         executor_(executor),
         entry_(std::move(entry)),
@@ -148,7 +148,7 @@
   /// Runs `there` when so many bytes have left the entry's machine.
   void Send(size_t bytes, std::function<void()> there);
   /// Runs `done` at the entry when so many bytes have come over its link.
-  /// `progress` as in LinkFake::Carry().
+  /// `progress` as in LinkFake::Transfer().
   void Receive(size_t bytes, std::function<void()> done,
                const std::function<void()>& progress = {});
   /// Fails a read that nothing was heard of for the timeout.
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -36,7 +36,7 @@
   upstream.memory_mb = memory_mb;
 }
 
-void UpstreamsFake::Know(const wire::JobSpec& spec) {
+void UpstreamsFake::RegisterJob(const wire::JobSpec& spec) {
   specs_[static_cast<JobId>(spec.id)] = spec;
 }
 
@@ -59,46 +59,46 @@
 
 bool UpstreamsFake::Reachable(const std::string& id, const std::string& entry) {
   called_.insert(id);
-  if (island_.count(id) != island_.count(entry)) return false;
+  if (partition_.count(id) != partition_.count(entry)) return false;
   const auto found = upstreams_.find(id);
-  return found != upstreams_.end() && !found->second.faults.dead &&
-         !found->second.faults.cut;
+  return found != upstreams_.end() && !found->second.faults.terminated &&
+         !found->second.faults.unreachable;
 }
 
-bool UpstreamsFake::Disturbed() const {
-  return std::any_of(upstreams_.begin(), upstreams_.end(),
-                     [](const auto& upstream) {
-                       const UpstreamFaults& faults = upstream.second.faults;
-                       return faults.cut || faults.lose_starts > 0 ||
-                              faults.late_starts > 0 || faults.lose_stops > 0;
-                     });
+bool UpstreamsFake::HasActiveFault() const {
+  return std::any_of(
+      upstreams_.begin(), upstreams_.end(), [](const auto& upstream) {
+        const UpstreamFaults& faults = upstream.second.faults;
+        return faults.unreachable || faults.drop_start_replies > 0 ||
+               faults.delayed_starts > 0 || faults.drop_stops > 0;
+      });
 }
 
-void UpstreamsFake::CheckOrder(const TaskId& task) {
+void UpstreamsFake::CheckStartOrder(const TaskId& task) {
   const auto cancelled = cancelled_at_.find(task.job);
   if (cancelled == cancelled_at_.end()) return;
-  const TimePoint since = std::max(cancelled->second, disturbed_at_);
+  const TimePoint since = std::max(cancelled->second, last_fault_at_);
   if (clock_.now() <= since + kCancelBound) return;
-  broken_.push_back("ordered after its cancelling: " + TaskIdText(task));
+  violations_.push_back("ordered after its cancelling: " + TaskIdText(task));
 }
 
 void UpstreamsFake::CheckCancelled() {
   for (const auto& [id, upstream] : upstreams_) {
-    if (upstream.faults.dead) continue;
+    if (upstream.faults.terminated) continue;
     for (const auto& [task, run] : upstream.running) {
       const auto cancelled = cancelled_at_.find(task.job);
       if (cancelled == cancelled_at_.end()) continue;
       const TimePoint since =
-          std::max({cancelled->second, run.started, disturbed_at_});
+          std::max({cancelled->second, run.started, last_fault_at_});
       if (clock_.now() <= since + kCancelBound + kStopBound) continue;
-      if (!outlasting_.insert(run.id).second) continue;
-      broken_.push_back("runs on though cancelled: " + TaskIdText(task) +
-                        " on " + id);
+      if (!reported_overruns_.insert(run.id).second) continue;
+      violations_.push_back("runs on though cancelled: " + TaskIdText(task) +
+                            " on " + id);
     }
   }
 }
 
-std::string UpstreamsFake::Where(const TaskId& task) const {
+std::string UpstreamsFake::UpstreamRunning(const TaskId& task) const {
   for (const auto& [id, upstream] : upstreams_) {
     if (upstream.running.count(task) > 0) return id;
   }
@@ -107,26 +107,27 @@
 
 void UpstreamsFake::Crash(const std::string& id) {
   Upstream& upstream = upstreams_[id];
-  if (upstream.life != Life::kAlive) return;
-  upstream.life = Life::kCrashed;
+  if (upstream.state != UpstreamState::kAlive) return;
+  upstream.state = UpstreamState::kCrashed;
   const std::map<TaskId, Run> lost = std::exchange(upstream.running, {});
-  LoseEnds(id);
+  DropUnacknowledgedEnds(id);
   for (const auto& [task, run] : lost) {
     ++crashes_[task];
     BreakGang(task, run.attempt);
   }
   if (crash_) crash_(id);
-  clock_.At(clock_.now() + reborn_after_, [this, id] {
-    if (!reborn_elsewhere_) upstreams_[id].life = Life::kReplaced;
-    if (reborn_) reborn_(id);
+  clock_.At(clock_.now() + replacement_delay_, [this, id] {
+    if (!replacement_at_new_address_)
+      upstreams_[id].state = UpstreamState::kReplaced;
+    if (on_replacement_) on_replacement_(id);
   });
 }
 
 void UpstreamsFake::CrashLater(const std::string& id, const TaskId& task,
                                uint64_t run) {
-  const auto script = scripts_.find(task);
-  if (script == scripts_.end() || !script->second.crashes_after) return;
-  clock_.At(clock_.now() + *script->second.crashes_after,
+  const auto behavior = behaviors_.find(task);
+  if (behavior == behaviors_.end() || !behavior->second.crash_delay) return;
+  clock_.At(clock_.now() + *behavior->second.crash_delay,
             [this, id, task, run] {
               const auto& running = upstreams_[id].running;
               const auto found = running.find(task);
@@ -145,35 +146,38 @@
 }
 
 void UpstreamsFake::CheckCrashes(const TaskId& task) {
-  const auto script = scripts_.find(task);
-  if (script == scripts_.end() || !script->second.crashes_after) return;
+  const auto behavior = behaviors_.find(task);
+  if (behavior == behaviors_.end() || !behavior->second.crash_delay) return;
   if (Crashes(task) < kCrashesBorne) return;
   if (++starts_after_crashes_[task] <= kStartsAfter) return;
-  broken_.push_back("crashes its upstreams and is started on: " +
-                    TaskIdText(task));
+  violations_.push_back("crashes its upstreams and is started on: " +
+                        TaskIdText(task));
 }
 
 std::optional<CallVerdict> UpstreamsFake::CrashVerdict(
     const std::string& id) const {
   const auto found = upstreams_.find(id);
   if (found == upstreams_.end()) return std::nullopt;
-  if (found->second.life == Life::kReplaced) return CallVerdict::kReplaced;
-  if (found->second.life == Life::kCrashed) return CallVerdict::kNotSent;
+  if (found->second.state == UpstreamState::kReplaced)
+    return CallVerdict::kReplaced;
+  if (found->second.state == UpstreamState::kCrashed)
+    return CallVerdict::kNotSent;
   return std::nullopt;
 }
 
-void UpstreamsFake::EndLife(const std::string& id) {
-  upstreams_[id].faults.dead = true;
+void UpstreamsFake::TerminateUpstream(const std::string& id) {
+  upstreams_[id].faults.terminated = true;
   upstreams_[id].running.clear();
 }
 
-bool UpstreamsFake::AtWork(const TaskId& task) const {
+bool UpstreamsFake::IsWorking(const TaskId& task) const {
   for (const auto& [id, upstream] : upstreams_) {
     const auto run = upstream.running.find(task);
     if (run == upstream.running.end() || !run->second.working) continue;
-    const auto script = scripts_.find(task);
-    const Millis startup =
-        script == scripts_.end() ? TaskScript{}.takes : script->second.takes;
+    const auto behavior = behaviors_.find(task);
+    const Millis startup = behavior == behaviors_.end()
+                               ? TaskBehavior{}.run_time
+                               : behavior->second.run_time;
     return clock_.now() - run->second.working_since >= startup;
   }
   return false;
@@ -181,31 +185,31 @@
 
 void UpstreamsFake::CheckAvailable(const TaskId& task) {
   const wire::StepSpec* step = StepOf(task);
-  if (step == nullptr || step->max_unavailable == 0 || !AtWork(task)) return;
+  if (step == nullptr || step->max_unavailable == 0 || !IsWorking(task)) return;
   int away = 0;
   for (int32_t i = 0; i < step->tasks; ++i) {
     const TaskId other{task.job, task.occurrence, task.step, i};
-    if (i != task.index && ordered_away_.count(other) > 0) ++away;
+    if (i != task.index && ended_by_order_.count(other) > 0) ++away;
   }
   if (away >= step->max_unavailable) {
-    broken_.push_back("one too many away: " + TaskIdText(task) + ", " +
-                      std::to_string(away) + " others at " +
-                      std::to_string(ClockMs()));
+    violations_.push_back("one too many away: " + TaskIdText(task) + ", " +
+                          std::to_string(away) + " others at " +
+                          std::to_string(ClockMs()));
   }
-  ordered_away_.insert(task);
+  ended_by_order_.insert(task);
 }
 
-void UpstreamsFake::CheckEnded(const std::string& id) {
+void UpstreamsFake::CheckTerminationAllowed(const std::string& id) {
   for (const auto& [task, run] : upstreams_[id].running) CheckAvailable(task);
 }
 
-void UpstreamsFake::LoseEnds(const std::string& id) {
+void UpstreamsFake::DropUnacknowledgedEnds(const std::string& id) {
   for (const ports::EndedTask& end : upstreams_[id].ended) {
     if (end.kind == EndKind::kDone) ++lost_runs_[end.task];
   }
 }
 
-int UpstreamsFake::KeptDoneRuns(const TaskId& task) const {
+int UpstreamsFake::DurableDoneRuns(const TaskId& task) const {
   const auto lost = lost_runs_.find(task);
   return DoneRuns(task) - (lost == lost_runs_.end() ? 0 : lost->second);
 }
@@ -235,24 +239,24 @@
   add(call.task);
   for (const auto& [task, run] : upstream.running) add(task);
   if (cores > upstream.millicores || memory > upstream.memory_mb) {
-    broken_.push_back("room: " + what);
+    violations_.push_back("room: " + what);
   }
   CheckCrashes(call.task);
   for (const auto& [other_id, other] : upstreams_) {
-    if (other.faults.dead) continue;
+    if (other.faults.terminated) continue;
     if (other.running.count(call.task) > 0) {
-      broken_.push_back("two runs: " + what + " and on " + other_id);
+      violations_.push_back("two runs: " + what + " and on " + other_id);
     }
   }
-  if (done_seen_.count(call.task) > 0) {
-    broken_.push_back("started after its end was taken note of: " + what);
+  if (acknowledged_done_.count(call.task) > 0) {
+    violations_.push_back("started after its end was taken note of: " + what);
   }
   if (failed_runs_[call.task] >= kMaxAttempts) {
-    broken_.push_back("too many attempts: " + what);
+    violations_.push_back("too many attempts: " + what);
   }
   const wire::StepSpec* step = StepOf(call.task);
   if (step == nullptr) {
-    broken_.push_back("nobody asked for it: " + what);
+    violations_.push_back("nobody asked for it: " + what);
     return;
   }
   for (const int32_t before : step->after) {
@@ -265,7 +269,7 @@
     }
     // The end of one member of a gang stands for all.
     if (done < (earlier.gang ? 1 : earlier.tasks)) {
-      broken_.push_back("before its turn: " + what);
+      violations_.push_back("before its turn: " + what);
     }
   }
 }
@@ -297,7 +301,7 @@
   upstream.running[call.task] = {
       .attempt = call.attempt, .id = run, .started = clock_.now()};
   ExtendLease(upstream, call.lease_until_ms);
-  Lapse(target.id);
+  ExpireLease(target.id);
   BeginWork(call.task, call.attempt);
   CrashLater(target.id, call.task, run);
   const wire::StepSpec* step = StepOf(call.task);
@@ -321,7 +325,7 @@
   std::vector<std::pair<std::string, TaskId>> members;
   for (auto& [id, upstream] : upstreams_) {
     for (auto& [other, run] : upstream.running) {
-      if (run.attempt != attempt || run.working || upstream.faults.dead) {
+      if (run.attempt != attempt || run.working || upstream.faults.terminated) {
         continue;
       }
       if (other == task || (gang && other.step_id() == task.step_id())) {
@@ -332,26 +336,27 @@
   if (gang && static_cast<int32_t>(members.size()) < step->tasks) return;
   // The members of a gang end together, with the slowest; one that fails
   // breaks the others.
-  Millis takes{0};
+  Millis run_time{0};
   bool any_fails = false;
   for (const auto& [id, member] : members) {
-    takes = std::max(takes, scripts_[member].takes);
-    any_fails = any_fails || failed_runs_[member] < scripts_[member].fails;
+    run_time = std::max(run_time, behaviors_[member].run_time);
+    any_fails =
+        any_fails || failed_runs_[member] < behaviors_[member].failing_runs;
   }
   for (const auto& [id, member] : members) {
     Run& run = upstreams_[id].running[member];
     run.working = true;
     run.working_since = clock_.now();
-    const bool fails = failed_runs_[member] < scripts_[member].fails;
+    const bool fails = failed_runs_[member] < behaviors_[member].failing_runs;
     if (any_fails && !fails) continue;
     if (step != nullptr && step->lasting) {
       // At work again: what ended it before is over, whatever ends it later.
-      clock_.At(clock_.now() + takes, [this, member = member] {
-        if (AtWork(member)) ordered_away_.erase(member);
+      clock_.At(clock_.now() + run_time, [this, member = member] {
+        if (IsWorking(member)) ended_by_order_.erase(member);
       });
       continue;
     }
-    clock_.At(clock_.now() + takes,
+    clock_.At(clock_.now() + run_time,
               [this, id = id, member = member, run = run.id, fails] {
                 End(id, member, run, fails ? EndKind::kFailed : EndKind::kDone);
               });
@@ -363,7 +368,7 @@
   Upstream& upstream = upstreams_[id];
   const auto found = upstream.running.find(task);
   if (found == upstream.running.end() || found->second.id != run) return;
-  if (upstream.faults.dead) return;
+  if (upstream.faults.terminated) return;
   const int64_t attempt = found->second.attempt;
   upstream.running.erase(found);
   upstream.ended.push_back({.number = ++upstream.last_end,
@@ -392,7 +397,7 @@
   }
 }
 
-void UpstreamsFake::Lapse(const std::string& id) {
+void UpstreamsFake::ExpireLease(const std::string& id) {
   const TimePoint due = upstreams_[id].lease_end;
   clock_.At(due, [this, id, due] {
     Upstream& upstream = upstreams_[id];
@@ -402,7 +407,7 @@
       all.emplace_back(task, run.id);
     }
     // What ended before counts as never ended, if nobody took note of it.
-    upstream.last_before_lapse = upstream.last_end;
+    upstream.last_end_before_expiry = upstream.last_end;
     for (const auto& [task, run] : all)
       End(id, task, run, EndKind::kLeaseExpired);
   });
@@ -445,12 +450,12 @@
   reply.call.verdict = CallVerdict::kDone;
   if (call.lease_until_ms > 0) {
     ExtendLease(upstream, call.lease_until_ms);
-    Lapse(target.id);
+    ExpireLease(target.id);
   }
   for (const ports::EndedTask& end : upstream.ended) {
     if (end.number <= call.acked_ends && end.kind == EndKind::kDone &&
-        end.number > upstream.last_before_lapse) {
-      done_seen_.insert(end.task);
+        end.number > upstream.last_end_before_expiry) {
+      acknowledged_done_.insert(end.task);
     }
   }
   std::erase_if(upstream.ended, [&](const ports::EndedTask& end) {
@@ -460,10 +465,10 @@
     const auto worked =
         std::chrono::duration_cast<Millis>(clock_.now() - run.working_since);
     const int32_t percent =
-        run.working
-            ? static_cast<int32_t>(std::min<int64_t>(
-                  100, 100 * worked.count() / scripts_[task].takes.count()))
-            : 0;
+        run.working ? static_cast<int32_t>(std::min<int64_t>(
+                          100, 100 * worked.count() /
+                                   behaviors_[task].run_time.count()))
+                    : 0;
     reply.running.push_back(
         {.task = task, .attempt = run.attempt, .percent = percent});
   }
@@ -474,10 +479,10 @@
   return reply;
 }
 
-void TaskAccess::Start(const ports::UpstreamTarget& target,
-                       const ports::StartTask& call, Millis timeout,
-                       std::function<void(ports::CallReply)> done) {
-  upstreams_.CheckOrder(call.task);
+void UpstreamClientFake::Start(const ports::UpstreamTarget& target,
+                               const ports::StartTask& call, Millis timeout,
+                               std::function<void(ports::CallReply)> done) {
+  upstreams_.CheckStartOrder(call.task);
   UpstreamFaults& faults = upstreams_.faults(target.id);
   const auto lost = [&] {
     executor_.RunAfter(timeout, [done] {
@@ -495,13 +500,14 @@
     if (upstreams_.CrashVerdict(target.id)) return ports::CallReply{};
     return upstreams_.Start(target, call);
   };
-  if (faults.late_starts > 0) {
-    --faults.late_starts;
-    upstreams_.clock().At(upstreams_.clock().now() + faults.late_by, act);
+  if (faults.delayed_starts > 0) {
+    --faults.delayed_starts;
+    upstreams_.clock().At(upstreams_.clock().now() + faults.execution_delay,
+                          act);
     return lost();
   }
-  const bool silent = faults.lose_starts > 0;
-  if (silent) --faults.lose_starts;
+  const bool silent = faults.drop_start_replies > 0;
+  if (silent) --faults.drop_start_replies;
   auto reply = std::make_shared<ports::CallReply>();
   upstreams_.clock().At(upstreams_.clock().now() + kWay,
                         [act, reply] { *reply = act(); });
@@ -509,12 +515,13 @@
   executor_.RunAfter(2 * kWay, [done, reply] { done(*reply); });
 }
 
-void TaskAccess::Stop(const ports::UpstreamTarget& target, const TaskId& task,
-                      int64_t attempt, int64_t fence, Millis timeout,
-                      std::function<void(ports::CallReply)> done) {
-  int& lose_stops = upstreams_.faults(target.id).lose_stops;
-  if (!upstreams_.Reachable(target.id, entry_) || lose_stops > 0) {
-    lose_stops = std::max(0, lose_stops - 1);
+void UpstreamClientFake::Stop(const ports::UpstreamTarget& target,
+                              const TaskId& task, int64_t attempt,
+                              int64_t fence, Millis timeout,
+                              std::function<void(ports::CallReply)> done) {
+  int& drop_stops = upstreams_.faults(target.id).drop_stops;
+  if (!upstreams_.Reachable(target.id, entry_) || drop_stops > 0) {
+    drop_stops = std::max(0, drop_stops - 1);
     return executor_.RunAfter(timeout, [done] {
       done({.verdict = CallVerdict::kUnknown, .detail = "no answer"});
     });
@@ -532,9 +539,9 @@
                      [done] { done({.verdict = CallVerdict::kDone}); });
 }
 
-void TaskAccess::Renew(const ports::UpstreamTarget& target,
-                       const ports::RenewCall& call, Millis timeout,
-                       std::function<void(ports::RenewReply)> done) {
+void UpstreamClientFake::Renew(const ports::UpstreamTarget& target,
+                               const ports::RenewCall& call, Millis timeout,
+                               std::function<void(ports::RenewReply)> done) {
   if (!upstreams_.Reachable(target.id, entry_)) {
     return executor_.RunAfter(timeout, [done] {
       ports::RenewReply reply;
@@ -551,11 +558,11 @@
   }
   auto reply = std::make_shared<ports::RenewReply>();
   UpstreamFaults& faults = upstreams_.faults(target.id);
-  const Millis delay = call.wait > Millis(0) ? faults.look : kWay;
+  const Millis delay = call.wait > Millis(0) ? faults.long_poll_wait : kWay;
   Millis back = kWay;
-  if (faults.late_answers > 0) {
-    --faults.late_answers;
-    back += faults.answer_late_by;
+  if (faults.delayed_renew_replies > 0) {
+    --faults.delayed_renew_replies;
+    back += faults.renew_reply_delay;
   }
   upstreams_.clock().At(upstreams_.clock().now() + delay,
                         [this, target, call, reply] {
@@ -565,9 +572,9 @@
   executor_.RunAfter(delay + back, [done, reply] { done(*reply); });
 }
 
-void TaskAccess::Ask(const StepId& step,
-                     const std::vector<std::string>& upstreams, Millis,
-                     Callback<ports::Advice> done) {
+void UpstreamClientFake::Ask(const StepId& step,
+                             const std::vector<std::string>& upstreams, Millis,
+                             Callback<ports::Advice> done) {
   constexpr Millis kDecide{10};
   ports::Advice advice;
   advice.valid = Millis(1500);
--- a/tests/journal_test.cc
+++ b/tests/journal_test.cc
@@ -7,8 +7,8 @@
 #include <deque>
 #include <random>
 
+#include "tests/jobsim/log_fixture.h"
 #include "tests/jobsim/store_fake.h"
-#include "tests/jobsim/trace.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// The store is slow, loses answers and turns appends away while several are
 /// under way, which overtake each other. What a caller was told is stored must
--- a/tests/late_word_test.cc
+++ b/tests/late_word_test.cc
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -12,7 +12,7 @@
 /// this after the next one's claim.
 constexpr Millis kEarlierLeader{2000};
 constexpr Millis kTakeOver{6000};
-constexpr Millis kLook{10};
+constexpr Millis kPollInterval{10};
 
 /// Runs until another entry leads; false if none does in time.
 bool RunUntilSucceeded(JobCell& cell, const std::string& before) {
@@ -20,14 +20,14 @@
   while (cell.clock().now() < limit) {
     const std::string leader = cell.Leader();
     if (!leader.empty() && leader != before) return true;
-    cell.RunFor(kLook);
+    cell.RunFor(kPollInterval);
   }
   return false;
 }
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Guards against a leader that takes a late answer of the store for a new one.
 BOOST_AUTO_TEST_CASE(ALateAnswerOfTheStoreIsAnOldOne) {
@@ -40,15 +40,15 @@
       cell.RunFor(kSettle + moment * kStep);
       const std::string old = cell.Leader();
       StoreFaults& store = cell.store().faults();
-      store.answers_late_by[old] = kAnswerLateBy;
-      cell.Cut(old, true);
+      store.append_reply_delays[old] = kAnswerLateBy;
+      cell.SetIsolated(old, true);
       std::set<std::string> island{old};
       for (const std::string& id : cell.upstreams().ids()) island.insert(id);
-      cell.upstreams().Part(island);
+      cell.upstreams().SetPartition(island);
       cell.RunFor(Millis(500));
       cell.Submit(old, OneStepJob(1, 1, 1000));
       cell.RunFor(Millis(50));
-      store.turned_away.insert(old);
+      store.partitioned_entries.insert(old);
       BOOST_REQUIRE(RunUntilSucceeded(cell, old));
       cell.RunFor(kEarlierLeader);
       BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
@@ -62,25 +62,25 @@
   cell.RunFor(kSettle);
   const std::string old = cell.Leader();
   const TaskId task{1, 0, 0, 0};
-  cell.upstreams().script(task).takes = Millis(90000);
+  cell.upstreams().behavior(task).run_time = Millis(90000);
   cell.Submit(old, OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  const std::string upstream = cell.upstreams().Where(task);
+  const std::string upstream = cell.upstreams().UpstreamRunning(task);
   BOOST_REQUIRE(!upstream.empty());
   std::string other;
   for (const std::string& name : cell.names()) {
     if (name != old) other = name;
   }
-  cell.Part({old, other}, {upstream});
+  cell.SetPartition({old, other}, {upstream});
   BOOST_REQUIRE(RunUntilSucceeded(cell, old));
   // However long it lasts.
   cell.RunFor(Millis(60000));
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
   // The part of the cell that reaches the store goes on with the task.
   BOOST_TEST(cell.upstreams().Starts(task) == 2);
-  cell.Part({}, {});
+  cell.SetPartition({}, {});
   cell.RunFor(Millis(5000));
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// Guards against the same right after a take-over, when few have greeted.
@@ -93,10 +93,10 @@
       cell.RunFor(kSettle);
       const std::string first = cell.Leader();
       const TaskId task{1, 0, 0, 0};
-      cell.upstreams().script(task).takes = Millis(90000);
+      cell.upstreams().behavior(task).run_time = Millis(90000);
       cell.Submit(first, OneStepJob(1, 1, 1000));
       cell.RunFor(Millis(500));
-      const std::string upstream = cell.upstreams().Where(task);
+      const std::string upstream = cell.upstreams().UpstreamRunning(task);
       BOOST_REQUIRE(!upstream.empty());
       cell.Kill(first);
       BOOST_REQUIRE(RunUntilSucceeded(cell, first));
@@ -107,11 +107,11 @@
       for (const std::string& name : cell.names()) {
         if (name != old && name != first) other = name;
       }
-      cell.Part({old, other}, {upstream});
+      cell.SetPartition({old, other}, {upstream});
       BOOST_REQUIRE(RunUntilSucceeded(cell, old));
       cell.RunFor(Millis(30000));
       BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
-      for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+      for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
     }
   }
 }
@@ -122,18 +122,18 @@
   cell.RunFor(kSettle);
   const std::string old = cell.Leader();
   const TaskId task{1, 0, 0, 0};
-  cell.upstreams().script(task).takes = Millis(90000);
+  cell.upstreams().behavior(task).run_time = Millis(90000);
   cell.Submit(old, OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  const std::string upstream = cell.upstreams().Where(task);
+  const std::string upstream = cell.upstreams().UpstreamRunning(task);
   BOOST_REQUIRE(!upstream.empty());
   const std::vector<std::string> names = cell.names();
   std::set<std::string> island(names.begin(), names.end());
   island.erase(names.front() == old ? names.back() : names.front());
-  cell.Part(island, {upstream});
+  cell.SetPartition(island, {upstream});
   BOOST_REQUIRE(RunUntilSucceeded(cell, old));
   cell.RunFor(Millis(20000));
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// Guards against a denied job that a leader nearer to the store has accepted.
@@ -151,7 +151,7 @@
       island.insert(name);
     }
   }
-  cell.Part(island, {});
+  cell.SetPartition(island, {});
   BOOST_REQUIRE(RunUntilSucceeded(cell, old));
   cell.RunFor(Millis(4000));
   cell.Submit(outside, OneStepJob(2, 1, 1000));
@@ -172,10 +172,10 @@
   cell.RunFor(kSettle);
   const std::string leader = cell.Leader();
   const TaskId task{1, 0, 0, 0};
-  cell.upstreams().script(task).takes = Millis(30000);
+  cell.upstreams().behavior(task).run_time = Millis(30000);
   cell.Submit(leader, OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  BOOST_REQUIRE(!cell.upstreams().Where(task).empty());
+  BOOST_REQUIRE(!cell.upstreams().UpstreamRunning(task).empty());
   int stopped = 0;
   for (const std::string& name : cell.names()) {
     if (name == leader || stopped == 2) continue;
@@ -188,7 +188,7 @@
   cell.store().faults().down = false;
   BOOST_TEST(cell.RunUntilFinal(1, Millis(60000)));
   BOOST_TEST(cell.upstreams().Starts(task) == 1);
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// Guards against deposing a leader before it is told that it leads.
@@ -203,12 +203,12 @@
       const int64_t term = cell.entry(first)->leadership().term();
       const std::string claimer = cell.names()[static_cast<size_t>(number)];
       if (claimer == first) continue;
-      cell.store().faults().answers_late_by[claimer] = kLate;
+      cell.store().faults().append_reply_delays[claimer] = kLate;
       cell.Kill(first);
       std::string follower;
       const TimePoint limit = cell.clock().now() + kTakeOver;
       while (follower.empty() && cell.clock().now() < limit) {
-        cell.RunFor(kLook);
+        cell.RunFor(kPollInterval);
         for (const std::string& name : cell.names()) {
           if (name == first || name == claimer) continue;
           if (cell.entry(name)->leadership().term() > term) follower = name;
@@ -218,7 +218,7 @@
       const wire::Member leader = cell.entry(follower)->leadership().leader();
       if (leader.name != claimer) continue;  // another was faster
       ++claimed;
-      cell.store().faults().answers_late_by.clear();
+      cell.store().faults().append_reply_delays.clear();
       cell.RunFor(kSettle);
       BOOST_TEST(cell.Leader() == claimer);
       BOOST_TEST(cell.entry(claimer)->leadership().term() == term + 1);
@@ -237,7 +237,7 @@
   constexpr Millis kLatest{700};
   for (Millis late = kStep; late <= kLatest; late += kStep) {
     for (const std::string& name : cell.names()) {
-      cell.store().faults().answers_late_by[name] = late;
+      cell.store().faults().append_reply_delays[name] = late;
     }
     cell.RunFor(Millis(2000));
   }
@@ -254,7 +254,7 @@
       const std::string leader = cell.Leader();
       const int64_t term = cell.entry(leader)->leadership().term();
       for (const std::string& name : cell.names()) {
-        cell.store().faults().answers_late_by[name] = late;
+        cell.store().faults().append_reply_delays[name] = late;
       }
       cell.RunFor(Millis(20000));
       BOOST_TEST(cell.entry(leader)->leadership().term() <= term + 1);
@@ -269,10 +269,10 @@
   cell.RunFor(kSettle);
   const std::string leader = cell.Leader();
   const TaskId task{1, 0, 0, 0};
-  cell.upstreams().script(task).takes = Millis(15000);
+  cell.upstreams().behavior(task).run_time = Millis(15000);
   cell.Submit(leader, OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  BOOST_REQUIRE(!cell.upstreams().Where(task).empty());
+  BOOST_REQUIRE(!cell.upstreams().UpstreamRunning(task).empty());
   cell.store().faults().down = true;
   for (const std::string& name : cell.names()) {
     if (name == leader) continue;
@@ -283,7 +283,7 @@
   cell.store().faults().down = false;
   BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
   BOOST_TEST(cell.upstreams().Starts(task) == 1);
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -5,8 +5,8 @@
 
 #include "src/leadership/leader_table.h"
 #include "src/libs/rpc/codec.h"
+#include "tests/jobsim/log_fixture.h"
 #include "tests/jobsim/store_fake.h"
-#include "tests/jobsim/trace.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -66,7 +66,7 @@
   sim::ManualExecutor executor{clock};
   StoreFake fake{clock};
   MachineFake machine{clock};
-  StoreAccess store{fake, executor, "self", &machine};
+  StoreClientFake store{fake, executor, "self", &machine};
   HeldGreetings peers;
   metrics::Registry metrics;
   faults::MalformedRecordReporter bad_records{metrics};
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Guards against deposing a leader by what it said before its claim.
 BOOST_FIXTURE_TEST_CASE(AnAnswerFromBeforeTheClaimIsNoResignation, Fixture) {
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -58,15 +58,15 @@
 }
 
 /// MIMOSARAIL_TRACE=1 prints the log lines of a run.
-struct Trace {
-  Trace() {
+struct LogFixture {
+  LogFixture() {
     if (std::getenv("MIMOSARAIL_TRACE") != nullptr) {
       logging::Start("maintenance", logging::Level::kDebug);
     }
   }
-  ~Trace() { logging::Stop(); }
+  ~LogFixture() { logging::Stop(); }
 };
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Three idle hosts, one at a time, a minute left.
 WaveView ThreeHosts() {
@@ -399,7 +399,7 @@
 }
 
 void CheckUnbroken(const JobCell& cell) {
-  for (const std::string& what : cell.Broken()) BOOST_ERROR(what);
+  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 }  // namespace
@@ -409,7 +409,7 @@
 BOOST_AUTO_TEST_CASE(ACalmWaveIsCarriedOut) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().Ask(Wave(kWave, kAll, 2));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 2));
   cell.RunFor(Millis(600));
   BOOST_TEST(cell.hosts().Status(kWave) == "running");
   BOOST_TEST(RunUntilComplete(cell, kWave, Millis(40000)));
@@ -425,7 +425,7 @@
   BOOST_TEST(cell.store().Records("status").empty());
   JobCell without({});
   without.RunFor(Millis(3000));
-  without.hosts().Ask(Wave(kWave, kAll, 2));
+  without.hosts().RequestWave(Wave(kWave, kAll, 2));
   without.RunFor(Millis(10000));
   BOOST_TEST(without.hosts().calls() == 0);
   BOOST_TEST(without.store().Records("status").empty());
@@ -435,7 +435,7 @@
 BOOST_AUTO_TEST_CASE(ACompleteWaveCostsNothing) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().Ask(Wave(kWave, kAll, 3));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 3));
   BOOST_REQUIRE(RunUntilComplete(cell, kWave, Millis(40000)));
   cell.RunFor(Millis(500));
   const int calls = cell.hosts().calls();
@@ -451,7 +451,7 @@
 BOOST_AUTO_TEST_CASE(ANewLeaderGoesOn) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().Ask(Wave(kWave, kAll, 1, Millis(60000)));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 1, Millis(60000)));
   for (int i = 0; i < 4; ++i) {
     cell.RunFor(Millis(5200));
     cell.hosts().CheckStatus();
@@ -469,10 +469,10 @@
 BOOST_AUTO_TEST_CASE(ALateOrderOfAnEarlierLeaderCounts) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().faults().late_orders = 1;
-  cell.hosts().Ask(Wave(kWave, kAll, 1));
+  cell.hosts().faults().delayed_orders = 1;
+  cell.hosts().RequestWave(Wave(kWave, kAll, 1));
   cell.RunFor(Millis(800));
-  BOOST_REQUIRE(cell.hosts().faults().late_orders == 0);
+  BOOST_REQUIRE(cell.hosts().faults().delayed_orders == 0);
   cell.Restart(cell.Leader());
   BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
   BOOST_TEST(cell.hosts().begins() == 6);
@@ -484,8 +484,8 @@
 BOOST_AUTO_TEST_CASE(LostAnswersAreSettled) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().faults().lose_answers = 3;
-  cell.hosts().Ask(Wave(kWave, kAll, 2));
+  cell.hosts().faults().drop_replies = 3;
+  cell.hosts().RequestWave(Wave(kWave, kAll, 2));
   BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
   BOOST_TEST(cell.hosts().begins() == 6);
   CheckUnbroken(cell);
@@ -496,12 +496,12 @@
 BOOST_AUTO_TEST_CASE(AnApiThatIsAwayIsTriedRarely) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().faults().silent = true;
-  cell.hosts().Ask(Wave(kWave, kAll, 2));
+  cell.hosts().faults().down = true;
+  cell.hosts().RequestWave(Wave(kWave, kAll, 2));
   cell.RunFor(Millis(8000));
   BOOST_TEST(cell.hosts().calls() <= 5);
-  cell.hosts().faults().silent = false;
-  cell.hosts().faults().throttled = 5;
+  cell.hosts().faults().down = false;
+  cell.hosts().faults().throttled_calls = 5;
   BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
   CheckUnbroken(cell);
 }
@@ -512,9 +512,9 @@
 BOOST_AUTO_TEST_CASE(ANewLeaderLetsTheEarlierOnesOrdersPass) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().Ask(Wave(kWave, kAll, 1));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 1));
   while (cell.hosts().lists() < 2) cell.RunFor(Millis(5));
-  cell.hosts().faults().throttled = 100;
+  cell.hosts().faults().throttled_calls = 100;
   cell.RunFor(Millis(600));
   BOOST_REQUIRE(cell.hosts().orders() > 0);
   cell.Restart(cell.Leader());
@@ -533,7 +533,7 @@
 BOOST_AUTO_TEST_CASE(ARefusedOrderLeavesNoRecord) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().Ask(Wave(kWave, kAll, 1));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 1));
   while (cell.hosts().lists() < 2) cell.RunFor(Millis(5));
   cell.hosts().Crash("host-0", Millis(8000));
   const auto recorded = [&](const std::string& host) {
@@ -559,7 +559,7 @@
   cell.RunFor(Millis(3000));
   cell.hosts().Leave("host-3");
   cell.hosts().Crash("host-4", Millis(15000));
-  cell.hosts().Ask(Wave(kWave, kAll, 2));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 2));
   BOOST_TEST(!RunUntilComplete(cell, kWave, Millis(14000)));
   BOOST_TEST(RunUntilComplete(cell, kWave, Millis(30000)));
   BOOST_TEST(cell.hosts().begins() == 5);
@@ -571,11 +571,12 @@
 BOOST_AUTO_TEST_CASE(JobsAndGangsRunThroughAWave) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.hosts().Ask(Wave(kWave, kAll, 1, Millis(60000)));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 1, Millis(60000)));
   std::vector<JobId> jobs;
   for (JobId id = 100; id < 160; ++id) {
     const bool gang = id % 4 == 0;
-    cell.upstreams().script({id, 0, 0, 0}).takes = Millis(200 + 40 * (id % 30));
+    cell.upstreams().behavior({id, 0, 0, 0}).run_time =
+        Millis(200 + 40 * (id % 30));
     cell.Submit("entry-1", OneStepJob(id, gang ? 4 : 2, 1500, gang));
     jobs.push_back(id);
     cell.RunFor(Millis(300));
@@ -598,16 +599,16 @@
 BOOST_AUTO_TEST_CASE(AHostIsClearedBeforeItGoes) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
-  cell.upstreams().script({7, 0, 0, 0}).takes = Millis(30000);
+  cell.upstreams().behavior({7, 0, 0, 0}).run_time = Millis(30000);
   cell.Submit("entry-1", OneStepJob(7, 1, 6000));
   cell.RunFor(Millis(300));
-  const std::string before = cell.upstreams().Where({7, 0, 0, 0});
+  const std::string before = cell.upstreams().UpstreamRunning({7, 0, 0, 0});
   BOOST_REQUIRE(!before.empty());
   const std::string host = "host-" + before.substr(before.find('-') + 1);
-  cell.hosts().Ask(Wave(kWave, {host}, 1, Millis(1000)));
+  cell.hosts().RequestWave(Wave(kWave, {host}, 1, Millis(1000)));
   BOOST_REQUIRE(RunUntilComplete(cell, kWave, Millis(3000)));
   cell.RunFor(Millis(300));
-  const std::string after = cell.upstreams().Where({7, 0, 0, 0});
+  const std::string after = cell.upstreams().UpstreamRunning({7, 0, 0, 0});
   BOOST_TEST(!after.empty());
   BOOST_TEST(after != before);
   CheckUnbroken(cell);
@@ -624,11 +625,11 @@
   spec.steps[0].max_per_upstream = 2;
   cell.Submit("entry-1", spec);
   cell.RunFor(Millis(4000));
-  cell.hosts().Ask(Wave(kWave, kAll, 3, Millis(60000)));
+  cell.hosts().RequestWave(Wave(kWave, kAll, 3, Millis(60000)));
   BOOST_TEST(RunUntilComplete(cell, kWave, Millis(90000)));
   cell.RunFor(Millis(6000));
   for (int32_t i = 0; i < 4; ++i) {
-    BOOST_TEST(!cell.upstreams().Where({500, 0, 0, i}).empty());
+    BOOST_TEST(!cell.upstreams().UpstreamRunning({500, 0, 0, i}).empty());
   }
   CheckUnbroken(cell);
 }
@@ -646,7 +647,7 @@
     SubmitLasting();
     constexpr int kSteps = 90;
     for (int i = 0; i < kSteps; ++i) {
-      if (i == 10 || i == 40) AskWave();
+      if (i == 10 || i == 40) RequestWave();
       SubmitSome();
       if (Chance(25)) Fault();
       Run(Millis(50 + Pick(500)));
@@ -666,20 +667,20 @@
 
   /// Looks at what operators read every 50 ms.
   void Run(Millis span) {
-    constexpr Millis kLook{50};
-    for (Millis passed{0}; passed < span; passed += kLook) {
-      cell_.RunFor(kLook);
+    constexpr Millis kPollInterval{50};
+    for (Millis passed{0}; passed < span; passed += kPollInterval) {
+      cell_.RunFor(kPollInterval);
       cell_.hosts().CheckStatus();
     }
   }
 
-  void AskWave() {
+  void RequestWave() {
     Names hosts;
     for (const std::string& host : kAll) {
       if (Chance(70)) hosts.push_back(host);
     }
     ++waves_;
-    cell_.hosts().Ask(
+    cell_.hosts().RequestWave(
         Wave(waves_, hosts, 1 + Pick(3), Millis(8000 + Pick(30000))));
   }
 
@@ -698,7 +699,8 @@
                    500 + 500 * static_cast<int32_t>(Pick(4)), gang);
     spec.steps[0].checkpoints = Chance(40);
     for (int32_t i = 0; i < spec.steps[0].tasks; ++i) {
-      cell_.upstreams().script({id, 0, 0, i}).takes = Millis(100 + Pick(2500));
+      cell_.upstreams().behavior({id, 0, 0, i}).run_time =
+          Millis(100 + Pick(2500));
     }
     jobs_.push_back(id);
     specs_[id] = spec;
@@ -720,27 +722,27 @@
         for (const auto& name : cell_.names()) cell_.Resume(name);
         return;
       case 3:
-        return cell_.Cut(entry, Chance(60));
+        return cell_.SetIsolated(entry, Chance(60));
       case 4:
         store.down = Chance(40);
         return;
       case 5:
-        store.lose_answers = static_cast<int>(Pick(4));
-        store.late_appends = static_cast<int>(Pick(2));
+        store.drop_replies = static_cast<int>(Pick(4));
+        store.delayed_appends = static_cast<int>(Pick(2));
         return;
       case 6:
-        api.silent = Chance(50);
+        api.down = Chance(50);
         return;
       case 7:
-        api.throttled = static_cast<int>(Pick(6));
-        api.delay = Chance(30) ? Millis(1000) : Millis(20);
+        api.throttled_calls = static_cast<int>(Pick(6));
+        api.latency = Chance(30) ? Millis(1000) : Millis(20);
         return;
       case 8:
-        api.lose_answers = static_cast<int>(Pick(3));
+        api.drop_replies = static_cast<int>(Pick(3));
         return;
       case 9:
-        api.late_orders = static_cast<int>(Pick(3));
-        api.late_by = Millis(2000 + Pick(10000));
+        api.delayed_orders = static_cast<int>(Pick(3));
+        api.execution_delay = Millis(2000 + Pick(10000));
         return;
       default:
         return HostFault();
@@ -760,7 +762,7 @@
   void Heal() {
     for (const auto& name : cell_.names()) {
       cell_.Resume(name);
-      cell_.Cut(name, false);
+      cell_.SetIsolated(name, false);
     }
     cell_.store().faults() = {};
     cell_.hosts().faults() = {};
@@ -787,7 +789,7 @@
     const wire::StepSpec& step = specs_.at(id).steps[0];
     int done = 0;
     for (int32_t i = 0; i < step.tasks; ++i) {
-      if (cell_.upstreams().KeptDoneRuns({id, 0, 0, i}) > 0) ++done;
+      if (cell_.upstreams().DurableDoneRuns({id, 0, 0, i}) > 0) ++done;
     }
     BOOST_CHECK_MESSAGE(done >= (step.gang ? 1 : step.tasks),
                         "complete without its ends: " << JobIdText(id));
--- a/tests/scenarios/main.cc
+++ b/tests/scenarios/main.cc
@@ -154,14 +154,14 @@
   std::vector<sim::Submission> submissions;
   for (const json& item : ToJson(lua, 1)) {
     sim::Submission submission;
-    submission.told = std::make_shared<sim::Told>();
-    submission.told->id = item.value("id", "");
+    submission.result = std::make_shared<sim::SubmitResult>();
+    submission.result->id = item.value("id", "");
     const std::string verdict = item.value("verdict", "");
-    submission.told->answered = verdict == "done" || verdict == "not run";
-    submission.told->outcome.verdict =
+    submission.result->answered = verdict == "done" || verdict == "not run";
+    submission.result->outcome.verdict =
         verdict == "done" ? wire::Verdict::kDone : wire::Verdict::kNotRun;
-    submission.told->outcome.answer = item.value("answer", "");
-    submission.told->outcome.digest = item.value("digest", "");
+    submission.result->outcome.answer = item.value("answer", "");
+    submission.result->outcome.digest = item.value("digest", "");
     const json& request = item.at("request");
     submission.spec.work = request.value("work", "");
     submission.spec.payload = request.value("payload", "");
@@ -174,8 +174,8 @@
   capacity.memory_mb = 8000;
   capacity.connections = 16;
   const auto broken =
-      sim::CheckPromises(cell->History(), submissions, capacity,
-                         static_cast<int>(luaL_checkinteger(lua, 3)));
+      sim::CheckInvariants(cell->History(), submissions, capacity,
+                           static_cast<int>(luaL_checkinteger(lua, 3)));
   PushJson(lua, json(broken));
   return 1;
 }
--- a/tests/schedule_test.cc
+++ b/tests/schedule_test.cc
@@ -23,10 +23,10 @@
       : random_(seed), cell_({.seed = seed}), paused_until_(3, 0) {}
 
   std::vector<std::string> Run() {
-    if (!cell_.Settle()) return {"the cell did not come up"};
-    cell_.network().lost = Pick(3) == 0 ? 10 : 0;
-    cell_.network().doubled = Pick(3) == 0 ? 20 : 0;
-    cell_.network().late = Pick(3) == 0 ? 10 : 0;
+    if (!cell_.WaitUntilReady()) return {"the cell did not come up"};
+    cell_.network().lost_per_mille = Pick(3) == 0 ? 10 : 0;
+    cell_.network().duplicated_per_mille = Pick(3) == 0 ? 20 : 0;
+    cell_.network().delayed_per_mille = Pick(3) == 0 ? 10 : 0;
     for (step_ = 0; step_ < kFaultySteps; ++step_) {
       SubmitSome();
       if (Pick(6) == 0) Fault();
@@ -100,8 +100,8 @@
       case 4: {
         const std::string a = Cell::EntryName(entry);
         const std::string b = SomeParty();
-        cell_.network().Cut(a, b);
-        if (Pick(2) == 0) cell_.network().Cut(b, a);
+        cell_.network().BlockLink(a, b);
+        if (Pick(2) == 0) cell_.network().BlockLink(b, a);
         break;
       }
       case 5:
@@ -142,8 +142,8 @@
   void CancelOne(int entry) {
     const size_t i = static_cast<size_t>(random_() % submissions_.size());
     Node& node = cell_.node(entry);
-    if (submissions_[i].told->id.empty()) return;
-    node.executor->Post([&node, id = submissions_[i].told->id] {
+    if (submissions_[i].result->id.empty()) return;
+    node.executor->Post([&node, id = submissions_[i].result->id] {
       node.instance->lookup().Cancel(id, [](bool) {});
     });
   }
@@ -159,9 +159,9 @@
 
   void Heal() {
     cell_.network().HealAll();
-    cell_.network().lost = 0;
-    cell_.network().doubled = 0;
-    cell_.network().late = 0;
+    cell_.network().lost_per_mille = 0;
+    cell_.network().duplicated_per_mille = 0;
+    cell_.network().delayed_per_mille = 0;
     cell_.log().faults() = {};
     for (int i = 0; i < 3; ++i) {
       Node& node = cell_.node(i);
@@ -198,8 +198,8 @@
     capacity.connections = 16;
     if (const char* traced = std::getenv("MIMOSARAIL_TRACE")) Trace(traced);
     auto broken =
-        CheckPromises(cell_.history().events(), submissions_, capacity, 4);
-    for (const std::string& name : cell_.reverts) {
+        CheckInvariants(cell_.history().events(), submissions_, capacity, 4);
+    for (const std::string& name : cell_.revision_regressions) {
       broken.push_back("revision went back at " + name);
     }
     if (!cell_.AllAttached()) broken.emplace_back("not all upstreams attached");
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -14,7 +14,7 @@
 
 using asio::ip::tcp;
 
-constexpr Millis kLook{50};
+constexpr Millis kPollInterval{50};
 constexpr Millis kArrivalGap{20};
 
 struct Outcome {
@@ -39,7 +39,7 @@
     }
     view.open_requests = static_cast<int64_t>(answered_at.size());
     view.connections = answered_at.size();
-    if (now.count() % kLook.count() != 0) continue;
+    if (now.count() % kPollInterval.count() != 0) continue;
     const ShutdownStep step = NextStep(options, view);
     if (step == ShutdownStep::kStopAccepting) view.accepting_stopped = true;
     if (step == ShutdownStep::kEnd) {
@@ -162,9 +162,9 @@
       const Outcome outcome = Stop({}, answer);
       BOOST_TEST(outcome.unanswered == 0U);
       // It is back the sooner: callers who are refused go elsewhere.
-      BOOST_TEST(
-          outcome.ended.count() <=
-          (ShutdownOptions().unready_period + answer + 3 * kLook).count());
+      BOOST_TEST(outcome.ended.count() <=
+                 (ShutdownOptions().unready_period + answer + 3 * kPollInterval)
+                     .count());
     }
   }
 }
--- a/tests/sim/cell.cc
+++ b/tests/sim/cell.cc
@@ -28,37 +28,37 @@
 
   void Attach(const std::string&, const wire::AttachCall& call,
               Callback<wire::AttachReply> done) override {
-    ToUpstream<wire::AttachReply>(call, &standins::UpstreamStandin::Attach,
+    ToUpstream<wire::AttachReply>(call, &standins::UpstreamServerFake::Attach,
                                   std::move(done));
   }
   void Start(const std::string&, const wire::StartCall& call,
              Callback<wire::StartReply> done) override {
-    ToUpstream<wire::StartReply>(call, &standins::UpstreamStandin::Start,
+    ToUpstream<wire::StartReply>(call, &standins::UpstreamServerFake::Start,
                                  std::move(done));
   }
   void Renew(const std::string&, const wire::RenewCall& call,
              Callback<wire::RenewReply> done) override {
-    ToUpstream<wire::RenewReply>(call, &standins::UpstreamStandin::Renew,
+    ToUpstream<wire::RenewReply>(call, &standins::UpstreamServerFake::Renew,
                                  std::move(done), Millis(call.wait_ms));
   }
   void Steer(const std::string&, const wire::SteerCall& call,
              Callback<wire::SteerReply> done) override {
-    ToUpstream<wire::SteerReply>(call, &standins::UpstreamStandin::Steer,
+    ToUpstream<wire::SteerReply>(call, &standins::UpstreamServerFake::Steer,
                                  std::move(done));
   }
   void Inventory(const std::string&, const wire::InventoryCall& call,
                  Callback<wire::InventoryReply> done) override {
     ToUpstream<wire::InventoryReply>(
-        call, &standins::UpstreamStandin::Inventory, std::move(done));
+        call, &standins::UpstreamServerFake::Inventory, std::move(done));
   }
   void Usage(const std::string&, const wire::UsageCall& call,
              Callback<wire::UsageReply> done) override {
-    ToUpstream<wire::UsageReply>(call, &standins::UpstreamStandin::Usage,
+    ToUpstream<wire::UsageReply>(call, &standins::UpstreamServerFake::Usage,
                                  std::move(done));
   }
   void Collect(const std::string&, const wire::CollectCall& call,
                Callback<wire::CollectReply> done) override {
-    ToUpstream<wire::CollectReply>(call, &standins::UpstreamStandin::Collect,
+    ToUpstream<wire::CollectReply>(call, &standins::UpstreamServerFake::Collect,
                                    std::move(done));
   }
 
@@ -154,7 +154,7 @@
   template <typename Reply, typename Call, typename Method>
   void ToUpstream(const Call& call, Method method, Callback<Reply> done,
                   Millis extra = Millis(0)) {
-    standins::UpstreamStandin* upstream =
+    standins::UpstreamServerFake* upstream =
         cell_.upstreams_.at(call.upstream).get();
     cell_.network_.Call<Reply>(
         self_, executor_, call.upstream,
@@ -224,13 +224,15 @@
       listed.push_back(upstream);
       auto& executor = upstream_executors_[upstream.name];
       executor = std::make_unique<ManualExecutor>(clock_);
-      upstreams_[upstream.name] = std::make_unique<standins::UpstreamStandin>(
-          *executor, history_, upstream);
+      upstreams_[upstream.name] =
+          std::make_unique<standins::UpstreamServerFake>(*executor, history_,
+                                                         upstream);
     }
   }
-  log_ = std::make_unique<standins::LogStandin>(platform_executor_,
-                                                options_.retention);
-  list_ = std::make_unique<standins::ListStandin>(platform_executor_, listed);
+  log_ = std::make_unique<standins::LogServerFake>(platform_executor_,
+                                                   options_.retention);
+  list_ =
+      std::make_unique<standins::InstanceListFake>(platform_executor_, listed);
   for (int i = 0; i < options_.entries; ++i) StartNode(i);
 }
 
@@ -299,7 +301,7 @@
 void Cell::WatchRevisions() {
   for (const auto& [name, node] : nodes_) {
     const int64_t now = node->instance->config().fold().revision();
-    if (now < node->newest_revision) reverts.push_back(name);
+    if (now < node->newest_revision) revision_regressions.push_back(name);
     node->newest_revision = now;
   }
 }
@@ -328,36 +330,37 @@
   return attached >= upstreams_.size();
 }
 
-bool Cell::Settle() {
+bool Cell::WaitUntilReady() {
   Run(Millis(100));
   Publish(0, 0, "first");
   return RunUntil([this] { return AllAttached(); }, Millis(20000));
 }
 
-std::shared_ptr<Told> Cell::Submit(int entry, wire::RequestSpec spec) {
-  auto told = std::make_shared<Told>();
+std::shared_ptr<SubmitResult> Cell::Submit(int entry, wire::RequestSpec spec) {
+  auto submit_result = std::make_shared<SubmitResult>();
   Node& at = node(entry);
-  at.executor->Post([&at, told, spec = std::move(spec)] {
+  at.executor->Post([&at, submit_result, spec = std::move(spec)] {
     at.instance->requests().Submit(
-        spec, [&at, told](const requests::Submitted& submitted) {
-          told->id = submitted.id;
+        spec, [&at, submit_result](const requests::Submitted& submitted) {
+          submit_result->id = submitted.id;
           if (!submitted.taken) {
-            told->answered = true;
-            told->outcome = submitted.outcome;
+            submit_result->answered = true;
+            submit_result->outcome = submitted.outcome;
             return;
           }
-          at.instance->requests().Await(submitted.id,
-                                        [told](const wire::Outcome& outcome) {
-                                          told->answered = true;
-                                          told->outcome = outcome;
-                                        });
+          at.instance->requests().Await(
+              submitted.id, [submit_result](const wire::Outcome& outcome) {
+                submit_result->answered = true;
+                submit_result->outcome = outcome;
+              });
         });
   });
-  return told;
+  return submit_result;
 }
 
-std::shared_ptr<Told> Cell::Ask(int entry, const std::string& id, Millis wait) {
-  auto told = std::make_shared<Told>();
+std::shared_ptr<SubmitResult> Cell::Ask(int entry, const std::string& id,
+                                        Millis wait) {
+  auto told = std::make_shared<SubmitResult>();
   told->id = id;
   Node& at = node(entry);
   at.executor->Post([&at, told, id, wait] {
--- a/tests/sim/cell.h
+++ b/tests/sim/cell.h
@@ -8,9 +8,9 @@
 #include "src/instance/instance.h"
 #include "tests/sim/manual_executor.h"
 #include "tests/sim/network.h"
-#include "tests/standins/list_standin.h"
-#include "tests/standins/log_standin.h"
-#include "tests/standins/upstream_standin.h"
+#include "tests/standins/instance_list_fake.h"
+#include "tests/standins/log_server_fake.h"
+#include "tests/standins/upstream_server_fake.h"
 
 namespace mimosarail::sim {
 
@@ -29,7 +29,7 @@
 };
 
 /// What a caller was told about one submission.
-struct Told {
+struct SubmitResult {
   std::string id;
   bool answered = false;
   bool found = true;
@@ -58,15 +58,15 @@
   static std::string UpstreamName(int rack, int i) {
     return "up-" + std::to_string(rack) + "-" + std::to_string(i);
   }
-  standins::UpstreamStandin& upstream(const std::string& name) {
+  standins::UpstreamServerFake& upstream(const std::string& name) {
     return *upstreams_.at(name);
   }
   ManualExecutor& upstream_executor(const std::string& name) {
     return *upstream_executors_.at(name);
   }
   std::vector<std::string> upstream_names() const;
-  standins::LogStandin& log() { return *log_; }
-  standins::ListStandin& list() { return *list_; }
+  standins::LogServerFake& log() { return *log_; }
+  standins::InstanceListFake& list() { return *list_; }
   ManualClock& clock() { return clock_; }
   Network& network() { return network_; }
   const standins::History& history() const { return history_; }
@@ -81,13 +81,14 @@
   bool RunUntil(const std::function<bool()>& done, Millis limit);
   /// Publishes the default rules and waits until every entry is ready and
   /// every upstream attached.
-  bool Settle();
+  bool WaitUntilReady();
   bool AllAttached();
 
   /// Submits at an entry; the result is filled in when the caller is told.
-  std::shared_ptr<Told> Submit(int entry, wire::RequestSpec spec);
+  std::shared_ptr<SubmitResult> Submit(int entry, wire::RequestSpec spec);
   /// Asks an entry for the outcome.
-  std::shared_ptr<Told> Ask(int entry, const std::string& id, Millis wait);
+  std::shared_ptr<SubmitResult> Ask(int entry, const std::string& id,
+                                    Millis wait);
   /// Publishes rules with a comment in them, based on `base`.
   std::shared_ptr<configlog::PublishResult> Publish(int entry, int64_t base,
                                                     const std::string& comment);
@@ -106,17 +107,18 @@
   Network network_;
   standins::History history_;
   ManualExecutor platform_executor_{clock_};
-  std::unique_ptr<standins::LogStandin> log_;
-  std::unique_ptr<standins::ListStandin> list_;
+  std::unique_ptr<standins::LogServerFake> log_;
+  std::unique_ptr<standins::InstanceListFake> list_;
   std::map<std::string, std::unique_ptr<ManualExecutor>> upstream_executors_;
-  std::map<std::string, std::unique_ptr<standins::UpstreamStandin>> upstreams_;
+  std::map<std::string, std::unique_ptr<standins::UpstreamServerFake>>
+      upstreams_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
   std::vector<std::unique_ptr<Node>> dead_;
   int64_t next_incarnation_ = 1;
 
  public:
   /// Entries whose revision went back; must stay empty.
-  std::vector<std::string> reverts;
+  std::vector<std::string> revision_regressions;
 };
 
 /// A small repeatable request; tests change what they need.
--- a/tests/sim/checker.cc
+++ b/tests/sim/checker.cc
@@ -36,8 +36,8 @@
 class Replay {
  public:
   Replay(const wire::Resources& capacity, int slots,
-         std::vector<std::string>& broken)
-      : capacity_(capacity), slots_(slots), broken_(broken) {}
+         std::vector<std::string>& violations)
+      : capacity_(capacity), slots_(slots), violations_(violations) {}
 
   void Take(const json& event) {
     const std::string kind = event["event"];
@@ -71,14 +71,14 @@
     Use& use = use_[upstream];
     use.Add(event, 1);
     if (use.Over(capacity_, slots_)) {
-      broken_.push_back("overcommit on " + upstream + " by " + request);
+      violations_.push_back("overcommit on " + upstream + " by " + request);
     }
     const std::string place =
         request + "#" + std::to_string(event["index"].get<int>());
     auto& where = running_[place];
     if (!where.empty()) {
-      broken_.push_back("two places at once: " + place + " on " + upstream +
-                        " and " + *where.begin());
+      violations_.push_back("two places at once: " + place + " on " + upstream +
+                            " and " + *where.begin());
     }
     where.insert(upstream);
     Starts& starts = starts_[request];
@@ -96,7 +96,7 @@
 
   wire::Resources capacity_;
   int slots_;
-  std::vector<std::string>& broken_;
+  std::vector<std::string>& violations_;
   std::map<std::string, Use> use_;
   std::map<std::string, std::set<std::string>> running_;
   std::map<std::string, Starts> starts_;
@@ -104,7 +104,7 @@
 
 void CheckAnswer(const Submission& submission,
                  std::vector<std::string>& broken) {
-  const Told& told = *submission.told;
+  const SubmitResult& told = *submission.result;
   std::string expected;
   for (int i = 0; i < submission.spec.tasks; ++i) {
     expected += submission.spec.work + " of " + told.id + " #" +
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-std::vector<std::string> CheckPromises(
+std::vector<std::string> CheckInvariants(
     const json& history, const std::vector<Submission>& submissions,
     const wire::Resources& capacity, int slots) {
   std::vector<std::string> broken;
@@ -136,7 +136,7 @@
   for (const json* event : ordered) replay.Take(*event);
   std::map<std::string, int> other_than_not_run;
   for (const Submission& submission : submissions) {
-    const Told& told = *submission.told;
+    const SubmitResult& told = *submission.result;
     const bool not_run =
         told.answered && told.outcome.verdict == wire::Verdict::kNotRun;
     if (!not_run) ++other_than_not_run[told.id];
@@ -152,7 +152,7 @@
     }
   }
   for (const Submission& submission : submissions) {
-    const Told& told = *submission.told;
+    const SubmitResult& told = *submission.result;
     if (other_than_not_run.contains(told.id) || told.id.empty()) continue;
     if (replay.StartsOf(told.id) > 0) {
       broken.push_back(told.id + " was told not run, and ran");
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -11,12 +11,12 @@
 /// One submission of a test and what its caller was told.
 struct Submission {
   wire::RequestSpec spec;
-  std::shared_ptr<Told> told;
+  std::shared_ptr<SubmitResult> result;
 };
 
 /// Reads the upstreams' own history against what callers were told, and lists
 /// every broken promise; empty is good.
-std::vector<std::string> CheckPromises(
+std::vector<std::string> CheckInvariants(
     const nlohmann::json& history, const std::vector<Submission>& submissions,
     const wire::Resources& capacity, int slots);
 
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -15,24 +15,25 @@
  public:
   Network(ManualClock& clock, uint64_t seed) : clock_(clock), random_(seed) {}
 
-  void Cut(const std::string& from, const std::string& to) {
-    cuts_.emplace(from, to);
+  void BlockLink(const std::string& from, const std::string& to) {
+    blocked_links_.emplace(from, to);
   }
   void Heal(const std::string& from, const std::string& to) {
-    cuts_.erase({from, to});
+    blocked_links_.erase({from, to});
   }
-  void HealAll() { cuts_.clear(); }
+  void HealAll() { blocked_links_.clear(); }
   /// In a thousand messages: how many are lost, come twice, or come seconds
   /// late.
-  int lost = 0;
-  int doubled = 0;
-  int late = 0;
+  int lost_per_mille = 0;
+  int duplicated_per_mille = 0;
+  int delayed_per_mille = 0;
 
   void Send(const std::string& from, const std::string& to, Executor& executor,
             std::function<void()> arrive, bool may_double) {
-    if (Chance(lost)) return;
+    if (Chance(lost_per_mille)) return;
     Deliver(from, to, executor, arrive);
-    if (may_double && Chance(doubled)) Deliver(from, to, executor, arrive);
+    if (may_double && Chance(duplicated_per_mille))
+      Deliver(from, to, executor, arrive);
   }
 
   /// One call: the request goes out, the reply comes back, or the timer ends
@@ -72,17 +73,17 @@
  private:
   void Deliver(const std::string& from, const std::string& to,
                Executor& executor, const std::function<void()>& arrive) {
-    const bool long_way = Chance(late);
+    const bool long_way = Chance(delayed_per_mille);
     const auto delay =
         Millis(long_way ? 200 + random_() % 4000 : 1 + random_() % 3);
     clock_.At(clock_.now() + delay, [this, from, to, &executor, arrive] {
-      if (!cuts_.contains({from, to})) executor.Post(arrive);
+      if (!blocked_links_.contains({from, to})) executor.Post(arrive);
     });
   }
 
   ManualClock& clock_;
   std::mt19937_64 random_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> blocked_links_;
 };
 
 }  // namespace mimosarail::sim
--- a/tests/slow_parts_test.cc
+++ b/tests/slow_parts_test.cc
@@ -3,7 +3,7 @@
 
 #include "src/leadership/leader_timeout_votes.h"
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// The leader's machine turns several times slower. It still renews its record
 /// in the store in time, so looks at the record find it alive, while callers of
@@ -54,14 +54,14 @@
   JobCell cell({});
   cell.RunFor(kSettle);
   const std::string slow = cell.Leader();
-  cell.Slow(slow, kSlowWay);
+  cell.SetPeerLatency(slow, kSlowWay);
   cell.RunFor(Millis(2500));
   BOOST_TEST(cell.Leader() != slow);
   BOOST_TEST(!cell.entry(slow)->leadership().leading());
   cell.Submit(SomeFollower(cell, slow), OneStepJob(5, 1, 1000));
   BOOST_TEST(TimeToAccept(cell, 5, Millis(1000)) < Millis(100));
   BOOST_TEST(cell.RunUntilFinal(5, Millis(5000)));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// A follower's own machine turns slow. It waits long for the leader's answers
@@ -71,7 +71,7 @@
   cell.RunFor(kSettle);
   const std::string leader = cell.Leader();
   const int64_t term = cell.entry(leader)->leadership().term();
-  cell.Slow(SomeFollower(cell, leader), kSlowWay);
+  cell.SetPeerLatency(SomeFollower(cell, leader), kSlowWay);
   cell.RunFor(Millis(6000));
   BOOST_TEST(cell.Leader() == leader);
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
@@ -88,7 +88,7 @@
   for (int i = 0; i < kSteps; ++i) {
     const std::string leader = cell.Leader();
     for (const std::string& name : cell.names()) {
-      cell.Slow(name, name == leader ? kSlowWay : Millis(0));
+      cell.SetPeerLatency(name, name == leader ? kSlowWay : Millis(0));
     }
     cell.RunFor(Millis(100));
   }
@@ -125,15 +125,15 @@
   cell.RunFor(Millis(2000));
   cell.Submit("entry-0", OneStepJob(1, 2, 1000));
   BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  cell.upstreams().script({2, 0, 0, 0}).takes = Millis(300);
-  cell.upstreams().faults("up-0").late_starts = 1;
+  cell.upstreams().behavior({2, 0, 0, 0}).run_time = Millis(300);
+  cell.upstreams().faults("up-0").delayed_starts = 1;
   cell.Submit("entry-0", OneStepJob(2, 1, 1000));
   const Millis took = TimeToDone(cell, {2, 0, 0, 0}, Millis(3000));
   BOOST_TEST_MESSAGE("done after " << took.count() << " ms");
   BOOST_TEST(took < Millis(300 + 300));
   cell.RunFor(Millis(4000));
   BOOST_TEST(cell.upstreams().DoneRuns({2, 0, 0, 0}) == 1);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// The store takes 300 ms for an append. Jobs that come all the while must not
@@ -141,7 +141,7 @@
 BOOST_AUTO_TEST_CASE(ASlowStoreHoldsAJobForOneAppend) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  cell.store().faults().append_takes = Millis(300);
+  cell.store().faults().append_latency = Millis(300);
   Millis longest{0};
   constexpr JobId kJobs = 40;
   for (JobId id = 100; id < 100 + kJobs; ++id) {
@@ -155,7 +155,7 @@
   }
   BOOST_TEST_MESSAGE("longest wait " << longest.count() << " ms");
   BOOST_TEST(longest <= Millis(300 + 100));
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 }  // namespace mimosarail::jobsim
