--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -46,13 +46,13 @@
 
 }  // namespace
 
-FrontClient::FrontClient(asio::io_context& io, Ledger& ledger)
-    : ledger_(ledger),
+CallerClient::CallerClient(asio::io_context& io, ConsistencyChecker& checker)
+    : checker_(checker),
       client_(io, {.max_connections = kMostConnections, .max_idle = kMaxIdle}) {
 }
 
-void FrontClient::Call(Entry& entry, const FrontCall& call,
-                       std::function<void(FrontReply)> done) {
+void CallerClient::Call(Entry& entry, const CallerRequest& call,
+                        std::function<void(CallerReply)> done) {
   client_.Call(
       entry.front(),
       {.method = call.method,
@@ -68,45 +68,45 @@
       });
 }
 
-FrontReply FrontClient::Check(const Entry& entry, const FrontCall& call,
-                              TimePoint sent,
-                              const Result<http::Response>& response) {
+CallerReply CallerClient::Check(const Entry& entry, const CallerRequest& call,
+                                TimePoint sent,
+                                const Result<http::Response>& response) {
   static const std::set<int> kStatuses{200, 410, 429, 502, 503, 504};
-  FrontReply out;
+  CallerReply out;
   const std::string what =
       call.method + " " + JobIdText(call.job) + " at " + entry.name();
   if (!response.ok()) {
     const std::error_code code = response.error().code;
     out.unsent = code == Errc::kUnavailable;
     // A signal may end it, and so may an entry that has not read the request.
-    const bool excused = entry.disturbed_at() > sent - kCalm ||
+    const bool excused = entry.last_fault_at() > sent - kCalm ||
                          Clock::now() - sent <= kLossSlack;
     const bool broken = code == Errc::kDisconnected && !excused;
     if (code == Errc::kMalformed || broken) {
-      ledger_.AddFinding("no whole answer, sent at " + ledger_.Age(sent) +
-                         ": " + what);
+      checker_.AddFinding("no whole answer, sent at " +
+                          checker_.ElapsedText(sent) + ": " + what);
     }
     return out;
   }
   out.status = response.value().status;
   const bool denies_new = out.status == 410 && call.method == "POST";
   if (kStatuses.count(out.status) == 0 || denies_new) {
-    ledger_.AddFinding("status " + std::to_string(out.status) + ": " + what);
+    checker_.AddFinding("status " + std::to_string(out.status) + ": " + what);
   }
   if (call.method != "GET" || out.status != 200) return out;
   const Json body = Json::parse(response.value().body, nullptr, false);
   if (body.is_object()) out.state = body.value("state", "");
   if (out.state.empty()) {
-    ledger_.AddFinding("no state in the answer: " + what);
+    checker_.AddFinding("no state in the answer: " + what);
   } else {
-    ledger_.OnState(call.job, out.state, entry.name());
+    checker_.OnState(call.job, out.state, entry.name());
   }
   return out;
 }
 
 Entry& Callers::Home(size_t caller) {
-  const size_t at = dice_.Percent(kAwayFromHomePercent)
-                        ? dice_.Below(entries_.size())
+  const size_t at = random_.Percent(kAwayFromHomePercent)
+                        ? random_.Below(entries_.size())
                         : caller % entries_.size();
   return *entries_[at];
 }
@@ -117,7 +117,7 @@
 }
 
 void Callers::Next(size_t caller) {
-  executor_.RunAfter(dice_.Between(kShortestThought, kLongestThought),
+  executor_.RunAfter(random_.Between(kShortestThought, kLongestThought),
                      [this, caller] { Act(caller); });
 }
 
@@ -126,48 +126,48 @@
     --at_work_;
     return;
   }
-  if (accepted_.empty() || !dice_.Percent(kAboutPercent)) {
-    return HandInNew(caller);
+  if (accepted_.empty() || !random_.Percent(kAboutPercent)) {
+    return SubmitNew(caller);
   }
-  const JobId id = accepted_[dice_.Below(accepted_.size())];
-  if (dice_.Percent(kRepeatPercent)) {
-    return HandIn(caller, id, Home(caller), kMostTries);
+  const JobId id = accepted_[random_.Below(accepted_.size())];
+  if (random_.Percent(kRepeatPercent)) {
+    return Submit(caller, id, Home(caller), kMostTries);
   }
-  CallAbout(caller, id, dice_.Percent(kCancelPercent));
+  QueryOrCancel(caller, id, random_.Percent(kCancelPercent));
 }
 
-void Callers::HandInNew(size_t caller) {
-  const JobId id = dice_.Any();
-  JobRecord& job = ledger_.jobs()[id];
+void Callers::SubmitNew(size_t caller) {
+  const JobId id = random_.Any();
+  JobRecord& job = checker_.jobs()[id];
   Json steps = Json::array();
-  const size_t count = 1 + dice_.Below(kMostSteps);
+  const size_t count = 1 + random_.Below(kMostSteps);
   for (size_t i = 0; i < count; ++i) {
-    job.tasks.push_back(static_cast<int32_t>(1 + dice_.Below(kMostTasks)));
+    job.tasks.push_back(static_cast<int32_t>(1 + random_.Below(kMostTasks)));
     steps.push_back({{"count", job.tasks.back()},
                      {"cpu", kTaskMillicores},
                      {"estMs", kEstimateMs}});
     if (i > 0) steps.back()["dependsOn"] = {i - 1};
   }
   job.body = Json{{"spec", Payload(id)}, {"steps", steps}}.dump();
-  HandIn(caller, id, Home(caller), 0);
+  Submit(caller, id, Home(caller), 0);
 }
 
-void Callers::HandIn(size_t caller, JobId id, Entry& entry, int tries) {
-  JobRecord& job = ledger_.jobs()[id];
-  ++job.hand_ins;
+void Callers::Submit(size_t caller, JobId id, Entry& entry, int tries) {
+  JobRecord& job = checker_.jobs()[id];
+  ++job.submissions;
   client_.Call(entry,
                {.method = "POST",
                 .job = id,
                 .body = job.body,
-                .limit = dice_.Between(kShortestLimit, kLongestLimit)},
-               [this, caller, id, &entry, tries](const FrontReply& reply) {
-                 OnHandedIn(caller, id, entry, tries, reply);
+                .limit = random_.Between(kShortestLimit, kLongestLimit)},
+               [this, caller, id, &entry, tries](const CallerReply& reply) {
+                 OnSubmitReply(caller, id, entry, tries, reply);
                });
 }
 
-void Callers::OnHandedIn(size_t caller, JobId id, Entry& entry, int tries,
-                         const FrontReply& reply) {
-  JobRecord& job = ledger_.jobs()[id];
+void Callers::OnSubmitReply(size_t caller, JobId id, Entry& entry, int tries,
+                            const CallerReply& reply) {
+  JobRecord& job = checker_.jobs()[id];
   if (reply.status == 200) {
     if (job.accepted_by.empty()) {
       job.accepted_by = entry.name();
@@ -177,55 +177,56 @@
     return Next(caller);
   }
   if (reply.refused()) ++job.refusals;
-  const bool gives_up = reply.refused() && dice_.Percent(kGiveUpRefusedPercent);
+  const bool gives_up =
+      reply.refused() && random_.Percent(kGiveUpRefusedPercent);
   if (gives_up || tries >= kMostTries) return Next(caller);
   // Retries reach other entries.
-  Entry& other = *entries_[dice_.Below(entries_.size())];
-  executor_.RunAfter(dice_.Between(kShortestRetry, kLongestRetry),
+  Entry& other = *entries_[random_.Below(entries_.size())];
+  executor_.RunAfter(random_.Between(kShortestRetry, kLongestRetry),
                      [this, caller, id, &other, tries] {
-                       HandIn(caller, id, other, tries + 1);
+                       Submit(caller, id, other, tries + 1);
                      });
 }
 
-void Callers::CallAbout(size_t caller, JobId id, bool cancel) {
+void Callers::QueryOrCancel(size_t caller, JobId id, bool cancel) {
   Entry& entry = Home(caller);
-  JobRecord& job = ledger_.jobs()[id];
+  JobRecord& job = checker_.jobs()[id];
   const bool wanted = !job.cancel_asked;
   job.cancel_asked = job.cancel_asked || cancel;
-  const FrontCall call{.method = cancel ? "DELETE" : "GET", .job = id};
+  const CallerRequest call{.method = cancel ? "DELETE" : "GET", .job = id};
   client_.Call(entry, call,
-               [this, caller, call, &entry, wanted](const FrontReply& reply) {
-                 if (reply.status == 410 && wanted) OnDenied(call, entry);
+               [this, caller, call, &entry, wanted](const CallerReply& reply) {
+                 if (reply.status == 410 && wanted) OnJobNotFound(call, entry);
                  Next(caller);
                });
 }
 
-void Callers::OnDenied(const FrontCall& call, const Entry& entry) {
-  const JobRecord& job = ledger_.jobs()[call.job];
+void Callers::OnJobNotFound(const CallerRequest& call, const Entry& entry) {
+  const JobRecord& job = checker_.jobs()[call.job];
   // Another caller may have cancelled it meanwhile.
   if (call.method == "GET" && job.cancel_asked) return;
-  const std::string text = ledger_.Describe(call.job) + ", denied by " +
+  const std::string text = checker_.Describe(call.job) + ", denied by " +
                            entry.name() + " to a " + call.method;
   const TimePoint now = Clock::now();
   const bool excused =
-      now - job.accepted_at < kVisible || now - entry.disturbed_at() < kCalm;
-  if (excused) return ledger_.Tell("excused: " + text);
-  ledger_.AddFinding(text);
+      now - job.accepted_at < kVisible || now - entry.last_fault_at() < kCalm;
+  if (excused) return checker_.Log("excused: " + text);
+  checker_.AddFinding(text);
 }
 
-void ClosingCheck::Start(std::function<void()> done) {
+void FinalCheck::Start(std::function<void()> done) {
   done_ = std::move(done);
   limit_ = Clock::now() + kLimit;
   asking_ = entries_.size() * kParallel;
   for (auto& entry : entries_) {
-    for (const auto& [id, job] : ledger_.jobs()) {
+    for (const auto& [id, job] : checker_.jobs()) {
       left_[entry.get()].push_back(id);
     }
     for (size_t i = 0; i < kParallel; ++i) AskNext(*entry);
   }
 }
 
-void ClosingCheck::AskNext(Entry& entry) {
+void FinalCheck::AskNext(Entry& entry) {
   std::vector<JobId>& left = left_[&entry];
   if (!left.empty()) {
     const JobId id = left.back();
@@ -233,47 +234,48 @@
     return Ask(entry, id);
   }
   if (--asking_ > 0) return;
-  for (const auto& [id, job] : ledger_.jobs()) Judge(id, job);
+  for (const auto& [id, job] : checker_.jobs()) Judge(id, job);
   done_();
 }
 
-void ClosingCheck::Ask(Entry& entry, JobId id) {
-  client_.Call(entry, {.job = id}, [this, &entry, id](const FrontReply& reply) {
-    OnReply(entry, id, reply);
-  });
+void FinalCheck::Ask(Entry& entry, JobId id) {
+  client_.Call(entry, {.job = id},
+               [this, &entry, id](const CallerReply& reply) {
+                 OnReply(entry, id, reply);
+               });
 }
 
-void ClosingCheck::OnReply(Entry& entry, JobId id, const FrontReply& reply) {
+void FinalCheck::OnReply(Entry& entry, JobId id, const CallerReply& reply) {
   if (reply.status == 410) {
     answers_[id].denied_by += " " + entry.name();
     return AskNext(entry);
   }
-  if (reply.status == 200 && !ledger_.jobs()[id].final_state.empty()) {
+  if (reply.status == 200 && !checker_.jobs()[id].final_state.empty()) {
     answers_[id].known_at += " " + entry.name();
     return AskNext(entry);
   }
   if (Clock::now() > limit_) {
-    ledger_.AddFinding("job " + JobIdText(id) + " at the end at " +
-                       entry.name() + ": status " +
-                       std::to_string(reply.status) + " " + reply.state);
+    checker_.AddFinding("job " + JobIdText(id) + " at the end at " +
+                        entry.name() + ": status " +
+                        std::to_string(reply.status) + " " + reply.state);
     return AskNext(entry);
   }
   executor_.RunAfter(kAskAgain, [this, &entry, id] { Ask(entry, id); });
 }
 
-void ClosingCheck::Judge(JobId id, const JobRecord& job) {
+void FinalCheck::Judge(JobId id, const JobRecord& job) {
   const Answers& answers = answers_[id];
-  if (job.started && job.hand_ins == job.refusals) {
-    ledger_.AddFinding("job " + JobIdText(id) + " ran though it was refused");
+  if (job.started && job.submissions == job.refusals) {
+    checker_.AddFinding("job " + JobIdText(id) + " ran though it was refused");
   }
   if (answers.denied_by.empty() || job.cancel_asked) return;
   const bool lost = !job.accepted_by.empty();
   lost_ += lost ? 1 : 0;
   // Of one whose acceptance nobody was told, entries must agree.
   if (!lost && answers.known_at.empty()) return;
-  ledger_.AddFinding((lost ? "LOST " : "") + ledger_.Describe(id) +
-                     ", denied by" + answers.denied_by + ", known at" +
-                     answers.known_at);
+  checker_.AddFinding((lost ? "LOST " : "") + checker_.Describe(id) +
+                      ", denied by" + answers.denied_by + ", known at" +
+                      answers.known_at);
 }
 
 }  // namespace mimosarail::soak
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -9,13 +9,13 @@
 #include "src/jobs/task_id.h"
 #include "src/libs/base/executor.h"
 #include "src/libs/http/client.h"
+#include "tests/soak/consistency_checker.h"
 #include "tests/soak/entries.h"
 #include "tests/soak/faults.h"
-#include "tests/soak/ledger.h"
 
 namespace mimosarail::soak {
 
-struct FrontCall {
+struct CallerRequest {
   std::string method = "GET";
   JobId job = 0;
   std::string body{};
@@ -24,7 +24,7 @@
 };
 
 /// What a caller has of an entry.
-struct FrontReply {
+struct CallerReply {
   /// 0 without an answer.
   int status = 0;
   /// Nothing was sent.
@@ -39,20 +39,20 @@
 /// Calls of the platform's clients, over connections that are kept until the
 /// entry ends them. Holds each answer against the interface. One thread runs
 /// `io`, which outlives the client, as do the ledger and the entries.
-class FrontClient {
+class CallerClient {
  public:
   static constexpr const char* kHost = "soak.example";
   static constexpr const char* kPrefix = "/soak/";
 
-  FrontClient(asio::io_context& io, Ledger& ledger);
-  void Call(Entry& entry, const FrontCall& call,
-            std::function<void(FrontReply)> done);
+  CallerClient(asio::io_context& io, ConsistencyChecker& checker);
+  void Call(Entry& entry, const CallerRequest& call,
+            std::function<void(CallerReply)> done);
 
  private:
-  FrontReply Check(const Entry& entry, const FrontCall& call, TimePoint sent,
-                   const Result<http::Response>& response);
+  CallerReply Check(const Entry& entry, const CallerRequest& call,
+                    TimePoint sent, const Result<http::Response>& response);
 
-  Ledger& ledger_;
+  ConsistencyChecker& checker_;
   http::Client client_;
 };
 
@@ -61,37 +61,37 @@
 /// only; what it is given outlives it.
 class Callers {
  public:
-  Callers(Executor& executor, FrontClient& client, Ledger& ledger,
+  Callers(Executor& executor, CallerClient& client, ConsistencyChecker& checker,
           Entries& entries, uint64_t seed)
       : executor_(executor),
         client_(client),
-        ledger_(ledger),
+        checker_(checker),
         entries_(entries),
-        dice_(seed) {}
+        random_(seed) {}
 
   void Start(size_t callers);
   /// Each ends with the call that it is at.
   void End() { ending_ = true; }
-  size_t at_work() const { return at_work_; }
+  size_t active() const { return at_work_; }
 
  private:
   Entry& Home(size_t caller);
   void Next(size_t caller);
   void Act(size_t caller);
-  void HandInNew(size_t caller);
-  void HandIn(size_t caller, JobId id, Entry& entry, int tries);
-  void OnHandedIn(size_t caller, JobId id, Entry& entry, int tries,
-                  const FrontReply& reply);
+  void SubmitNew(size_t caller);
+  void Submit(size_t caller, JobId id, Entry& entry, int tries);
+  void OnSubmitReply(size_t caller, JobId id, Entry& entry, int tries,
+                     const CallerReply& reply);
   /// Asks for an accepted job, or cancels it.
-  void CallAbout(size_t caller, JobId id, bool cancel);
+  void QueryOrCancel(size_t caller, JobId id, bool cancel);
   /// An entry denies an accepted job.
-  void OnDenied(const FrontCall& call, const Entry& entry);
+  void OnJobNotFound(const CallerRequest& call, const Entry& entry);
 
   Executor& executor_;
-  FrontClient& client_;
-  Ledger& ledger_;
+  CallerClient& client_;
+  ConsistencyChecker& checker_;
   Entries& entries_;
-  Dice dice_;
+  SeededRandom random_;
   std::vector<JobId> accepted_;
   bool ending_ = false;
   size_t at_work_ = 0;
@@ -99,13 +99,13 @@
 
 /// Asks every entry for every job that was handed in, until each answer is
 /// final. Executor's thread only; what it is given outlives it.
-class ClosingCheck {
+class FinalCheck {
  public:
-  ClosingCheck(Executor& executor, FrontClient& client, Ledger& ledger,
-               Entries& entries)
+  FinalCheck(Executor& executor, CallerClient& client,
+             ConsistencyChecker& checker, Entries& entries)
       : executor_(executor),
         client_(client),
-        ledger_(ledger),
+        checker_(checker),
         entries_(entries) {}
 
   void Start(std::function<void()> done);
@@ -121,12 +121,12 @@
 
   void AskNext(Entry& entry);
   void Ask(Entry& entry, JobId id);
-  void OnReply(Entry& entry, JobId id, const FrontReply& reply);
+  void OnReply(Entry& entry, JobId id, const CallerReply& reply);
   void Judge(JobId id, const JobRecord& job);
 
   Executor& executor_;
-  FrontClient& client_;
-  Ledger& ledger_;
+  CallerClient& client_;
+  ConsistencyChecker& checker_;
   Entries& entries_;
   std::function<void()> done_;
   TimePoint limit_{};
--- a/tests/soak/ledger.cc
+++ b/tests/soak/consistency_checker.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/ledger.h"
+#include "tests/soak/consistency_checker.h"
 
 #include <iterator>
 
@@ -6,28 +6,28 @@
 
 std::string Payload(JobId id) { return "payload of " + JobIdText(id); }
 
-std::string Ledger::Age(TimePoint at) const {
+std::string ConsistencyChecker::ElapsedText(TimePoint at) const {
   const auto ms = std::chrono::duration_cast<Millis>(at - start_).count();
   return std::to_string(ms) + " ms";
 }
 
-std::string Ledger::Describe(JobId id) const {
+std::string ConsistencyChecker::Describe(JobId id) const {
   const JobRecord& job = jobs_.at(id);
   const std::string text = "job " + JobIdText(id) + ", accepted by ";
   if (job.accepted_by.empty()) return text + "nobody";
-  return text + job.accepted_by + " at " + Age(job.accepted_at);
+  return text + job.accepted_by + " at " + ElapsedText(job.accepted_at);
 }
 
-void Ledger::Tell(const std::string& what) {
-  log_ << Age(Clock::now()) << ": " << what << std::endl;
+void ConsistencyChecker::Log(const std::string& what) {
+  log_ << ElapsedText(Clock::now()) << ": " << what << std::endl;
 }
 
-void Ledger::AddFinding(const std::string& what) {
-  findings_.push_back(Age(Clock::now()) + ": " + what);
-  Tell("FINDING " + what);
+void ConsistencyChecker::AddFinding(const std::string& what) {
+  findings_.push_back(ElapsedText(Clock::now()) + ": " + what);
+  Log("FINDING " + what);
 }
 
-bool Ledger::Done(JobId job, int32_t step) const {
+bool ConsistencyChecker::Done(JobId job, int32_t step) const {
   for (int32_t i = 0; i < jobs_.at(job).tasks[static_cast<size_t>(step)]; ++i) {
     const auto facts = tasks_.find({.job = job, .step = step, .index = i});
     if (facts == tasks_.end() || !facts->second.done) return false;
@@ -35,8 +35,8 @@
   return true;
 }
 
-void Ledger::OnState(JobId id, const std::string& state,
-                     const std::string& entry) {
+void ConsistencyChecker::OnState(JobId id, const std::string& state,
+                                 const std::string& entry) {
   const auto told = [&](const std::string& what) {
     AddFinding("job " + JobIdText(id) + " shown as " + state + " by " + entry +
                ": " + what);
@@ -59,8 +59,9 @@
   }
 }
 
-void Ledger::OnStart(const std::string& upstream, const TaskId& task,
-                     const std::string& payload) {
+void ConsistencyChecker::OnStart(const std::string& upstream,
+                                 const TaskId& task,
+                                 const std::string& payload) {
   const std::string what = TaskIdText(task) + " on " + upstream;
   const auto found = jobs_.find(task.job);
   const auto step = static_cast<size_t>(task.step);
@@ -82,26 +83,27 @@
   }
   facts.runs_on.insert(upstream);
   if (!facts.done) return;
-  for (auto& [name, ends] : unnoted_) {
+  for (auto& [name, ends] : unacknowledged_) {
     for (auto& [number, end] : ends) {
       if (end.task == task) end.started_again = true;
     }
   }
 }
 
-void Ledger::OnEnd(const std::string& upstream, const TaskId& task,
-                   int64_t done) {
+void ConsistencyChecker::OnEnd(const std::string& upstream, const TaskId& task,
+                               int64_t done) {
   TaskFacts& facts = tasks_[task];
   facts.runs_on.erase(upstream);
   if (done == 0) return;
   facts.done = true;
-  unnoted_[upstream][done] = {.task = task};
+  unacknowledged_[upstream][done] = {.task = task};
 }
 
-void Ledger::OnNoted(const std::string& upstream, int64_t number) {
-  auto& ends = unnoted_[upstream];
+void ConsistencyChecker::OnAcknowledged(const std::string& upstream,
+                                        int64_t number) {
+  auto& ends = unacknowledged_[upstream];
   while (!ends.empty() && ends.begin()->first <= number) {
-    const UnnotedEnd& end = ends.begin()->second;
+    const UnacknowledgedEnd& end = ends.begin()->second;
     tasks_[end.task].noted = true;
     if (end.started_again) {
       AddFinding("its end was taken note of after another start: " +
--- a/tests/soak/ledger.h
+++ b/tests/soak/consistency_checker.h
@@ -21,7 +21,7 @@
   std::string body;
   /// Tasks of each step; a step waits for the one before it.
   std::vector<int32_t> tasks;
-  int hand_ins = 0;
+  int submissions = 0;
   int refusals = 0;
   /// Which entry told that it is stored, and when; empty if none did.
   std::string accepted_by;
@@ -34,18 +34,18 @@
 
 /// What callers were told of jobs and what upstreams ran, held against the
 /// rules of the service. Findings are what breaks one. Not thread-safe.
-class Ledger {
+class ConsistencyChecker {
  public:
-  /// `log` gets what Tell() is given.
-  explicit Ledger(const std::string& log) : log_(log) {}
+  /// `log` gets what Log() is given.
+  explicit ConsistencyChecker(const std::string& log) : log_(log) {}
 
-  void Tell(const std::string& what);
+  void Log(const std::string& what);
   void AddFinding(const std::string& what);
   const std::vector<std::string>& findings() const { return findings_; }
   /// A job and who accepted it when, as text.
   std::string Describe(JobId id) const;
   /// Time since the start of the run, as text.
-  std::string Age(TimePoint at) const;
+  std::string ElapsedText(TimePoint at) const;
 
   std::map<JobId, JobRecord>& jobs() { return jobs_; }
   /// A caller was shown this state by `entry`.
@@ -56,9 +56,11 @@
   /// `done` is the number of an end "done" of that upstream, 0 for others.
   void OnEnd(const std::string& upstream, const TaskId& task, int64_t done);
   /// Ends up to `number` were taken note of.
-  void OnNoted(const std::string& upstream, int64_t number);
+  void OnAcknowledged(const std::string& upstream, int64_t number);
   /// Ends that nobody has taken note of count as never told.
-  void OnLapse(const std::string& upstream) { unnoted_[upstream].clear(); }
+  void OnLeaseExpired(const std::string& upstream) {
+    unacknowledged_[upstream].clear();
+  }
 
  private:
   struct TaskFacts {
@@ -68,7 +70,7 @@
     bool noted = false;
   };
   /// An end "done" of which nobody has taken note.
-  struct UnnotedEnd {
+  struct UnacknowledgedEnd {
     TaskId task;
     bool started_again = false;
   };
@@ -81,7 +83,7 @@
   std::vector<std::string> findings_;
   std::map<JobId, JobRecord> jobs_;
   std::map<TaskId, TaskFacts> tasks_;
-  std::map<std::string, std::map<int64_t, UnnotedEnd>> unnoted_;
+  std::map<std::string, std::map<int64_t, UnacknowledgedEnd>> unacknowledged_;
 };
 
 }  // namespace mimosarail::soak
--- a/tests/soak/entries.cc
+++ b/tests/soak/entries.cc
@@ -16,7 +16,7 @@
   return std::stoll(Json::parse(line).value("term", "0"));
 }
 
-constexpr Millis kLook{20};
+constexpr Millis kPollInterval{20};
 constexpr Millis kShortestGap{600};
 constexpr Millis kLongestGap{2400};
 constexpr Millis kShortestRestart{100};
@@ -60,8 +60,8 @@
                                Path(".json")},
       Path(".log"));
   ++life_;
-  stopped_ = told_to_end_ = killed_ = false;
-  disturbed_at_ = Clock::now();
+  stopped_ = stop_requested_ = killed_ = false;
+  last_fault_at_ = Clock::now();
 }
 
 void Entry::Signal(int signal) {
@@ -69,13 +69,13 @@
   if (signal == SIGSTOP) stopped_ = true;
   if (signal == SIGCONT) stopped_ = false;
   if (signal == SIGKILL) killed_ = true;
-  if (signal == SIGTERM) told_to_end_ = true;
-  if (signal != SIGTERM) disturbed_at_ = Clock::now();
+  if (signal == SIGTERM) stop_requested_ = true;
+  if (signal != SIGTERM) last_fault_at_ = Clock::now();
 }
 
-std::string Entry::OwnEnd() {
+std::string Entry::UnexpectedExit() {
   const int code = process_->Wait();
-  if (killed_ || (told_to_end_ && code == 0)) return {};
+  if (killed_ || (stop_requested_ && code == 0)) return {};
   return name() + " ended by itself, code " + std::to_string(code);
 }
 
@@ -90,89 +90,92 @@
   return last_term_led_;
 }
 
-void FaultSeries::Start() {
-  RunEvery(executor_, kLook, [this] { Watch(); });
+void ProcessFaultInjector::Start() {
+  RunEvery(executor_, kPollInterval, [this] { Watch(); });
   Next();
 }
 
-void FaultSeries::End() {
+void ProcessFaultInjector::End() {
   ending_ = true;
   for (auto& entry : entries_) {
     if (entry->stopped()) Signal(*entry, SIGCONT);
   }
 }
 
-void FaultSeries::KillAll() {
+void ProcessFaultInjector::KillAll() {
   for (auto& entry : entries_) Signal(*entry, SIGKILL);
 }
 
-Entry& FaultSeries::Leader() {
+Entry& ProcessFaultInjector::Leader() {
   return **std::max_element(entries_.begin(), entries_.end(),
                             [](const auto& a, const auto& b) {
                               return a->last_term_led() < b->last_term_led();
                             });
 }
 
-void FaultSeries::Watch() {
+void ProcessFaultInjector::Watch() {
   for (auto& entry : entries_) {
     const bool ended = !entry->alive();
     if (ended && restarting_.insert(entry.get()).second) Restart(*entry);
   }
 }
 
-void FaultSeries::Restart(Entry& entry) {
-  const std::string own_end = entry.OwnEnd();
-  if (!own_end.empty()) ledger_.AddFinding(own_end);
-  executor_.RunAfter(dice_.Between(kShortestRestart, kLongestRestart),
+void ProcessFaultInjector::Restart(Entry& entry) {
+  const std::string unexpected_exit = entry.UnexpectedExit();
+  if (!unexpected_exit.empty()) checker_.AddFinding(unexpected_exit);
+  executor_.RunAfter(random_.Between(kShortestRestart, kLongestRestart),
                      [this, &entry] {
-                       ledger_.Tell("start " + entry.name());
+                       checker_.Log("start " + entry.name());
                        entry.Start();
                        restarting_.erase(&entry);
                      });
 }
 
-void FaultSeries::Next() {
-  executor_.RunAfter(dice_.Between(kShortestGap, kLongestGap), [this] {
+void ProcessFaultInjector::Next() {
+  executor_.RunAfter(random_.Between(kShortestGap, kLongestGap), [this] {
     if (ending_) return;
-    if (dice_.Percent(kAllPercent)) {
+    if (random_.Percent(kAllPercent)) {
       KillAll();
     } else {
-      Strike();
-      if (dice_.Percent(kSecondPercent)) Strike();
+      InjectFault();
+      if (random_.Percent(kSecondPercent)) InjectFault();
     }
     Next();
   });
 }
 
-void FaultSeries::Strike() {
-  Entry& entry = dice_.Percent(kLeaderPercent)
+void ProcessFaultInjector::InjectFault() {
+  Entry& entry = random_.Percent(kLeaderPercent)
                      ? Leader()
-                     : *entries_[dice_.Below(entries_.size())];
-  const auto calm = std::count_if(entries_.begin(), entries_.end(),
-                                  [](const auto& one) { return one->calm(); });
-  if (entry.calm() && calm <= kFewestCalm) return;
-  if (dice_.Percent(kKillPercent)) return Signal(entry, SIGKILL);
-  if (dice_.Percent(kTerminatePercent)) {
+                     : *entries_[random_.Below(entries_.size())];
+  const auto healthy =
+      std::count_if(entries_.begin(), entries_.end(),
+                    [](const auto& one) { return one->healthy(); });
+  if (entry.healthy() && healthy <= kFewestCalm) return;
+  if (random_.Percent(kKillPercent)) return Signal(entry, SIGKILL);
+  if (random_.Percent(kTerminatePercent)) {
     Signal(entry, SIGTERM);
     return SignalLater(entry, SIGKILL, kGrace);
   }
   if (entry.stopped()) return;
   Signal(entry, SIGSTOP);
-  SignalLater(entry, SIGCONT, dice_.Between(kShortestFreeze, kLongestFreeze));
+  SignalLater(entry, SIGCONT, random_.Between(kShortestFreeze, kLongestFreeze));
 }
 
-void FaultSeries::Signal(Entry& entry, int signal) {
+void ProcessFaultInjector::Signal(Entry& entry, int signal) {
   if (!entry.alive()) return;
   ++signals_;
-  ledger_.Tell("signal " + std::to_string(signal) + " to " + entry.name() +
+  checker_.Log("signal " + std::to_string(signal) + " to " + entry.name() +
                (&entry == &Leader() ? ", which led last" : ""));
   entry.Signal(signal);
 }
 
-void FaultSeries::SignalLater(Entry& entry, int signal, Millis delay) {
-  executor_.RunAfter(delay, [this, &entry, signal, life = entry.life()] {
-    if (entry.life() == life) Signal(entry, signal);
-  });
+void ProcessFaultInjector::SignalLater(Entry& entry, int signal, Millis delay) {
+  executor_.RunAfter(delay,
+                     [this, &entry, signal, incarnation = entry.incarnation()] {
+                       if (entry.incarnation() == incarnation)
+                         Signal(entry, signal);
+                     });
 }
 
 }  // namespace mimosarail::soak
--- a/tests/soak/entries.h
+++ b/tests/soak/entries.h
@@ -8,8 +8,8 @@
 
 #include "src/libs/base/executor.h"
 #include "tests/scenarios/process.h"
+#include "tests/soak/consistency_checker.h"
 #include "tests/soak/faults.h"
-#include "tests/soak/ledger.h"
 
 namespace mimosarail::soak {
 
@@ -39,9 +39,9 @@
   void Signal(int signal);
   bool alive() { return process_->Alive(); }
   /// It runs, and nobody has told it to end.
-  bool calm() { return alive() && !stopped_ && !told_to_end_; }
+  bool healthy() { return alive() && !stopped_ && !stop_requested_; }
   /// How its last life ended, if by itself; empty if it was told to.
-  std::string OwnEnd();
+  std::string UnexpectedExit();
   /// Read from the log; 0 if it has not led yet.
   int64_t last_term_led();
 
@@ -49,8 +49,8 @@
   const std::string& front() const { return options_.front; }
   bool stopped() const { return stopped_; }
   /// When it was last started, or got a signal other than SIGTERM.
-  TimePoint disturbed_at() const { return disturbed_at_; }
-  int life() const { return life_; }
+  TimePoint last_fault_at() const { return last_fault_at_; }
+  int incarnation() const { return life_; }
 
  private:
   std::string Path(const char* suffix) const;
@@ -59,9 +59,9 @@
   std::unique_ptr<scenarios::Process> process_;
   int life_ = 0;
   bool stopped_ = false;
-  bool told_to_end_ = false;
+  bool stop_requested_ = false;
   bool killed_ = false;
-  TimePoint disturbed_at_{};
+  TimePoint last_fault_at_{};
   std::streamoff log_read_ = 0;
   int64_t last_term_led_ = 0;
 };
@@ -71,11 +71,14 @@
 /// Signals to entries that overlap, the leader first, and restarts of those
 /// that have ended, as drawn from a seed. Executor's thread only; what it is
 /// given outlives it.
-class FaultSeries {
+class ProcessFaultInjector {
  public:
-  FaultSeries(Executor& executor, Ledger& ledger, Entries& entries,
-              uint64_t seed)
-      : executor_(executor), ledger_(ledger), entries_(entries), dice_(seed) {}
+  ProcessFaultInjector(Executor& executor, ConsistencyChecker& checker,
+                       Entries& entries, uint64_t seed)
+      : executor_(executor),
+        checker_(checker),
+        entries_(entries),
+        random_(seed) {}
 
   void Start();
   /// No further signals; those that stand still go on. Restarts go on.
@@ -89,15 +92,15 @@
   void Watch();
   void Restart(Entry& entry);
   void Next();
-  void Strike();
+  void InjectFault();
   void Signal(Entry& entry, int signal);
   /// Signals it again after `delay`, if it lives on.
   void SignalLater(Entry& entry, int signal, Millis delay);
 
   Executor& executor_;
-  Ledger& ledger_;
+  ConsistencyChecker& checker_;
   Entries& entries_;
-  Dice dice_;
+  SeededRandom random_;
   std::set<Entry*> restarting_;
   bool ending_ = false;
   size_t signals_ = 0;
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -11,9 +11,9 @@
 namespace mimosarail::soak {
 
 /// Draws from a seed. Not thread-safe.
-class Dice {
+class SeededRandom {
  public:
-  explicit Dice(uint64_t seed) : random_(seed) {}
+  explicit SeededRandom(uint64_t seed) : random_(seed) {}
 
   uint64_t Any() { return random_(); }
   /// At least 0 and below `bound`, which is above 0.
@@ -32,46 +32,47 @@
 
 /// Delays of calls to a stand-in, and shares of faults in percent.
 struct CallFaultOptions {
-  Millis least_way{5};
-  Millis most_way{40};
-  /// Calls that take up to `longest_way` to arrive, so that one sent later on
-  /// another connection overtakes them.
-  size_t slow = 0;
-  Millis longest_way{40};
+  Millis min_latency{5};
+  Millis max_latency{40};
+  /// Calls that take up to `max_slow_latency` to arrive, so that one sent later
+  /// on another connection overtakes them.
+  size_t slow_percent = 0;
+  Millis max_slow_latency{40};
   /// Refused; nothing is done.
-  size_t refused = 1;
+  size_t refused_percent = 1;
   /// Carried out; nobody hears of it.
-  size_t lost = 1;
-  /// Carried out up to `latest` after; nobody hears of it.
-  size_t late = 1;
-  Millis latest{2500};
+  size_t dropped_reply_percent = 1;
+  /// Carried out up to `max_execution_delay` after; nobody hears of it.
+  size_t delayed_percent = 1;
+  Millis max_execution_delay{2500};
 };
 
 /// Delays calls, and refuses, loses or puts off some, as drawn from a seed.
 /// Executor's thread only; the executor outlives it.
-class CallFaults {
+class CallFaultInjector {
  public:
   /// Carries a call out; the responder that it is given carries the answer
   /// back, at once or later.
   using Arrive = std::function<void(http::Responder)>;
 
-  CallFaults(Executor& executor, CallFaultOptions options, uint64_t seed)
-      : executor_(executor), options_(options), dice_(seed) {}
+  CallFaultInjector(Executor& executor, CallFaultOptions options, uint64_t seed)
+      : executor_(executor), options_(options), random_(seed) {}
 
-  void Carry(Arrive arrive, http::Responder respond,
-             Millis held_up = Millis(0)) {
-    Millis way = Way() + (quiet_ ? Millis(0) : held_up);
+  void Deliver(Arrive arrive, http::Responder respond,
+               Millis transit_delay = Millis(0)) {
+    Millis way = Latency() + (stopped_ ? Millis(0) : transit_delay);
     const auto strikes = [this](size_t share) {
-      return !quiet_ && dice_.Percent(share);
+      return !stopped_ && random_.Percent(share);
     };
-    if (strikes(options_.refused)) return Answer(way, respond, {.status = 503});
-    const bool late = strikes(options_.late);
-    if (late) way += dice_.Between(Millis(0), options_.latest);
-    http::Responder back = [this, way_back = Way(),
+    if (strikes(options_.refused_percent))
+      return Answer(way, respond, {.status = 503});
+    const bool late = strikes(options_.delayed_percent);
+    if (late) way += random_.Between(Millis(0), options_.max_execution_delay);
+    http::Responder back = [this, way_back = Latency(),
                             respond](http::Response response) {
       Answer(way_back, respond, std::move(response));
     };
-    if (late || strikes(options_.lost)) {
+    if (late || strikes(options_.dropped_reply_percent)) {
       // The connection stays open, until its caller has surely given up.
       constexpr Millis kForgotten{10000};
       Answer(kForgotten, respond, {.status = 504});
@@ -81,14 +82,15 @@
                              back = std::move(back)] { arrive(back); });
   }
   /// Only short delays from now on.
-  void SetQuiet() { quiet_ = true; }
+  void StopInjecting() { stopped_ = true; }
 
  private:
-  Millis Way() {
-    if (quiet_) return options_.least_way;
-    return dice_.Percent(options_.slow)
-               ? dice_.Between(options_.most_way, options_.longest_way)
-               : dice_.Between(options_.least_way, options_.most_way);
+  Millis Latency() {
+    if (stopped_) return options_.min_latency;
+    return random_.Percent(options_.slow_percent)
+               ? random_.Between(options_.max_latency,
+                                 options_.max_slow_latency)
+               : random_.Between(options_.min_latency, options_.max_latency);
   }
   void Answer(Millis way, const http::Responder& respond,
               http::Response response) {
@@ -98,8 +100,8 @@
 
   Executor& executor_;
   CallFaultOptions options_;
-  Dice dice_;
-  bool quiet_ = false;
+  SeededRandom random_;
+  bool stopped_ = false;
 };
 
 }  // namespace mimosarail::soak
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -10,8 +10,8 @@
 #include "src/libs/rpc/asio_executor.h"
 #include "tests/soak/callers.h"
 #include "tests/soak/entries.h"
-#include "tests/soak/store_standin.h"
-#include "tests/soak/upstream_standin.h"
+#include "tests/soak/store_server_fake.h"
+#include "tests/soak/upstream_server_fake.h"
 
 DEFINE_uint64(seed, 1, "seed of faults and calls");
 DEFINE_int32(entries, 5, "entry instances, 3 to 20");
@@ -32,18 +32,19 @@
 constexpr size_t kTopicSeeds = 100;
 
 /// A store that is slow enough for the journal to have two appends under way.
-constexpr CallFaultOptions kStoreFaults{.slow = 30, .longest_way = Millis(220)};
-constexpr CallFaultOptions kUpstreamFaults{.least_way = Millis(1),
-                                           .most_way = Millis(10),
-                                           .slow = 5,
-                                           .longest_way = Millis(150)};
+constexpr CallFaultOptions kStoreFaults{.slow_percent = 30,
+                                        .max_slow_latency = Millis(220)};
+constexpr CallFaultOptions kUpstreamFaults{.min_latency = Millis(1),
+                                           .max_latency = Millis(10),
+                                           .slow_percent = 5,
+                                           .max_slow_latency = Millis(150)};
 
 std::string Config() {
   return Json{{"version", 1},
               {"routes",
                {{{"name", "soak"},
-                 {"host", FrontClient::kHost},
-                 {"prefix", FrontClient::kPrefix},
+                 {"host", CallerClient::kHost},
+                 {"prefix", CallerClient::kPrefix},
                  {"service", kPool},
                  {"maxAttempts", 3}}}},
               {"services", {{{"name", kPool}}}}}
@@ -55,9 +56,9 @@
  public:
   explicit Soak(const std::string& folder)
       : folder_(folder),
-        ledger_(folder + "/run.log"),
+        checker_(folder + "/run.log"),
         store_(io_, executor_, kStoreFaults, Seed()),
-        client_(io_, ledger_) {}
+        client_(io_, checker_) {}
 
   bool Run() {
     if (!StartPlatform()) return Report();
@@ -76,8 +77,8 @@
     store_address_ = store_.Start();
     store_.log().Put("keyed.op", "config", Config());
     for (size_t i = 0; i < kUpstreams; ++i) {
-      upstreams_.push_back(std::make_unique<UpstreamStandin>(
-          io_, executor_, ledger_, "upstream-" + std::to_string(i),
+      upstreams_.push_back(std::make_unique<UpstreamServerFake>(
+          io_, executor_, checker_, "upstream-" + std::to_string(i),
           kUpstreamFaults, Seed()));
       if (!upstreams_.back()->Start()) return false;
       store_.log().Put("keyed.servers", upstreams_.back()->id(),
@@ -106,21 +107,21 @@
   void End() {
     callers_.End();
     series_.End();
-    if (callers_.at_work() > 0) {
+    if (callers_.active() > 0) {
       return executor_.RunAfter(kCallersLook, [this] { End(); });
     }
-    store_.faults().SetQuiet();
-    for (auto& upstream : upstreams_) upstream->faults().SetQuiet();
+    store_.faults().StopInjecting();
+    for (auto& upstream : upstreams_) upstream->faults().StopInjecting();
     // What only a leader's memory held is gone with it.
     series_.KillAll();
-    ledger_.Tell("closing check");
+    checker_.Log("closing check");
     closing_.Start([this] { io_.stop(); });
   }
 
   bool Report() {
     size_t accepted = 0;
     size_t complete = 0;
-    for (const auto& [id, job] : ledger_.jobs()) {
+    for (const auto& [id, job] : checker_.jobs()) {
       accepted += job.accepted_by.empty() ? 0 : 1;
       complete += job.final_state == "complete" ? 1 : 0;
     }
@@ -129,35 +130,35 @@
       terms = std::max(terms, entry->last_term_led());
     }
     // A run in which nothing was at stake proves nothing.
-    if (accepted == 0 || terms < 2) ledger_.AddFinding("nothing was at stake");
+    if (accepted == 0 || terms < 2) checker_.AddFinding("nothing was at stake");
     std::printf(
         "seed %lu: %zu jobs handed in, %zu accepted, %zu complete, %zu "
         "signals, %ld terms, %ld appends out of sequence, %zu lost, %zu "
         "findings\n",
-        FLAGS_seed, ledger_.jobs().size(), accepted, complete,
+        FLAGS_seed, checker_.jobs().size(), accepted, complete,
         series_.signals(), terms, store_.log().out_of_sequence(),
-        closing_.lost(), ledger_.findings().size());
-    for (const std::string& finding : ledger_.findings()) {
+        closing_.lost(), checker_.findings().size());
+    for (const std::string& finding : checker_.findings()) {
       std::printf("  %s\n", finding.c_str());
     }
     std::printf("logs: %s\n", folder_.c_str());
     entries_.clear();  // ends their processes
-    return ledger_.findings().empty();
+    return checker_.findings().empty();
   }
 
   std::string folder_;
   uint64_t seeds_drawn_ = 0;
   asio::io_context io_{1};
   rpc::AsioExecutor executor_{io_};
-  Ledger ledger_;
-  StoreStandin store_;
+  ConsistencyChecker checker_;
+  StoreServerFake store_;
   std::string store_address_;
-  std::vector<std::unique_ptr<UpstreamStandin>> upstreams_;
-  FrontClient client_;
+  std::vector<std::unique_ptr<UpstreamServerFake>> upstreams_;
+  CallerClient client_;
   Entries entries_;
-  Callers callers_{executor_, client_, ledger_, entries_, Seed()};
-  FaultSeries series_{executor_, ledger_, entries_, Seed()};
-  ClosingCheck closing_{executor_, client_, ledger_, entries_};
+  Callers callers_{executor_, client_, checker_, entries_, Seed()};
+  ProcessFaultInjector series_{executor_, checker_, entries_, Seed()};
+  FinalCheck closing_{executor_, client_, checker_, entries_};
 };
 
 std::string MakeFolder() {
--- a/tests/soak/store_standin.cc
+++ b/tests/soak/store_server_fake.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/store_standin.h"
+#include "tests/soak/store_server_fake.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -212,21 +212,21 @@
   Add(topics_[topic], static_cast<char>(key.size()) + key + value);
 }
 
-StoreStandin::StoreStandin(asio::io_context& io, Executor& executor,
-                           CallFaultOptions faults, uint64_t seed)
+StoreServerFake::StoreServerFake(asio::io_context& io, Executor& executor,
+                                 CallFaultOptions faults, uint64_t seed)
     : executor_(executor),
       faults_(executor, faults, seed),
       server_(io, {.max_body = kMaxBody},
               [this](const http::Request& request, http::Responder respond) {
-                Take(request, std::move(respond));
+                HandleRequest(request, std::move(respond));
               }) {}
 
-std::string StoreStandin::Start() {
+std::string StoreServerFake::Start() {
   const auto port = server_.Listen("127.0.0.1:0");
   return port.ok() ? "127.0.0.1:" + std::to_string(port.value()) : "";
 }
 
-Millis StoreStandin::HeldUp(const Target& target) {
+Millis StoreServerFake::ExtraDelay(const Target& target) {
   if (target.Text("producer").empty()) return Millis(0);
   auto& seen = seen_[target.Text("producer") + " " + target.Text("epoch")];
   if (!seen.insert(target.Text("sequence")).second) return Millis(0);
@@ -234,10 +234,11 @@
   return seen.size() == 2 ? kSecondHeldUp : Millis(0);
 }
 
-void StoreStandin::Take(const http::Request& request, http::Responder respond) {
+void StoreServerFake::HandleRequest(const http::Request& request,
+                                    http::Responder respond) {
   const Target target = ParseTarget(request.target);
   const std::string call = request.method + " " + target.path;
-  faults_.Carry(
+  faults_.Deliver(
       [this, target, call, body = request.body](const http::Responder& back) {
         if (call == "POST /log-append") return back(log_.Append(target, body));
         if (call == "GET /log-newest") return back(log_.Newest(target));
@@ -245,11 +246,11 @@
         const int64_t wait = std::min(target.Number("waitMs"), kLongestWaitMs);
         Read(target, Clock::now() + Millis(wait), back);
       },
-      std::move(respond), HeldUp(target));
+      std::move(respond), ExtraDelay(target));
 }
 
-void StoreStandin::Read(const Target& target, TimePoint limit,
-                        const http::Responder& respond) {
+void StoreServerFake::Read(const Target& target, TimePoint limit,
+                           const http::Responder& respond) {
   const bool there = target.Number("from") < log_.End(target.Text("topic"));
   if (there || Clock::now() >= limit) return respond(log_.Read(target));
   executor_.RunAfter(kReadLook, [this, target, limit, respond] {
--- a/tests/soak/store_standin.h
+++ b/tests/soak/store_server_fake.h
@@ -74,26 +74,26 @@
 
 /// The platform's store over HTTP. One thread runs `io`, which the executor
 /// runs on as well; both outlive it.
-class StoreStandin {
+class StoreServerFake {
  public:
-  StoreStandin(asio::io_context& io, Executor& executor,
-               CallFaultOptions faults, uint64_t seed);
+  StoreServerFake(asio::io_context& io, Executor& executor,
+                  CallFaultOptions faults, uint64_t seed);
 
   /// "ip:port" where it listens; empty if it can't.
   std::string Start();
   LogStore& log() { return log_; }
-  CallFaults& faults() { return faults_; }
+  CallFaultInjector& faults() { return faults_; }
 
  private:
   /// The first appends of a writer's epoch are held up, the second most: the
   /// writer then takes the store for slow, and its third overtakes the second.
-  Millis HeldUp(const Target& target);
-  void Take(const http::Request& request, http::Responder respond);
+  Millis ExtraDelay(const Target& target);
+  void HandleRequest(const http::Request& request, http::Responder respond);
   void Read(const Target& target, TimePoint limit,
             const http::Responder& respond);
 
   Executor& executor_;
-  CallFaults faults_;
+  CallFaultInjector faults_;
   LogStore log_;
   http::Server server_;
   /// Sequence numbers seen, by the writer and its epoch.
--- a/tests/soak/upstream_standin.cc
+++ b/tests/soak/upstream_server_fake.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/upstream_standin.h"
+#include "tests/soak/upstream_server_fake.h"
 
 #include <algorithm>
 #include <string_view>
@@ -38,28 +38,29 @@
 
 }  // namespace
 
-UpstreamStandin::UpstreamStandin(asio::io_context& io, Executor& executor,
-                                 Ledger& ledger, std::string id,
-                                 CallFaultOptions faults, uint64_t seed)
+UpstreamServerFake::UpstreamServerFake(asio::io_context& io, Executor& executor,
+                                       ConsistencyChecker& checker,
+                                       std::string id, CallFaultOptions faults,
+                                       uint64_t seed)
     : executor_(executor),
-      ledger_(ledger),
+      checker_(checker),
       id_(std::move(id)),
       faults_(executor, faults, seed),
-      dice_(seed),
+      random_(seed),
       server_(io, {},
               [this](const http::Request& request, http::Responder respond) {
-                Take(request, std::move(respond));
+                HandleRequest(request, std::move(respond));
               }) {}
 
-bool UpstreamStandin::Start() {
+bool UpstreamServerFake::Start() {
   const auto port = server_.Listen("127.0.0.1:0");
   if (!port.ok()) return false;
   address_ = "127.0.0.1:" + std::to_string(port.value());
-  RunEvery(executor_, kLapseLook, [this] { Lapse(); });
+  RunEvery(executor_, kLapseLook, [this] { ExpireLease(); });
   return true;
 }
 
-std::string UpstreamStandin::ListEntry(const std::string& pool) const {
+std::string UpstreamServerFake::ListEntry(const std::string& pool) const {
   return Json{{"service", pool},
               {"addr", address_},
               {"zone", "zone-a"},
@@ -70,14 +71,14 @@
       .dump();
 }
 
-void UpstreamStandin::Take(const http::Request& request,
-                           http::Responder respond) {
+void UpstreamServerFake::HandleRequest(const http::Request& request,
+                                       http::Responder respond) {
   const Json body = Json::parse(request.body, nullptr, false);
   if (!body.is_object()) return respond(Answer(400));
   if (http::FindHeader(request.headers, "X-Expect-Instance") != id_) {
     return respond(Answer(421));
   }
-  faults_.Carry(
+  faults_.Deliver(
       [this, body, path = request.target](const http::Responder& back) {
         if (path == "/hold") return Hold(body, back);
         if (path == "/run-start") return back(StartTask(body));
@@ -86,7 +87,7 @@
       std::move(respond));
 }
 
-bool UpstreamStandin::Obeys(const Json& body) {
+bool UpstreamServerFake::AcceptsFence(const Json& body) {
   const int64_t fence = body.value("fenceToken", int64_t{0});
   if (fence < fence_) return false;
   fence_ = fence;
@@ -96,8 +97,8 @@
   return true;
 }
 
-http::Response UpstreamStandin::StartTask(const Json& body) {
-  if (!Obeys(body)) return Refuse("fence");
+http::Response UpstreamServerFake::StartTask(const Json& body) {
+  if (!AcceptsFence(body)) return Refuse("fence");
   if (body.value("deadlineMs", int64_t{0}) <= ClockMs()) return Refuse("late");
   const std::string task = body.value("task", "");
   const int64_t attempt = body.value("attempt", int64_t{0});
@@ -109,14 +110,14 @@
   if (there != running_.end()) return Refuse("room");
   last_attempt_[task] = attempt;
   running_[task] = attempt;
-  ledger_.OnStart(id_, *id, body.value("spec", ""));
-  executor_.RunAfter(dice_.Between(kShortestTask, kLongestTask),
+  checker_.OnStart(id_, *id, body.value("spec", ""));
+  executor_.RunAfter(random_.Between(kShortestTask, kLongestTask),
                      [this, task, attempt] { Finish(task, attempt, "done"); });
   return Answer(200);
 }
 
-http::Response UpstreamStandin::StopTask(const Json& body) {
-  if (!Obeys(body)) return Refuse("fence");
+http::Response UpstreamServerFake::StopTask(const Json& body) {
+  if (!AcceptsFence(body)) return Refuse("fence");
   const std::string task = body.value("task", "");
   const int64_t attempt = body.value("attempt", int64_t{0});
   last_attempt_[task] = std::max(last_attempt_[task], attempt);
@@ -124,36 +125,38 @@
   return Answer(200);
 }
 
-void UpstreamStandin::Finish(const std::string& task, int64_t attempt,
-                             const char* how) {
+void UpstreamServerFake::Finish(const std::string& task, int64_t attempt,
+                                const char* how) {
   const auto there = running_.find(task);
   if (there == running_.end() || there->second != attempt) return;
   running_.erase(there);
   ++last_end_;
   ended_[last_end_] = {last_end_, task, attempt, how, ""};
   const bool done = std::string_view(how) == "done";
-  ledger_.OnEnd(id_, *ParseTaskId(task), done ? last_end_ : 0);
+  checker_.OnEnd(id_, *ParseTaskId(task), done ? last_end_ : 0);
 }
 
-void UpstreamStandin::Lapse() {
+void UpstreamServerFake::ExpireLease() {
   if (running_.empty() || ClockMs() < lease_end_ms_) return;
-  ledger_.OnLapse(id_);
+  checker_.OnLeaseExpired(id_);
   const auto all = running_;
   for (const auto& [task, attempt] : all) Finish(task, attempt, "lapsed");
 }
 
-void UpstreamStandin::Hold(const Json& body, const http::Responder& respond) {
-  if (!Obeys(body)) return respond(Refuse("fence"));
+void UpstreamServerFake::Hold(const Json& body,
+                              const http::Responder& respond) {
+  if (!AcceptsFence(body)) return respond(Refuse("fence"));
   const int64_t noted =
       std::min(body.value("ackCursor", int64_t{0}), last_end_);
   ended_.erase(ended_.begin(), ended_.upper_bound(noted));
-  ledger_.OnNoted(id_, noted);
+  checker_.OnAcknowledged(id_, noted);
   const int64_t wait =
       std::min(body.value("waitMs", int64_t{0}), kLongestWaitMs);
   Report(Clock::now() + Millis(wait), respond);
 }
 
-void UpstreamStandin::Report(TimePoint limit, const http::Responder& respond) {
+void UpstreamServerFake::Report(TimePoint limit,
+                                const http::Responder& respond) {
   if (ended_.empty() && Clock::now() < limit) {
     return executor_.RunAfter(
         kEndsLook, [this, limit, respond] { Report(limit, respond); });
--- a/tests/soak/upstream_standin.h
+++ b/tests/soak/upstream_server_fake.h
@@ -7,45 +7,46 @@
 
 #include "src/libs/base/executor.h"
 #include "src/libs/http/server.h"
+#include "tests/soak/consistency_checker.h"
 #include "tests/soak/faults.h"
-#include "tests/soak/ledger.h"
 
 namespace mimosarail::soak {
 
 /// One upstream over HTTP: takes tasks under a lease and fences, and has each
 /// done after a short time. One thread runs `io`, which the executor runs on as
 /// well; both and the ledger outlive it.
-class UpstreamStandin {
+class UpstreamServerFake {
  public:
-  UpstreamStandin(asio::io_context& io, Executor& executor, Ledger& ledger,
-                  std::string id, CallFaultOptions faults, uint64_t seed);
+  UpstreamServerFake(asio::io_context& io, Executor& executor,
+                     ConsistencyChecker& checker, std::string id,
+                     CallFaultOptions faults, uint64_t seed);
 
   bool Start();
   /// Its entry in the list of upstreams.
   std::string ListEntry(const std::string& pool) const;
   const std::string& id() const { return id_; }
-  CallFaults& faults() { return faults_; }
+  CallFaultInjector& faults() { return faults_; }
 
  private:
   using Json = nlohmann::json;
 
-  void Take(const http::Request& request, http::Responder respond);
+  void HandleRequest(const http::Request& request, http::Responder respond);
   http::Response StartTask(const Json& body);
   http::Response StopTask(const Json& body);
   void Hold(const Json& body, const http::Responder& respond);
   /// Answers when there is an end to tell of, or the limit is reached.
   void Report(TimePoint limit, const http::Responder& respond);
   /// Whether a call is obeyed; its token and its deadline then count.
-  bool Obeys(const Json& body);
-  void Lapse();
+  bool AcceptsFence(const Json& body);
+  void ExpireLease();
   void Finish(const std::string& task, int64_t attempt, const char* how);
 
   Executor& executor_;
-  Ledger& ledger_;
+  ConsistencyChecker& checker_;
   std::string id_;
   std::string address_;
-  CallFaults faults_;
-  Dice dice_;
+  CallFaultInjector faults_;
+  SeededRandom random_;
   http::Server server_;
   int64_t fence_ = 0;
   int64_t lease_end_ms_ = 0;
--- a/tests/standins/list_standin.cc
+++ b/tests/standins/instance_list_fake.cc
@@ -1,4 +1,4 @@
-#include "tests/standins/list_standin.h"
+#include "tests/standins/instance_list_fake.h"
 
 #include <nlohmann/json.hpp>
 
@@ -6,13 +6,13 @@
 
 using nlohmann::json;
 
-ListStandin::ListStandin(Executor& executor,
-                         std::vector<wire::ListedInstance> instances)
+InstanceListFake::InstanceListFake(Executor& executor,
+                                   std::vector<wire::ListedInstance> instances)
     : executor_(executor) {
   for (auto& instance : instances) instances_[instance.name] = instance;
 }
 
-wire::ListReply ListStandin::Fetch(int64_t known_version) const {
+wire::ListReply InstanceListFake::Fetch(int64_t known_version) const {
   wire::ListReply reply;
   reply.version = version_;
   reply.unchanged = known_version == version_;
@@ -23,8 +23,8 @@
   return reply;
 }
 
-void ListStandin::SetState(const std::string& name,
-                           wire::ListedState::type state) {
+void InstanceListFake::SetState(const std::string& name,
+                                wire::ListedState::type state) {
   executor_.RunAfter(lag_, [this, name, state] {
     const auto found = instances_.find(name);
     if (found != instances_.end()) found->second.state = state;
@@ -32,21 +32,21 @@
   });
 }
 
-void ListStandin::Remove(const std::string& name) {
+void InstanceListFake::Remove(const std::string& name) {
   executor_.RunAfter(lag_, [this, name] {
     instances_.erase(name);
     ++version_;
   });
 }
 
-void ListStandin::Put(const wire::ListedInstance& instance) {
+void InstanceListFake::Put(const wire::ListedInstance& instance) {
   executor_.RunAfter(lag_, [this, instance] {
     instances_[instance.name] = instance;
     ++version_;
   });
 }
 
-const std::vector<wire::ListedInstance> ListStandin::Upstreams() const {
+const std::vector<wire::ListedInstance> InstanceListFake::Upstreams() const {
   std::vector<wire::ListedInstance> out;
   for (const auto& [name, instance] : instances_) {
     if (instance.role == wire::ListedRole::kUpstream) out.push_back(instance);
--- a/tests/standins/list_standin.h
+++ b/tests/standins/instance_list_fake.h
@@ -10,9 +10,10 @@
 namespace mimosarail::standins {
 
 /// The platform's instance list, which tells changes late.
-class ListStandin {
+class InstanceListFake {
  public:
-  ListStandin(Executor& executor, std::vector<wire::ListedInstance> instances);
+  InstanceListFake(Executor& executor,
+                   std::vector<wire::ListedInstance> instances);
 
   wire::ListReply Fetch(int64_t known_version) const;
   bool down() const { return down_; }
--- a/tests/standins/log_standin.cc
+++ b/tests/standins/log_server_fake.cc
@@ -1,4 +1,4 @@
-#include "tests/standins/log_standin.h"
+#include "tests/standins/log_server_fake.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,21 +8,21 @@
 constexpr Millis kExpireEvery{50};
 }  // namespace
 
-LogStandin::LogStandin(Executor& executor, Millis retention)
+LogServerFake::LogServerFake(Executor& executor, Millis retention)
     : executor_(executor), retention_(retention) {
   RunEvery(executor_, kExpireEvery, [this] { Expire(); });
 }
 
 template <typename Reply>
-void LogStandin::Send(const Answer<Reply>& answer, const Reply& reply) {
+void LogServerFake::Send(const Answer<Reply>& answer, const Reply& reply) {
   if (faults_.down) return;
-  if (faults_.slow_ms == 0) return answer(reply);
-  executor_.RunAfter(Millis(faults_.slow_ms),
+  if (faults_.reply_delay_ms == 0) return answer(reply);
+  executor_.RunAfter(Millis(faults_.reply_delay_ms),
                      [answer, reply] { answer(reply); });
 }
 
-void LogStandin::Append(const wire::AppendCall& call,
-                        Answer<wire::AppendReply> answer) {
+void LogServerFake::Append(const wire::AppendCall& call,
+                           Answer<wire::AppendReply> answer) {
   if (faults_.down) return;
   if (faults_.drop_appends > 0) {
     --faults_.drop_appends;
@@ -49,8 +49,8 @@
   Send(answer, reply);
 }
 
-wire::ReadReply LogStandin::MakeReply(const Stream& stream,
-                                      const wire::ReadCall& call) const {
+wire::ReadReply LogServerFake::MakeReply(const Stream& stream,
+                                         const wire::ReadCall& call) const {
   wire::ReadReply reply;
   reply.first_retained = stream.first;
   reply.upper = stream.next;
@@ -65,8 +65,8 @@
   return reply;
 }
 
-void LogStandin::Read(const wire::ReadCall& call,
-                      Answer<wire::ReadReply> answer) {
+void LogServerFake::Read(const wire::ReadCall& call,
+                         Answer<wire::ReadReply> answer) {
   if (faults_.down) return;
   ++reads_;
   Stream& stream = streams_[call.stream];
@@ -86,7 +86,7 @@
   });
 }
 
-void LogStandin::Expire() {
+void LogServerFake::Expire() {
   const TimePoint now = executor_.Now();
   for (auto& [name, stream] : streams_) {
     while (!stream.entries.empty() &&
@@ -97,7 +97,7 @@
   }
 }
 
-void LogStandin::Trim(const std::string& name, int64_t offset) {
+void LogServerFake::Trim(const std::string& name, int64_t offset) {
   Stream& stream = streams_[name];
   while (!stream.entries.empty() && stream.first < offset) {
     stream.entries.pop_front();
--- a/tests/standins/log_standin.h
+++ b/tests/standins/log_server_fake.h
@@ -14,15 +14,15 @@
 /// Faults of the log, switched by tests.
 struct LogFaults {
   bool down = false;            ///< Calls are swallowed.
-  int64_t slow_ms = 0;          ///< Replies come so much later.
+  int64_t reply_delay_ms = 0;   ///< Replies come so much later.
   int drop_append_replies = 0;  ///< So many appends work, replies are lost.
   int drop_appends = 0;  ///< So many appends are lost before their effect.
 };
 
 /// The platform's append-only log: offsets, retention, outages.
-class LogStandin {
+class LogServerFake {
  public:
-  LogStandin(Executor& executor, Millis retention);
+  LogServerFake(Executor& executor, Millis retention);
 
   template <typename Reply>
   using Answer = std::function<void(const Reply&)>;
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -16,9 +16,9 @@
 #include "src/libs/rpc/asio.h"
 #include "src/libs/rpc/asio_executor.h"
 #include "src/libs/rpc/server.h"
-#include "tests/standins/list_standin.h"
-#include "tests/standins/log_standin.h"
-#include "tests/standins/upstream_standin.h"
+#include "tests/standins/instance_list_fake.h"
+#include "tests/standins/log_server_fake.h"
+#include "tests/standins/upstream_server_fake.h"
 
 DEFINE_string(cell, "", "file that describes the cell");
 DEFINE_string(log, "", "ip:port to serve the log on");
@@ -41,9 +41,9 @@
   asio::io_context io{1};
   rpc::AsioExecutor executor{io};
   History history;
-  std::unique_ptr<LogStandin> log;
-  std::unique_ptr<ListStandin> list;
-  std::map<std::string, std::unique_ptr<UpstreamStandin>> upstreams;
+  std::unique_ptr<LogServerFake> log;
+  std::unique_ptr<InstanceListFake> list;
+  std::map<std::string, std::unique_ptr<UpstreamServerFake>> upstreams;
   std::vector<std::unique_ptr<rpc::Server>> servers;
 
   rpc::Server& Serve(const std::string& address,
@@ -59,7 +59,7 @@
   }
 
   void ServeLog() {
-    log = std::make_unique<LogStandin>(executor, Millis(FLAGS_retention_ms));
+    log = std::make_unique<LogServerFake>(executor, Millis(FLAGS_retention_ms));
     Serve(FLAGS_log, [this](rpc::Server& server) {
       HandleTyped<wire::AppendCall, wire::AppendReply>(
           server, executor, Method::kAppend,
@@ -71,7 +71,7 @@
   }
 
   void ServeList(std::vector<wire::ListedInstance> cell) {
-    list = std::make_unique<ListStandin>(executor, std::move(cell));
+    list = std::make_unique<InstanceListFake>(executor, std::move(cell));
     Serve(FLAGS_list, [this](rpc::Server& server) {
       HandleTyped<wire::ListCall, wire::ListReply>(
           server, executor, Method::kList,
@@ -83,7 +83,7 @@
 
   template <typename Call, typename Reply>
   void Route(rpc::Server& server, Method method,
-             void (UpstreamStandin::*handle)(
+             void (UpstreamServerFake::*handle)(
                  const Call&, std::function<void(const Reply&)>)) {
     HandleTyped<Call, Reply>(
         server, executor, method,
@@ -101,16 +101,16 @@
           FLAGS_upstreams_as.empty() ? FLAGS_upstreams : FLAGS_upstreams_as;
       if (listed.address != known) continue;
       upstreams[listed.name] =
-          std::make_unique<UpstreamStandin>(executor, history, listed);
+          std::make_unique<UpstreamServerFake>(executor, history, listed);
     }
     Serve(FLAGS_upstreams, [this](rpc::Server& server) {
-      Route(server, Method::kAttach, &UpstreamStandin::Attach);
-      Route(server, Method::kStart, &UpstreamStandin::Start);
-      Route(server, Method::kRenew, &UpstreamStandin::Renew);
-      Route(server, Method::kSteer, &UpstreamStandin::Steer);
-      Route(server, Method::kInventory, &UpstreamStandin::Inventory);
-      Route(server, Method::kUsage, &UpstreamStandin::Usage);
-      Route(server, Method::kCollect, &UpstreamStandin::Collect);
+      Route(server, Method::kAttach, &UpstreamServerFake::Attach);
+      Route(server, Method::kStart, &UpstreamServerFake::Start);
+      Route(server, Method::kRenew, &UpstreamServerFake::Renew);
+      Route(server, Method::kSteer, &UpstreamServerFake::Steer);
+      Route(server, Method::kInventory, &UpstreamServerFake::Inventory);
+      Route(server, Method::kUsage, &UpstreamServerFake::Usage);
+      Route(server, Method::kCollect, &UpstreamServerFake::Collect);
     });
   }
 };
@@ -121,25 +121,25 @@
   return out.str();
 }
 
-void SetUpstreamFault(UpstreamStandin& upstream, const json& fault) {
+void SetUpstreamFault(UpstreamServerFake& upstream, const json& fault) {
   UpstreamFaults& f = upstream.faults();
-  f.silent = fault.value("silent", f.silent);
+  f.down = fault.value("silent", f.down);
   f.fail_all = fault.value("fail_all", f.fail_all);
   f.drop_start_replies =
       fault.value("drop_start_replies", f.drop_start_replies);
   f.drop_starts = fault.value("drop_starts", f.drop_starts);
   f.drop_renew_replies =
       fault.value("drop_renew_replies", f.drop_renew_replies);
-  f.delay_ms = fault.value("delay_ms", f.delay_ms);
+  f.reply_delay_ms = fault.value("delay_ms", f.reply_delay_ms);
   f.run_factor = fault.value("run_factor", f.run_factor);
-  if (fault.value("die", false)) upstream.Die();
-  if (fault.value("reborn", false)) upstream.Reborn();
+  if (fault.value("die", false)) upstream.Crash();
+  if (fault.value("reborn", false)) upstream.Restart();
 }
 
-void SetLogFault(LogStandin& log, const json& fault) {
+void SetLogFault(LogServerFake& log, const json& fault) {
   LogFaults& f = log.faults();
   f.down = fault.value("down", f.down);
-  f.slow_ms = fault.value("slow_ms", f.slow_ms);
+  f.reply_delay_ms = fault.value("slow_ms", f.reply_delay_ms);
   f.drop_append_replies =
       fault.value("drop_append_replies", f.drop_append_replies);
   f.drop_appends = fault.value("drop_appends", f.drop_appends);
@@ -151,7 +151,7 @@
   }
 }
 
-void ChangeList(ListStandin& list, const json& change) {
+void ChangeList(InstanceListFake& list, const json& change) {
   if (change.contains("lag_ms")) {
     list.SetLag(Millis(change["lag_ms"].get<int64_t>()));
   }
--- a/tests/standins/upstream_standin.cc
+++ b/tests/standins/upstream_server_fake.cc
@@ -1,4 +1,4 @@
-#include "tests/standins/upstream_standin.h"
+#include "tests/standins/upstream_server_fake.h"
 
 #include <cstdlib>
 
@@ -55,16 +55,16 @@
 
 }  // namespace
 
-UpstreamStandin::UpstreamStandin(Executor& executor, History& history,
-                                 wire::ListedInstance self)
+UpstreamServerFake::UpstreamServerFake(Executor& executor, History& history,
+                                       wire::ListedInstance self)
     : executor_(executor), history_(history), self_(std::move(self)) {
   RunEvery(executor_, kTick, [this] { Tick(); });
 }
 
-int64_t UpstreamStandin::NowMs() const { return ToMs(executor_.Now()); }
+int64_t UpstreamServerFake::NowMs() const { return ToMs(executor_.Now()); }
 
-void UpstreamStandin::Log(const char* event, const wire::TaskSpec& task,
-                          int64_t at_ms) {
+void UpstreamServerFake::Log(const char* event, const wire::TaskSpec& task,
+                             int64_t at_ms) {
   history_.Add({{"event", event},
                 {"upstream", self_.name},
                 {"term", term_},
@@ -81,21 +81,21 @@
 }
 
 template <typename Reply>
-void UpstreamStandin::Send(const Answer<Reply>& answer, const Reply& reply) {
-  if (faults_.delay_ms == 0) return answer(reply);
-  executor_.RunAfter(Millis(faults_.delay_ms),
+void UpstreamServerFake::Send(const Answer<Reply>& answer, const Reply& reply) {
+  if (faults_.reply_delay_ms == 0) return answer(reply);
+  executor_.RunAfter(Millis(faults_.reply_delay_ms),
                      [answer, reply] { answer(reply); });
 }
 
-std::vector<wire::TaskStatus> UpstreamStandin::Snapshot() const {
+std::vector<wire::TaskStatus> UpstreamServerFake::Snapshot() const {
   std::vector<wire::TaskStatus> out;
   for (const auto& [id, task] : tasks_) out.push_back(task.status);
   return out;
 }
 
-void UpstreamStandin::Attach(const wire::AttachCall& call,
-                             Answer<wire::AttachReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Attach(const wire::AttachCall& call,
+                                Answer<wire::AttachReply> answer) {
+  if (faults_.down) return;
   Tick();
   wire::AttachReply reply;
   const bool again = call.term == term_ && call.controller == holder_;
@@ -128,9 +128,9 @@
   Send(answer, reply);
 }
 
-void UpstreamStandin::Start(const wire::StartCall& call,
-                            Answer<wire::StartReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Start(const wire::StartCall& call,
+                               Answer<wire::StartReply> answer) {
+  if (faults_.down) return;
   if (faults_.drop_starts > 0) {
     --faults_.drop_starts;
     return;
@@ -164,8 +164,8 @@
         [this] { Tick(); });
     Log("start", call.task);
     if (Parameter(call.task.payload, "crash", 0) != 0) {
-      executor_.RunAfter(kCrash, [this] { Die(); });
-      executor_.RunAfter(kCrash + kBack, [this] { Reborn(); });
+      executor_.RunAfter(kCrash, [this] { Crash(); });
+      executor_.RunAfter(kCrash + kBack, [this] { Restart(); });
     }
   }
   reply.status = wire::CallStatus::kOk;
@@ -176,9 +176,9 @@
   Send(answer, reply);
 }
 
-void UpstreamStandin::Renew(const wire::RenewCall& call,
-                            Answer<wire::RenewReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Renew(const wire::RenewCall& call,
+                               Answer<wire::RenewReply> answer) {
+  if (faults_.down) return;
   Tick();
   wire::RenewReply reply;
   reply.term = term_;
@@ -206,7 +206,7 @@
   poller_ = [this, answer](const wire::RenewReply& r) { Send(answer, r); };
   const uint64_t poll = ++poll_;
   poll_seen_ = call.seen;
-  TellPoller();
+  NotifyPoller();
   if (!poller_) return;
   executor_.RunAfter(Millis(call.wait_ms), [this, poll] {
     if (poll != poll_ || !poller_) return;
@@ -218,8 +218,8 @@
   });
 }
 
-void UpstreamStandin::TellPoller() {
-  if (!poller_ || faults_.silent) return;
+void UpstreamServerFake::NotifyPoller() {
+  if (!poller_ || faults_.down) return;
   wire::RenewReply reply;
   reply.status = wire::CallStatus::kOk;
   reply.term = term_;
@@ -232,9 +232,9 @@
   poller(reply);
 }
 
-void UpstreamStandin::Steer(const wire::SteerCall& call,
-                            Answer<wire::SteerReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Steer(const wire::SteerCall& call,
+                               Answer<wire::SteerReply> answer) {
+  if (faults_.down) return;
   wire::SteerReply reply;
   reply.term = term_;
   if (call.term != term_) {
@@ -251,21 +251,21 @@
     }
   }
   Send(answer, reply);
-  TellPoller();
+  NotifyPoller();
 }
 
-void UpstreamStandin::Inventory(const wire::InventoryCall&,
-                                Answer<wire::InventoryReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Inventory(const wire::InventoryCall&,
+                                   Answer<wire::InventoryReply> answer) {
+  if (faults_.down) return;
   wire::InventoryReply reply;
   reply.term = term_;
   reply.tasks = Snapshot();
   Send(answer, reply);
 }
 
-void UpstreamStandin::Usage(const wire::UsageCall&,
-                            Answer<wire::UsageReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Usage(const wire::UsageCall&,
+                               Answer<wire::UsageReply> answer) {
+  if (faults_.down) return;
   wire::UsageReply reply;
   for (const auto& [id, task] : tasks_) {
     if (task.status.state != wire::TaskState::kRunning) continue;
@@ -275,9 +275,9 @@
   Send(answer, reply);
 }
 
-void UpstreamStandin::Collect(const wire::CollectCall& call,
-                              Answer<wire::CollectReply> answer) {
-  if (faults_.silent) return;
+void UpstreamServerFake::Collect(const wire::CollectCall& call,
+                                 Answer<wire::CollectReply> answer) {
+  if (faults_.down) return;
   wire::CollectReply reply;
   const auto found = tasks_.find(call.task_id);
   if (found != tasks_.end() &&
@@ -290,7 +290,7 @@
   Send(answer, reply);
 }
 
-void UpstreamStandin::EndTask(Task& task, wire::TaskState::type state) {
+void UpstreamServerFake::EndTask(Task& task, wire::TaskState::type state) {
   task.status.state = state;
   task.status.sequence = ++last_sequence_;
   task.status.ran_ms =
@@ -309,7 +309,7 @@
       lapsed ? ToMs(task.lease_until) : NowMs());
 }
 
-void UpstreamStandin::Tick() {
+void UpstreamServerFake::Tick() {
   const TimePoint now = executor_.Now();
   for (auto& [id, task] : tasks_) {
     if (task.status.state != wire::TaskState::kRunning) continue;
@@ -323,11 +323,11 @@
               fails ? wire::TaskState::kFailed : wire::TaskState::kFinished);
     }
   }
-  TellPoller();
+  NotifyPoller();
 }
 
-void UpstreamStandin::Die() {
-  faults_.silent = true;
+void UpstreamServerFake::Crash() {
+  faults_.down = true;
   for (auto& [id, task] : tasks_) {
     if (task.status.state == wire::TaskState::kRunning) {
       Log("died", task.status.spec);
@@ -338,6 +338,6 @@
   // A new machine under the old name would have a new name; terms survive.
 }
 
-void UpstreamStandin::Reborn() { faults_.silent = false; }
+void UpstreamServerFake::Restart() { faults_.down = false; }
 
 }  // namespace mimosarail::standins
--- a/tests/standins/upstream_standin.h
+++ b/tests/standins/upstream_server_fake.h
@@ -14,22 +14,22 @@
 
 /// Faults of one upstream, switched by tests.
 struct UpstreamFaults {
-  bool silent = false;         ///< Calls are swallowed without effect.
+  bool down = false;           ///< Calls are swallowed without effect.
   bool fail_all = false;       ///< Every task fails at once.
   int drop_start_replies = 0;  ///< So many starts work, their replies are lost.
   int drop_starts = 0;         ///< So many starts are lost before their effect.
   int drop_renew_replies = 0;
-  int64_t delay_ms = 0;     ///< Replies come so much later.
-  double run_factor = 1.0;  ///< Real run time over the declared one.
+  int64_t reply_delay_ms = 0;  ///< Replies come so much later.
+  double run_factor = 1.0;     ///< Real run time over the declared one.
 };
 
 /// One upstream as the platform promises it (docs/PLATFORM.md): terms fence,
 /// leases lapse by its own clock, ends stay until released. It does not
 /// refuse what does not fit: the checkers look for that in the history.
-class UpstreamStandin {
+class UpstreamServerFake {
  public:
-  UpstreamStandin(Executor& executor, History& history,
-                  wire::ListedInstance self);
+  UpstreamServerFake(Executor& executor, History& history,
+                     wire::ListedInstance self);
 
   template <typename Reply>
   using Answer = std::function<void(const Reply&)>;
@@ -46,8 +46,8 @@
 
   UpstreamFaults& faults() { return faults_; }
   /// The instance dies: tasks are gone, and it answers no more until reborn.
-  void Die();
-  void Reborn();
+  void Crash();
+  void Restart();
 
  private:
   struct Task {
@@ -59,7 +59,7 @@
 
   void Tick();
   void EndTask(Task& task, wire::TaskState::type state);
-  void TellPoller();
+  void NotifyPoller();
   std::vector<wire::TaskStatus> Snapshot() const;
   void Log(const char* event, const wire::TaskSpec& task, int64_t at_ms);
   void Log(const char* event, const wire::TaskSpec& task) {
--- a/tests/takeover_load_test.cc
+++ b/tests/takeover_load_test.cc
@@ -7,7 +7,7 @@
 #include "src/coordinator/job_table.h"
 #include "src/libs/rpc/codec.h"
 #include "tests/jobsim/job_cell.h"
-#include "tests/jobsim/trace.h"
+#include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -72,7 +72,7 @@
     wire::ProgressRecord progress;
     progress.state = static_cast<int32_t>(JobState::kComplete);
     if (open) {
-      cell.upstreams().Know(spec);
+      cell.upstreams().RegisterJob(spec);
       put(coordinator::SpecKey(id), rpc::Encode(spec));
     } else {
       put(coordinator::ProgressKey(id), rpc::Encode(progress));
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(Trace);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// All entries lose power and come back together; the next leader has to load
 /// the jobs of the one before, over a thin link or with a weak processor, while
@@ -117,7 +117,7 @@
                 .upstreams = 6,
                 .link = {.bytes_per_s = fleet.link_bytes_per_s},
                 .processor = {.bytes_per_s = fleet.processor_bytes_per_s,
-                              .each = fleet.message}});
+                              .per_message = fleet.message}});
   const size_t bytes = FillTable(cell, fleet.jobs, fleet.text);
   for (const std::string& name : cell.names()) cell.Kill(name);
   cell.RunFor(Millis(1000));
@@ -132,7 +132,7 @@
                                      << loading.count() << " ms, bound "
                                      << bound.count() << " ms");
   BOOST_TEST(took <= bound);
-  BOOST_TEST(cell.Broken().empty());
+  BOOST_TEST(cell.Violations().empty());
 }
 
 /// With 97 entries the leader sent 1.5 MB a second in answers to greetings, on
