--- a/tests/answer_time_test.cc
+++ b/tests/adaptive_timeout_test.cc
@@ -1,13 +1,13 @@
-#define BOOST_TEST_MODULE answer_time
-#include <boost/test/unit_test.hpp>
-
+#define BOOST_TEST_MODULE adaptive_timeout
 #include "src/fleet/adaptive_timeout.h"
 
+#include <boost/test/unit_test.hpp>
+
 namespace mimosarail::fleet {
 
 /// Answers that are usually quick make an order overdue soon; an upstream that
 /// turns slow is given more time with each miss until it is heard again.
-BOOST_AUTO_TEST_CASE(TheLimitFollowsTheAnswers) {
+BOOST_AUTO_TEST_CASE(TimeoutAdaptsToReplyTimes) {
   AdaptiveTimeout time(Millis(100), Millis(700));
   BOOST_TEST(time.limit().count() == 700);
   for (int i = 0; i < 20; ++i) time.AddSample(Millis(3));
--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -233,7 +233,7 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-BOOST_DATA_TEST_CASE(CancelledWorkEndsThroughFaults,
+BOOST_DATA_TEST_CASE(CancelledJobsStopUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
   BOOST_TEST_CONTEXT("seed " << seed) { CancelSchedule(seed).Play(); }
 }
@@ -276,7 +276,7 @@
 /// A job is cancelled while the answer to its start is awaited. The upstream is
 /// cut off meanwhile, so that neither the stop nor the higher fence gets there,
 /// and carries the start out 2 s late. It is stopped with the first report.
-BOOST_AUTO_TEST_CASE(AStartInDoubtIsCancelledAndCarriedOutLate) {
+BOOST_AUTO_TEST_CASE(DelayedStartOfCancelledJobIsStopped) {
   SlowCell cell;
   const std::string at = cell.StartLongLate(3, Millis(2000));
   BOOST_REQUIRE(!at.empty());
@@ -333,7 +333,7 @@
 
 /// A cancel is acknowledged, and the leader is lost before its stop arrives.
 /// The next one reads the cancel from the store and stops what runs.
-BOOST_AUTO_TEST_CASE(ACancelOutlivesTheLeaderThatTookIt) {
+BOOST_AUTO_TEST_CASE(CancelSurvivesLeaderFailure) {
   SlowCell cell;
   const std::string at = cell.StartLong(6);
   BOOST_REQUIRE(!at.empty());
@@ -411,7 +411,7 @@
 
 /// A task of a job fails for good, and the stop of its other one is lost. The
 /// job is shown as failed, and what is left of it ends all the same.
-BOOST_AUTO_TEST_CASE(WhatIsLeftOfAFailedJobEnds) {
+BOOST_AUTO_TEST_CASE(RemainingTasksOfFailedJobAreStopped) {
   SlowCell cell;
   cell.upstreams().behavior({11, 0, 0, 0}).run_time = Millis(20000);
   cell.upstreams().behavior({11, 0, 0, 1}) = {.run_time = Millis(100),
@@ -430,7 +430,7 @@
 /// lapses and comes back. Its fence had been raised for a start in doubt; the
 /// leader opened it anew with its first token, took the refusal for another
 /// leader's and gave its office up.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatComesBackDeposesNobody) {
+BOOST_AUTO_TEST_CASE(ReturningUpstreamDoesNotDeposeLeader) {
   SlowCell cell;
   for (const auto& id : cell.upstreams().ids())
     cell.faults(id).drop_start_replies = 1;
@@ -458,7 +458,7 @@
 /// A user is told that there is no such job, takes it for cancelled, and it
 /// runs for 20 s. The entry asked had led and stood still; it woke up with what
 /// it knew before, while another had taken the job and led.
-BOOST_AUTO_TEST_CASE(AFormerLeaderDeniesNoJob) {
+BOOST_AUTO_TEST_CASE(FormerLeaderDoesNotReportJobAsUnknown) {
   SlowCell cell;
   const std::string frozen = cell.Leader();
   // The successor's announcement is lost.
@@ -481,7 +481,7 @@
 /// A caller hands a job in and cancels it at another entry at the same time.
 /// The cancel came first and found no such job; by the time that its caller
 /// heard so, the job had been accepted, and it ran for 20 s.
-BOOST_AUTO_TEST_CASE(ACancelThatCrossesItsJobIsNoDenial) {
+BOOST_AUTO_TEST_CASE(CancelConcurrentWithSubmitIsNotReportedAsUnknown) {
   SlowCell cell;
   cell.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
   cell.Cancel(cell.Follower(), 14);
@@ -497,7 +497,7 @@
 /// A report waits for ever beside an idle upstream. The answer to a renewal had
 /// been overtaken by a later one: it still listed a task whose end had been
 /// told meanwhile, and what it listed was taken to hold its room.
-BOOST_AUTO_TEST_CASE(AnOvertakenReportHoldsNoRoom) {
+BOOST_AUTO_TEST_CASE(OutdatedRenewReplyHoldsNoCapacity) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   UpstreamFaults& faults = cell.upstreams().faults("up-0");
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -148,7 +148,7 @@
 
 // The log is down and a peer tells its revision: newer ones are taken, older
 // ones and those that cannot be joined to what was read are not.
-BOOST_AUTO_TEST_CASE(peers_only_bring_forward) {
+BOOST_AUTO_TEST_CASE(peers_never_lower_the_revision) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -573,7 +573,7 @@
 // A key is sent to two entries: the owner counts the request and its cost, the
 // entry that passes the answer on must not count it again (the bill was
 // double).
-BOOST_AUTO_TEST_CASE(a_followed_key_is_counted_once) {
+BOOST_AUTO_TEST_CASE(cost_of_a_followed_key_is_counted_once) {
   Cell cell({.seed = 3});
   BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
@@ -738,7 +738,7 @@
 // Nobody reaches entry-2, which reaches all upstreams and believes that the
 // others are dead. If it kept taking their racks, no settlement could ever
 // confirm all upstreams at once and callers would be told "unknown".
-BOOST_AUTO_TEST_CASE(an_entry_that_hears_nobody_stops_contesting) {
+BOOST_AUTO_TEST_CASE(isolated_entry_stops_contesting_upstreams) {
   Cell cell({.seed = 8});
   BOOST_REQUIRE(cell.WaitUntilReady());
   cell.network().BlockLink(Cell::EntryName(0), Cell::EntryName(2));
--- a/tests/crashing_tasks_test.cc
+++ b/tests/crashing_tasks_test.cc
@@ -13,7 +13,7 @@
 namespace mimosarail::jobsim {
 namespace {
 
-constexpr Millis kSettle{2000};
+constexpr Millis kStartupTime{2000};
 /// A crashing task takes its upstream down this long after its start.
 constexpr Millis kCrash{10};
 /// Six starts in a row, each after the upstream's next life has answered, take
@@ -86,13 +86,13 @@
 
 /// A random day: jobs of all kinds, of which some crash their upstreams, while
 /// upstreams crash for reasons of their own or are cut off, and leaders die.
-class Day {
+class FaultScenario {
  public:
-  explicit Day(uint64_t seed, CellOptions options = {.upstreams = 10})
+  explicit FaultScenario(uint64_t seed, CellOptions options = {.upstreams = 10})
       : random_(seed), cell_(options) {}
 
   void Play() {
-    cell_.RunFor(kSettle);
+    cell_.RunFor(kStartupTime);
     constexpr int kSteps = 120;
     for (int i = 0; i < kSteps; ++i) {
       SubmitSome();
@@ -184,7 +184,7 @@
 /// apart under one leader, attempts numbered in turn, no failure counted.
 BOOST_AUTO_TEST_CASE(ATaskThatCrashesItsUpstreamsIsGivenUp) {
   JobCell cell({.upstreams = 12});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   MakeCrash(cell, {1, 0, 0, 1});
   Callers callers(cell);
@@ -199,7 +199,7 @@
 /// leases have run out: its silence was all that could be seen until then.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatAreLongAwayAreCounted) {
   JobCell cell({.upstreams = 16, .replacement_delay = Millis(7000)});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(kLong + kLong);
@@ -209,7 +209,7 @@
 /// The next life comes at another address: nothing ever answers at the old one.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatNeverAnswerAgainAreCounted) {
   JobCell cell({.upstreams = 16, .replacement_at_new_address = true});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(kLong + kLong);
@@ -219,7 +219,7 @@
 /// One member of a gang crashes its upstream; the others end with it.
 BOOST_AUTO_TEST_CASE(AGangWithACrashingMemberIsGivenUp) {
   JobCell cell({.upstreams = 12});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 2});
   cell.Submit("entry-0", OneStepJob(1, 4, 5000, true));
   cell.RunFor(kLong);
@@ -229,7 +229,7 @@
 /// A task that lasts has no bound of failures, and is given up all the same.
 BOOST_AUTO_TEST_CASE(ALastingTaskThatCrashesItsUpstreamsIsGivenUp) {
   JobCell cell({.upstreams = 12});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   wire::JobSpec spec = OneStepJob(1, 2, 1000);
   spec.steps[0].lasting = true;
@@ -241,7 +241,7 @@
 /// An occurrence of a timed job crashes its upstreams.
 BOOST_AUTO_TEST_CASE(ATimedTaskThatCrashesItsUpstreamsIsGivenUp) {
   JobCell cell({.upstreams = 12});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 1, 0, 0});
   wire::JobSpec spec = OneStepJob(1, 1, 1000);
   spec.occurrences = 3;
@@ -256,7 +256,7 @@
 /// was heard of before.
 BOOST_AUTO_TEST_CASE(ATaskThatCrashesItsUpstreamsLateIsGivenUp) {
   JobCell cell({.upstreams = 12});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(5000);
   MakeCrash(cell, {1, 0, 0, 0}, Millis(1500));
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -268,7 +268,7 @@
 /// answers: what a leader has counted must outlast it.
 BOOST_AUTO_TEST_CASE(CrashesAreCountedOverTakeOvers) {
   JobCell cell({.upstreams = 12});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const TaskId task{1, 0, 0, 0};
   MakeCrash(cell, task);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -289,9 +289,9 @@
 
 /// Tasks that do no harm are lost beside one that does, start anew in the same
 /// moment, and must not be given up with it.
-BOOST_AUTO_TEST_CASE(WhatIsLostBesideACrashingTaskIsNotGivenUp) {
+BOOST_AUTO_TEST_CASE(TasksLostBesideACrashingTaskAreRetried) {
   JobCell cell({.upstreams = 3, .millicores = 16000});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   constexpr JobId kBeside = 8;
   for (JobId id = 2; id < 2 + kBeside; ++id) {
@@ -312,7 +312,7 @@
 /// several of them is not given up.
 BOOST_AUTO_TEST_CASE(UpstreamsThatAreCutOffDoNotCount) {
   JobCell cell({.upstreams = 8});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(3000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -333,7 +333,7 @@
 /// however often it happens to one task.
 BOOST_AUTO_TEST_CASE(UpstreamsThatSaidThatTheyLeaveDoNotCount) {
   JobCell cell({.upstreams = 8});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(2000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -354,22 +354,24 @@
 
 /// Days of crashes for all causes: none of a crashing task's starts is one too
 /// many, and nothing fails without a cause.
-BOOST_DATA_TEST_CASE(CrashesAmongOtherTroubles,
+BOOST_DATA_TEST_CASE(CrashingTasksAreGivenUpUnderMixedFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
-  Day(seed).Play();
+  FaultScenario(seed).Play();
 }
 
 /// The same, with upstreams that are away for longer than their leases and
 /// their entries last.
 BOOST_DATA_TEST_CASE(CrashesWithLongAbsences,
                      boost::unit_test::data::make(Seeds()), seed) {
-  Day(seed, {.upstreams = 16, .replacement_delay = Millis(6000)}).Play();
+  FaultScenario(seed, {.upstreams = 16, .replacement_delay = Millis(6000)})
+      .Play();
 }
 
 /// The same, with next lives that never answer at the old address.
-BOOST_DATA_TEST_CASE(CrashesWithLivesElsewhere,
+BOOST_DATA_TEST_CASE(CrashesAreCountedWhenReplacementHasNewAddress,
                      boost::unit_test::data::make(Seeds()), seed) {
-  Day(seed, {.upstreams = 16, .replacement_at_new_address = true}).Play();
+  FaultScenario(seed, {.upstreams = 16, .replacement_at_new_address = true})
+      .Play();
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/decoders_test.cc
+++ b/tests/decoders_test.cc
@@ -138,7 +138,7 @@
 
 /// A page of the list holds one record that nobody can read. The page was lost
 /// with it, and so every upstream that stands behind it.
-BOOST_AUTO_TEST_CASE(ABadItemLosesNoPage) {
+BOOST_AUTO_TEST_CASE(MalformedItemDoesNotDiscardPage) {
   for (const std::string& item :
        {std::string(R"({"key":"b","value":"*"})"),
         std::string(R"({"key":"b","value":7})"), std::string(R"({"key":"b"})"),
@@ -173,7 +173,7 @@
 
 /// A record's key claims to be longer than the record. Every read from there on
 /// failed, for as long as the store kept it.
-BOOST_AUTO_TEST_CASE(ABadRecordLosesNoStream) {
+BOOST_AUTO_TEST_CASE(MalformedRecordDoesNotDiscardStream) {
   const std::string head = std::string(7, '\0') + "\x09" + std::string(8, '\0');
   const std::string good = EncodeRecords({{"k", "value"}});
   for (const std::string& bad :
@@ -189,7 +189,7 @@
 }
 
 /// Lengths and offsets that cannot be true.
-BOOST_AUTO_TEST_CASE(AStreamWhoseFramesLieDoesNotDecode) {
+BOOST_AUTO_TEST_CASE(StreamWithInvalidFrameLengthsDoesNotDecode) {
   const std::string head = std::string(7, '\0') + "\x09" + std::string(8, '\0');
   const std::string good = EncodeRecords({{"k", "value"}});
   BOOST_TEST(!DecodeTail(head + "\xff\xff\xff\xff" + good).ok());
@@ -388,7 +388,7 @@
 /// the connection there; the request was taken if its bytes came at once, and
 /// lost if they came in two parts. (Inputs 21357, 24991 and 32558 of seed 12
 /// and 137001 of seed 11 of fuzz_test.)
-BOOST_AUTO_TEST_CASE(AWishToUpgradeIsPassedOver) {
+BOOST_AUTO_TEST_CASE(HttpUpgradeHeaderIsIgnored) {
   const std::string upgrade = "Upgrade: websocket\r\nConnection: upgrade\r\n";
   const std::string next = "GET /q/ HTTP/1.1\r\nHost: h\r\n\r\n";
   struct Row {
@@ -447,7 +447,7 @@
 
 /// Peers announce frames of 32 MB and send nothing more. Room for each was made
 /// at once, and eight such connections took all memory that a process has.
-BOOST_AUTO_TEST_CASE(AFrameThatLiesTakesNoRoom) {
+BOOST_AUTO_TEST_CASE(AnnouncedFrameLengthAllocatesNothing) {
   asio::io_context io;
   rpc::Server server(io);
   const auto port = server.Listen("127.0.0.1:0");
@@ -466,7 +466,7 @@
 
 /// A peer's list claims 8 million steps and its message is 8 MB long. Room for
 /// all of them was made before the first was read: some 2 GB.
-BOOST_AUTO_TEST_CASE(AListThatLiesTakesNoRoom) {
+BOOST_AUTO_TEST_CASE(ClaimedListLengthAllocatesNothing) {
   // The third field of a job is its list of steps (compact protocol: field 3 of
   // type list; a long list of structs; its size).
   std::string bytes = "\x39\xfc";
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -665,7 +665,7 @@
 }  // namespace
 
 /// The valid messages that mutations begin with keep their decoders' word too.
-BOOST_AUTO_TEST_CASE(ValidInputsHold) {
+BOOST_AUTO_TEST_CASE(DecodersHoldInvariantsOnValidInputs) {
   for (const Target& target : Targets()) {
     for (const std::string& bytes : target.valid) {
       BOOST_TEST_CONTEXT(target.name) { target.check(bytes); }
@@ -673,7 +673,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(DecodersKeepTheirWord) {
+BOOST_AUTO_TEST_CASE(DecodersHoldInvariantsOnMutatedInputs) {
   const uint64_t inputs = FromEnvironment("MIMOSARAIL_FUZZ", kInputs);
   const uint64_t seed = FromEnvironment("MIMOSARAIL_FUZZ_SEED", kSeed);
   const uint64_t only = FromEnvironment("MIMOSARAIL_FUZZ_ONLY", UINT64_MAX);
--- a/tests/gang_waiting_test.cc
+++ b/tests/gang_starvation_test.cc
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE gang_waiting
+#define BOOST_TEST_MODULE gang_starvation
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -23,9 +23,9 @@
 
 /// One gang on otherwise idle upstreams, of which some have failed others
 /// before and some are not allowed; the gang itself fails a few times first.
-class LoneGang {
+class SingleGangScenario {
  public:
-  explicit LoneGang(uint64_t seed) : random_(seed) {
+  explicit SingleGangScenario(uint64_t seed) : random_(seed) {
     const int upstreams = 4 + Pick(60);
     for (int i = 0; i < upstreams; ++i) AddUpstream(i);
     Orders none;
@@ -168,7 +168,7 @@
   constexpr Millis kBound{6000};
   size_t played = 0;
   for (uint64_t seed = 1; seed <= SeedCount(); ++seed) {
-    LoneGang gang(seed);
+    SingleGangScenario gang(seed);
     if (!gang.CanRun()) continue;
     ++played;
     const Millis waited = gang.LongestWait();
--- a/tests/slow_parts_test.cc
+++ b/tests/high_latency_test.cc
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE slow_parts
+#define BOOST_TEST_MODULE high_latency
 #include <boost/test/unit_test.hpp>
 
 #include "src/leadership/leader_timeout_votes.h"
@@ -12,7 +12,7 @@
 /// those who greet wait no more.
 constexpr Millis kSlowWay{500};
 /// Settles who leads and lets its term grow old enough to be replaced.
-constexpr Millis kSettle{6000};
+constexpr Millis kStartupTime{6000};
 /// The shortest steps in which an outcome is looked for.
 constexpr Millis kStep{10};
 
@@ -52,7 +52,7 @@
 /// all entries wait for its answers until they give up.
 BOOST_AUTO_TEST_CASE(ALeaderThatAnswersTooSlowlyIsReplaced) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string slow = cell.Leader();
   cell.SetPeerLatency(slow, kSlowWay);
   cell.RunFor(Millis(2500));
@@ -68,7 +68,7 @@
 /// too, but nobody else does: the leader stays.
 BOOST_AUTO_TEST_CASE(ASlowFollowerDoesNotReplaceTheLeader) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string leader = cell.Leader();
   const int64_t term = cell.entry(leader)->leadership().term();
   cell.SetPeerLatency(SomeFollower(cell, leader), kSlowWay);
@@ -80,9 +80,9 @@
 /// Whoever leads is slow, as under a load that is too much for any machine.
 /// Another leader does no better, so take-overs must not follow each other
 /// closely: callers wait during each.
-BOOST_AUTO_TEST_CASE(WhereEveryLeaderIsSlowTakeOversAreRare) {
+BOOST_AUTO_TEST_CASE(TakeoversAreRareWhenEveryLeaderIsSlow) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const int64_t before = cell.entry(cell.Leader())->leadership().term();
   constexpr int kSteps = 120;
   for (int i = 0; i < kSteps; ++i) {
@@ -100,7 +100,7 @@
 
 /// Of those that were asked, more than half must wait; what was said long ago,
 /// or by one alone, decides nothing.
-BOOST_AUTO_TEST_CASE(VotesOfFollowers) {
+BOOST_AUTO_TEST_CASE(LeaderIsReplacedOnlyByRecentMajorityVote) {
   const TimePoint start = TimePoint() + std::chrono::hours(1);
   leadership::LeaderTimeoutVotes votes;
   votes.Note("a", start, true);
@@ -120,7 +120,7 @@
 /// An upstream leaves an order to start unanswered and carries it out seconds
 /// later. The caller's urgent job should start again as soon as answers are
 /// overdue by what is usual there, not after a fixed 0.7 s.
-BOOST_AUTO_TEST_CASE(AnUnansweredStartIsSettledByTheUsualAnswerTime) {
+BOOST_AUTO_TEST_CASE(UnansweredStartTimesOutByTypicalReplyTime) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   cell.Submit("entry-0", OneStepJob(1, 2, 1000));
@@ -138,7 +138,7 @@
 
 /// The store takes 300 ms for an append. Jobs that come all the while must not
 /// wait for an append under way and then for their own.
-BOOST_AUTO_TEST_CASE(ASlowStoreHoldsAJobForOneAppend) {
+BOOST_AUTO_TEST_CASE(JobWaitsForAtMostOneSlowAppend) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.store().faults().append_latency = Millis(300);
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -53,7 +53,7 @@
 /// instance stood still; it submits elsewhere, and the request runs twice. The
 /// submission still lay in the queue and was carried out after the answer, by
 /// then from a frame of the handler that had returned.
-BOOST_AUTO_TEST_CASE(WhatWasGivenUpIsNotCarriedOut) {
+BOOST_AUTO_TEST_CASE(TimedOutSubmissionIsNotExecuted) {
   sim::Cell cell({});
   BOOST_REQUIRE(cell.WaitUntilReady());
   sim::Node& node = cell.node(0);
--- a/tests/accepted_jobs_test.cc
+++ b/tests/job_durability_test.cc
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE accepted_jobs
+#define BOOST_TEST_MODULE job_durability
 #include <algorithm>
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -25,10 +25,10 @@
 constexpr uint64_t kFreshSeeds = 300;
 constexpr uint64_t kFirstSeed = 7000;
 /// Until somebody leads and serves after a calm start.
-constexpr Millis kSettle{2000};
+constexpr Millis kStartupTime{2000};
 /// Until all that is owed is done once everything has healed: leases and trust
 /// of earlier leaders run out, and what waits runs.
-constexpr Millis kCalm{40000};
+constexpr Millis kRecoveryTime{40000};
 constexpr Millis kPollInterval{500};
 /// Every entry has answered within this: callers wait 3 s, and one call to the
 /// leader takes a second at most.
@@ -86,7 +86,7 @@
 
 /// Nobody denies a job to a caller who asks for cancelling it after it has been
 /// accepted.
-void CheckNoneDenied(const JobCell& cell) {
+void CheckNoneReportedUnknown(const JobCell& cell) {
   std::map<JobId, TimePoint> accepted_at;
   for (const CallerCall& call : cell.calls()) {
     const bool done = call.answers > 0 && call.verdict == JobVerdict::kDone;
@@ -105,12 +105,14 @@
 }
 
 /// What each entry tells of each job.
-using Told = std::map<std::pair<std::string, JobId>, jobentry::JobAnswer>;
+using CountedBadEntries =
+    std::map<std::pair<std::string, JobId>, jobentry::JobAnswer>;
 
-std::shared_ptr<Told> AskAll(JobCell& cell, const std::set<JobId>& jobs,
-                             Millis wait) {
+std::shared_ptr<CountedBadEntries> AskAll(JobCell& cell,
+                                          const std::set<JobId>& jobs,
+                                          Millis wait) {
   // An entry may answer after the test has looked.
-  auto told = std::make_shared<Told>();
+  auto told = std::make_shared<CountedBadEntries>();
   for (const std::string& name : cell.names()) {
     for (const JobId id : jobs) {
       cell.QueryState(name, id, [told, name, id](jobentry::JobAnswer answer) {
@@ -132,8 +134,8 @@
 }
 
 /// Every entry knows each of the jobs, and that it has ended.
-void CheckKnown(JobCell& cell, const std::set<JobId>& jobs,
-                const std::string& when) {
+void CheckAllFound(JobCell& cell, const std::set<JobId>& jobs,
+                   const std::string& when) {
   const auto told = AskAll(cell, jobs, kAnswerWait);
   for (const std::string& name : cell.names()) {
     for (const JobId id : jobs) {
@@ -179,18 +181,18 @@
   for (const std::string& name : cell.names()) {
     if (cell.entry(name) == nullptr) cell.Restart(name);
   }
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::set<JobId> jobs = Accepted(cell);
-  const TimePoint until = cell.clock().now() + kCalm;
+  const TimePoint until = cell.clock().now() + kRecoveryTime;
   while (cell.clock().now() < until && !AllFinal(cell, jobs)) {
     cell.RunFor(kPollInterval);
   }
-  CheckKnown(cell, jobs, "in the end");
+  CheckAllFound(cell, jobs, "in the end");
   CheckOneAnswerEach(cell);
-  CheckNoneDenied(cell);
+  CheckNoneReportedUnknown(cell);
   for (const std::string& name : cell.names()) cell.Restart(name);
-  cell.RunFor(kSettle);
-  CheckKnown(cell, jobs, "after a restart of all");
+  cell.RunFor(kStartupTime);
+  CheckAllFound(cell, jobs, "after a restart of all");
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
@@ -202,7 +204,7 @@
 }
 
 /// What became of all days together.
-struct Tally {
+struct Counters {
   int64_t days = 0;
   int64_t accepted = 0;
   int64_t refused = 0;
@@ -213,20 +215,22 @@
   int64_t terms = 0;
   int64_t out_of_order = 0;
 };
-Tally tally;
+Counters tally;
 
 /// One random day of callers who hand in jobs at all entries and repeat what
 /// was not answered, while leaders and the store fail.
-class Day {
+class FaultScenario {
  public:
-  explicit Day(uint64_t seed) : random_(seed) { cell_.store().Seed(seed + 1); }
+  explicit FaultScenario(uint64_t seed) : random_(seed) {
+    cell_.store().Seed(seed + 1);
+  }
 
   void Play() {
-    cell_.RunFor(kSettle);
+    cell_.RunFor(kStartupTime);
     if (Chance(50)) SlowStore();
     constexpr int kSteps = 80;
     for (int i = 0; i < kSteps; ++i) {
-      HandInSome(1 + Pick(3));
+      SubmitSome(1 + Pick(3));
       if (Chance(30)) Fault();
       Pass(Millis(50 + Pick(250)));
     }
@@ -242,7 +246,7 @@
 
  private:
   /// A job of one caller: where it stands with it.
-  struct HandIn {
+  struct SubmittedJob {
     wire::JobSpec spec;
     /// Its newest call, among the cell's.
     size_t call = 0;
@@ -258,19 +262,19 @@
   }
   TimePoint Now() { return cell_.clock().now(); }
 
-  void HandInSome(uint64_t count) {
+  void SubmitSome(uint64_t count) {
     for (uint64_t i = 0; i < count; ++i) {
-      const JobId id = 0xace0000 + hand_ins_.size();
-      HandIn job;
+      const JobId id = 0xace0000 + submitted_jobs_.size();
+      SubmittedJob job;
       job.spec = OneStepJob(id, 1, kMillicores);
       cell_.upstreams().behavior({id, 0, 0, 0}).run_time =
           Millis(50 + Pick(600));
-      hand_ins_.push_back(job);
-      Send(hand_ins_.back());
+      submitted_jobs_.push_back(job);
+      Send(submitted_jobs_.back());
     }
   }
 
-  void Send(HandIn& job) {
+  void Send(SubmittedJob& job) {
     job.call = cell_.calls().size();
     job.again_at = {};
     denied_.erase(static_cast<JobId>(job.spec.id));
@@ -286,16 +290,16 @@
       if (cell_.store().faults().append_latency > kQuick) {
         cell_.upstreams().RecordFault();
       }
-      for (HandIn& job : hand_ins_) Look(job);
+      for (SubmittedJob& job : submitted_jobs_) Look(job);
       NoteCancels();
       NoteDenied();
       if (Chance(3)) CancelSome();
     }
   }
 
-  void Look(HandIn& job) {
+  void Look(SubmittedJob& job) {
     if (job.again_at != TimePoint{}) {
-      if (Now() >= job.again_at) HandInAgain(job);
+      if (Now() >= job.again_at) SubmitAgain(job);
       return;
     }
     if (job.settled) return;
@@ -311,7 +315,7 @@
     }
   }
 
-  void Settle(HandIn& job, JobVerdict verdict) {
+  void Settle(SubmittedJob& job, JobVerdict verdict) {
     job.settled = true;
     const bool done = verdict == JobVerdict::kDone;
     if (done) CheckStored(cell_, static_cast<JobId>(job.spec.id));
@@ -322,7 +326,7 @@
     job.again_at = Now() + Millis(300 + Pick(1500));
   }
 
-  void HandInAgain(HandIn& job) {
+  void SubmitAgain(SubmittedJob& job) {
     const auto id = static_cast<JobId>(job.spec.id);
     const bool ran_unasked = cell_.refused(id) && cell_.upstreams().HasRun(id);
     BOOST_CHECK_MESSAGE(!ran_unasked, "refused, and ran: " << JobIdText(id));
@@ -331,14 +335,14 @@
 
   /// All clients return at once, each with what it has no answer to.
   void ReturnAtOnce() {
-    for (HandIn& job : hand_ins_) {
+    for (SubmittedJob& job : submitted_jobs_) {
       if (!job.settled) Send(job);
     }
-    HandInSome(10);
+    SubmitSome(10);
   }
 
   void CancelSome() {
-    const HandIn& job = hand_ins_[Pick(hand_ins_.size())];
+    const SubmittedJob& job = submitted_jobs_[Pick(submitted_jobs_.size())];
     cancels_.push_back(cell_.calls().size());
     cell_.Cancel(SomeEntry(), static_cast<JobId>(job.spec.id));
   }
@@ -382,7 +386,7 @@
 
   /// Keeps which jobs were told to be cancelled before a run of them had ended.
   void NoteCancels() {
-    for (const HandIn& job : hand_ins_) {
+    for (const SubmittedJob& job : submitted_jobs_) {
       const auto id = static_cast<JobId>(job.spec.id);
       if (!cell_.cancelled(id) || !told_cancelled_.insert(id).second) continue;
       if (cell_.upstreams().DoneRuns({id, 0, 0, 0}) > 0) continue;
@@ -400,7 +404,7 @@
 
   void Count() {
     ++tally.days;
-    for (const HandIn& job : hand_ins_) {
+    for (const SubmittedJob& job : submitted_jobs_) {
       const auto id = static_cast<JobId>(job.spec.id);
       tally.accepted += cell_.accepted(id) ? 1 : 0;
       tally.refused += cell_.refused(id) ? 1 : 0;
@@ -409,7 +413,7 @@
       tally.connection_lost += call.connection_lost ? 1 : 0;
       tally.repeats += call.kind == CallKind::kSubmit ? 1 : 0;
     }
-    tally.repeats -= static_cast<int64_t>(hand_ins_.size());
+    tally.repeats -= static_cast<int64_t>(submitted_jobs_.size());
     tally.cancelled += static_cast<int64_t>(cancelled_for_good_.size());
     tally.terms += cell_.entry(cell_.Leader())->leadership().term();
     tally.out_of_order += cell_.store().out_of_order();
@@ -464,7 +468,7 @@
       if (leader.empty()) return;
       cell_.RunFor(Millis(Pick(120)));
       Depose(leader);
-      HandInSome(Pick(3));
+      SubmitSome(Pick(3));
     }
   }
 
@@ -545,7 +549,7 @@
 
   std::mt19937_64 random_;
   JobCell cell_{{}};
-  std::vector<HandIn> hand_ins_;
+  std::vector<SubmittedJob> submitted_jobs_;
   std::set<JobId> told_cancelled_;
   std::set<JobId> cancelled_for_good_;
   /// Calls for cancelling without an answer yet.
@@ -587,14 +591,14 @@
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Guards against answers that a change of leaders or a bad store makes untrue.
-BOOST_DATA_TEST_CASE(WhatWasAnsweredHolds,
+BOOST_DATA_TEST_CASE(RepliesToCallersStayTrueUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
-  Day day(seed);
+  FaultScenario day(seed);
   BOOST_TEST_CONTEXT("seed " << seed) { day.Play(); }
 }
 
 /// The days above do what they are for.
-BOOST_AUTO_TEST_CASE(TheDaysAreAsHardAsTheyAreMeantToBe) {
+BOOST_AUTO_TEST_CASE(FaultScenariosInjectEnoughFaults) {
   BOOST_TEST_MESSAGE("days " << tally.days << ", accepted " << tally.accepted
                              << ", refused " << tally.refused << ", cancelled "
                              << tally.cancelled << ", denied " << tally.denied
@@ -613,11 +617,11 @@
 }
 
 /// Guards against accepted jobs lost with an append that is overtaken.
-BOOST_AUTO_TEST_CASE(TheFirstAppendOfATermMayBeOvertaken) {
+BOOST_AUTO_TEST_CASE(OvertakenFirstAppendOfTermLosesNoJob) {
   constexpr Millis kUsual{75};
   constexpr Millis kLong{700};
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   StoreFaults& store = cell.store().faults();
   store.append_latency = 2 * kUsual;
   cell.Kill(cell.Leader());
@@ -637,7 +641,7 @@
 BOOST_AUTO_TEST_CASE(AJobStoredByALeaderThatDiesIsAccepted) {
   constexpr JobId kJob = 0xfb0000;
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   cell.store().faults().append_latency = Millis(400);
   cell.Submit(SomeFollower(cell, cell.Leader()),
               OneStepJob(kJob, 1, kMillicores));
@@ -648,19 +652,19 @@
   BOOST_REQUIRE(!cell.accepted(kJob));
   ReplaceLeader(cell);
   cell.store().faults() = {};
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   BOOST_TEST(cell.accepted(kJob));
   CheckInvariants(cell);
   BOOST_TEST(cell.upstreams().Starts({kJob, 0, 0, 0}) == 1);
 }
 
 /// Guards against accepted jobs lost with leaders that only loaded.
-BOOST_AUTO_TEST_CASE(JobsOutliveLeadersThatOnlyLoaded) {
+BOOST_AUTO_TEST_CASE(JobsSurviveLeadersThatFailWhileLoading) {
   constexpr Millis kStandstill{4000};
   for (const bool wakes : {false, true}) {
     BOOST_TEST_CONTEXT((wakes ? "stands still" : "killed")) {
       JobCell cell({});
-      cell.RunFor(kSettle);
+      cell.RunFor(kStartupTime);
       HandInFor(cell, 0xfc0000, Millis(400), Millis(5000));
       const size_t before = Accepted(cell).size();
       BOOST_REQUIRE(before > 0U);
@@ -682,7 +686,7 @@
       cell.RunFor(kStandstill);
       cell.Resume(second);
       cell.store().faults() = {};
-      cell.RunFor(kSettle);
+      cell.RunFor(kStartupTime);
       BOOST_TEST(Accepted(cell).size() > before);
       CheckInvariants(cell);
     }
@@ -690,14 +694,14 @@
 }
 
 /// Guards against a repeat that runs twice with an earlier leader's append.
-BOOST_DATA_TEST_CASE(ARepeatMeetsALateAppend,
+BOOST_DATA_TEST_CASE(ResubmittedJobRunsOnceDespiteDelayedAppend,
                      boost::unit_test::data::xrange(300, 4200, 300) *
                          boost::unit_test::data::make({false, true}),
                      late_ms, wakes) {
   constexpr JobId kRepeated = 0xfe0000;
   constexpr JobId kUndone = 0xfe0001;
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string first = cell.Leader();
   const std::string entry = SomeFollower(cell, first);
   const wire::JobSpec repeated = OneStepJob(kRepeated, 1, kMillicores);
@@ -720,19 +724,19 @@
   cell.RunFor(Millis(late_ms));
   BOOST_TEST(cell.cancelled(kUndone));
   cell.Resume(first);
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   CheckInvariants(cell);
   BOOST_TEST((cell.State(kUndone) == JobState::kCancelled));
   BOOST_TEST(cell.upstreams().Starts({kRepeated, 0, 0, 0}) == 1);
 }
 
 /// Guards against a job that is denied, as it was stored late, and then runs.
-BOOST_DATA_TEST_CASE(WhatIsStoredBeforeTheFenceIsLoaded,
+BOOST_DATA_TEST_CASE(NewLeaderLoadsRecordsStoredBeforeItsFence,
                      boost::unit_test::data::xrange(1000, 1600, 20), late_ms) {
   constexpr JobId kJob = 0xff0000;
   constexpr Millis kFence{150};
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string first = cell.Leader();
   cell.upstreams().behavior({kJob, 0, 0, 0}).run_time = Millis(9000);
   cell.store().faults().append_request_delays[kJobTable] = {Millis(late_ms),
@@ -743,9 +747,9 @@
   cell.RunFor(Millis(1));
   AwaitLeader(cell);
   BOOST_REQUIRE(cell.Leader() != first);
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   cell.Cancel(cell.Leader(), kJob);
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const JobVerdict verdict = cell.calls().back().verdict;
   BOOST_TEST(
       (verdict == JobVerdict::kDone || verdict == JobVerdict::kNoSuchJob));
--- a/tests/jobs_schedule_test.cc
+++ b/tests/job_fault_injection_test.cc
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE jobs_schedule
+#define BOOST_TEST_MODULE job_fault_injection
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -295,18 +295,18 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-BOOST_DATA_TEST_CASE(PromisesHoldThroughFaults,
+BOOST_DATA_TEST_CASE(InvariantsHoldUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
   BOOST_TEST_CONTEXT("seed " << seed) { Schedule(seed).Play(); }
 }
 
-BOOST_DATA_TEST_CASE(StopsInSeriesAnswerAllTheyTook,
+BOOST_DATA_TEST_CASE(RollingStopsAnswerAllAcceptedCalls,
                      boost::unit_test::data::xrange(SeedCount()), seed) {
   BOOST_TEST_CONTEXT("seed " << seed) { StopsInSeries(seed).Play(); }
 }
 
 /// A caller sends one job. It is stored, runs once and is shown as complete.
-BOOST_AUTO_TEST_CASE(ACalmJobRunsOnce) {
+BOOST_AUTO_TEST_CASE(JobRunsOnceWithoutFaults) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.Submit("entry-1", OneStepJob(7, 3, 1000));
@@ -374,7 +374,7 @@
 
 /// The leader stands still for 5 s and wakes up believing that it leads. The
 /// others have taken over; nothing it then orders may start anything.
-BOOST_AUTO_TEST_CASE(AFrozenLeaderWakesUpHarmless) {
+BOOST_AUTO_TEST_CASE(PausedLeaderStartsNothingAfterResume) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   for (JobId id = 20; id < 30; ++id) {
@@ -398,7 +398,7 @@
 /// all the same. The entry that it asked had led and stood still; the job was
 /// taken by the next leader meanwhile. Awake, it answered from what it had
 /// known, before it had heard that it leads no more.
-BOOST_AUTO_TEST_CASE(AFrozenLeaderDeniesNoJob) {
+BOOST_AUTO_TEST_CASE(ResumedLeaderDoesNotReportJobAsUnknown) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string frozen = cell.Leader();
@@ -429,7 +429,7 @@
 /// moments the answer to a renewal. Dated when they were read, they gave the
 /// leader back its trust in itself, while the next leader's announcement was
 /// lost on the way.
-BOOST_AUTO_TEST_CASE(WhatWaitedForAFrozenLeaderGivesItNoTrust) {
+BOOST_AUTO_TEST_CASE(MessagesQueuedForPausedLeaderDoNotConfirmIt) {
   constexpr int kMoments = 210;  // more than one period of renewals
   for (int moment = 0; moment < kMoments; moment += 3) {
     BOOST_TEST_CONTEXT("frozen after " << 2000 + moment << " ms") {
@@ -504,7 +504,7 @@
 
 /// The store is away: a new job is refused, and must then never run. Callers
 /// hear of it within the entry's patience instead of at their deadline.
-BOOST_AUTO_TEST_CASE(RefusedWhileTheStoreIsAwayNeverRuns) {
+BOOST_AUTO_TEST_CASE(JobRefusedDuringStoreOutageNeverRuns) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.store().faults().down = true;
@@ -524,7 +524,7 @@
 /// without an answer and was told "unknown" when its caller's time was up,
 /// though nothing of it had been sent. It is refused well before that, may be
 /// handed in again, and never runs by the first word alone.
-BOOST_AUTO_TEST_CASE(AJobThatNeverLeftIsRefusedSoon) {
+BOOST_AUTO_TEST_CASE(UnsentJobIsRefusedBeforeItsDeadline) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.store().faults().down = true;
@@ -546,7 +546,7 @@
 /// A caller's cancel is never acknowledged: its record was stored, but what
 /// waited with a job that was taken back before it was sent waited for the
 /// next append, and none came. It waits for the append under way alone.
-BOOST_AUTO_TEST_CASE(WhatWaitedWithAJobTakenBackGoesOn) {
+BOOST_AUTO_TEST_CASE(WithdrawnJobDoesNotBlockOtherRecords) {
   sim::ManualClock clock;
   StoreFake store(clock);
   sim::ManualExecutor executor(clock);
@@ -577,7 +577,7 @@
 /// A stopping entry takes a job that it can't hand on, since it is cut off from
 /// the leader. Its process ended with the call open and the caller saw the
 /// connection break; it must give a final answer before it goes.
-BOOST_AUTO_TEST_CASE(AStoppingEntryAnswersAllThatItTook) {
+BOOST_AUTO_TEST_CASE(StoppingEntryAnswersAllAcceptedCalls) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string stopping =
@@ -637,7 +637,7 @@
 /// A caller cancels a report while the store is silent. The leader's own
 /// callers were held for as long as that lasted, long past the time that they
 /// had.
-BOOST_AUTO_TEST_CASE(ACancelIsNotHeldPastItsTime) {
+BOOST_AUTO_TEST_CASE(CancelIsAnsweredWithinItsDeadline) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
@@ -656,7 +656,7 @@
 /// A stopping entry takes a push and holds it until it is too late to ask
 /// elsewhere. Its leader had died, the next one's announcement was lost, and an
 /// entry that may not claim the lead looked for no other leader either.
-BOOST_AUTO_TEST_CASE(AStoppingFollowerLeavesADeadLeader) {
+BOOST_AUTO_TEST_CASE(StoppingFollowerFindsNewLeaderAfterLeaderFailure) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
@@ -705,7 +705,7 @@
 /// was cut off from the others too, and its only announcement was lost. Deposed
 /// by an upstream, the first had forgotten who its followers were and had
 /// nobody to ask; with no upstream to tell it, it went on as if it led.
-BOOST_AUTO_TEST_CASE(ALeaderThatMissedItsSuccessorFindsIt) {
+BOOST_AUTO_TEST_CASE(FormerLeaderDiscoversItsSuccessor) {
   for (const int upstreams : {6, 0}) {
     BOOST_TEST_CONTEXT(upstreams << " upstreams") {
       JobCell cell({.upstreams = upstreams});
@@ -729,7 +729,7 @@
 /// An entry starts while the store turns it away, and the first of the entries
 /// that it may ask for the leader is gone for good. It asked that one again and
 /// again and never the next, and refused its callers for as long.
-BOOST_AUTO_TEST_CASE(ADeadSeedHidesNoOther) {
+BOOST_AUTO_TEST_CASE(UnreachableSeedIsSkipped) {
   JobCell cell({.seeds = {"entry-0", "entry-1", "entry-2"}});
   cell.RunFor(Millis(2000));
   cell.Kill("entry-0");
@@ -749,7 +749,7 @@
 /// asking for advice through an entry that stopped, and its process ended with
 /// the call in hand: nobody saw that it waited for the adviser, and it took
 /// calls until it was gone. What the adviser had worked on was lost.
-BOOST_AUTO_TEST_CASE(AStoppingEntryGivesTheAdviceItTook) {
+BOOST_AUTO_TEST_CASE(StoppingEntryReturnsAdviceInFlight) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string name = cell.Leader() == "entry-0" ? "entry-1" : "entry-0";
@@ -777,7 +777,7 @@
 
 /// The store turns only the leader away. A job handed in right then is not
 /// refused: another entry takes the lead within its caller's patience.
-BOOST_AUTO_TEST_CASE(AJobOutlivesALeaderWithoutTheStore) {
+BOOST_AUTO_TEST_CASE(JobIsAcceptedWhenLeaderLosesTheStore) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string first = cell.Leader();
@@ -795,7 +795,7 @@
 
 /// One member of a gang fails: the others break, and the whole gang starts
 /// anew with one attempt number, never as a mixture of two.
-BOOST_AUTO_TEST_CASE(ABrokenGangStartsAnewAsAWhole) {
+BOOST_AUTO_TEST_CASE(FailedGangRestartsAsAWhole) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({40, 0, 0, 1}) = {.run_time = Millis(200),
@@ -839,7 +839,7 @@
 /// All machines get power together, and the first process up is on the weakest
 /// one. Leading there, it took 3 s to load what had been accepted, and callers
 /// waited. It hands over as soon as a fitter entry is known.
-BOOST_AUTO_TEST_CASE(AWeakLeaderHandsOver) {
+BOOST_AUTO_TEST_CASE(LessFitLeaderHandsOver) {
   JobCell cell(
       {.entries = 3,
        .fitness = {{"entry-0", 12}, {"entry-1", 12}, {"entry-2", 50}}});
@@ -857,7 +857,7 @@
 }
 
 /// With nobody fitter known, weak entries replace a dead leader at once.
-BOOST_AUTO_TEST_CASE(WeakEntriesDoNotWaitForBetterOnes) {
+BOOST_AUTO_TEST_CASE(UnfitEntriesElectLeaderWithoutDelay) {
   JobCell cell(
       {.entries = 3,
        .fitness = {{"entry-0", 12}, {"entry-1", 12}, {"entry-2", 12}}});
--- a/tests/journal_test.cc
+++ b/tests/journal_test.cc
@@ -135,12 +135,12 @@
 
 /// The schedules above do what they are for: most have several appends under
 /// way at a time.
-BOOST_AUTO_TEST_CASE(MostSchedulesHadSeveralUnderWay) {
+BOOST_AUTO_TEST_CASE(MostFaultSchedulesHadConcurrentAppends) {
   BOOST_TEST(seeds_with_several > kSeeds * 9 / 10);
 }
 
 /// Guards against records told as stored that an overtaken append lost.
-BOOST_AUTO_TEST_CASE(AnAppendIsNotStoredByOneThatOvertookIt) {
+BOOST_AUTO_TEST_CASE(OvertakenAppendIsNotReportedAsStored) {
   constexpr Millis kSlowFence{150};
   constexpr Millis kLate{400};
   constexpr Millis kFast{10};
@@ -173,7 +173,7 @@
 /// Another writer has taken over while several appends are under way: each of
 /// them is refused, the loss is told once, and whoever waits is told that it is
 /// not known what became of it.
-BOOST_AUTO_TEST_CASE(ATakeOverIsToldOnce) {
+BOOST_AUTO_TEST_CASE(LostJournalOwnershipIsReportedOnce) {
   sim::ManualClock clock;
   sim::ManualExecutor executor(clock);
   StoreFake fake(clock);
--- a/tests/late_word_test.cc
+++ b/tests/leader_partition_test.cc
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE late_word
+#define BOOST_TEST_MODULE leader_partition
 #include <boost/test/unit_test.hpp>
 
 #include "tests/jobsim/job_cell.h"
@@ -7,7 +7,7 @@
 namespace mimosarail::jobsim {
 namespace {
 
-constexpr Millis kSettle{5000};
+constexpr Millis kStartupTime{5000};
 /// A next leader counts on it that the one before gives no order later than
 /// this after the next one's claim.
 constexpr Millis kEarlierLeader{2000};
@@ -15,7 +15,7 @@
 constexpr Millis kPollInterval{10};
 
 /// Runs until another entry leads; false if none does in time.
-bool RunUntilSucceeded(JobCell& cell, const std::string& before) {
+bool RunUntilNewLeader(JobCell& cell, const std::string& before) {
   const TimePoint limit = cell.clock().now() + kTakeOver;
   while (cell.clock().now() < limit) {
     const std::string leader = cell.Leader();
@@ -30,14 +30,14 @@
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Guards against a leader that takes a late answer of the store for a new one.
-BOOST_AUTO_TEST_CASE(ALateAnswerOfTheStoreIsAnOldOne) {
+BOOST_AUTO_TEST_CASE(DelayedStoreReplyDoesNotRenewLeadership) {
   constexpr Millis kAnswerLateBy{1450};
   constexpr int kMoments = 40;  // a period of renewals
   constexpr Millis kStep{5};
   for (int moment = 0; moment < kMoments; ++moment) {
     BOOST_TEST_CONTEXT("cut off after " << moment << " steps") {
       JobCell cell({});
-      cell.RunFor(kSettle + moment * kStep);
+      cell.RunFor(kStartupTime + moment * kStep);
       const std::string old = cell.Leader();
       StoreFaults& store = cell.store().faults();
       store.append_reply_delays[old] = kAnswerLateBy;
@@ -49,7 +49,7 @@
       cell.Submit(old, OneStepJob(1, 1, 1000));
       cell.RunFor(Millis(50));
       store.partitioned_entries.insert(old);
-      BOOST_REQUIRE(RunUntilSucceeded(cell, old));
+      BOOST_REQUIRE(RunUntilNewLeader(cell, old));
       cell.RunFor(kEarlierLeader);
       BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
     }
@@ -57,9 +57,9 @@
 }
 
 /// Guards against a task at two places, as one other entry greets the leader.
-BOOST_AUTO_TEST_CASE(AnEntryAsCutOffAsTheLeaderIsNoWitness) {
+BOOST_AUTO_TEST_CASE(HeartbeatFromPartitionedEntryDoesNotConfirmLeader) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string old = cell.Leader();
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(90000);
@@ -72,7 +72,7 @@
     if (name != old) other = name;
   }
   cell.SetPartition({old, other}, {upstream});
-  BOOST_REQUIRE(RunUntilSucceeded(cell, old));
+  BOOST_REQUIRE(RunUntilNewLeader(cell, old));
   // However long it lasts.
   cell.RunFor(Millis(60000));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
@@ -84,13 +84,13 @@
 }
 
 /// Guards against the same right after a take-over, when few have greeted.
-BOOST_AUTO_TEST_CASE(WhoHasNotGreetedANewLeaderYetIsAnEntryAllTheSame) {
+BOOST_AUTO_TEST_CASE(EntriesWithoutHeartbeatToNewLeaderCountTowardMajority) {
   constexpr Millis kStep{20};
   constexpr int kMoments = 15;  // beyond a period of greetings
   for (int moment = 0; moment < kMoments; ++moment) {
     BOOST_TEST_CONTEXT("cut off after " << moment << " steps") {
       JobCell cell({.entries = 6});
-      cell.RunFor(kSettle);
+      cell.RunFor(kStartupTime);
       const std::string first = cell.Leader();
       const TaskId task{1, 0, 0, 0};
       cell.upstreams().behavior(task).run_time = Millis(90000);
@@ -99,7 +99,7 @@
       const std::string upstream = cell.upstreams().UpstreamRunning(task);
       BOOST_REQUIRE(!upstream.empty());
       cell.Kill(first);
-      BOOST_REQUIRE(RunUntilSucceeded(cell, first));
+      BOOST_REQUIRE(RunUntilNewLeader(cell, first));
       const std::string old = cell.Leader();
       cell.RunFor(moment * kStep);
       BOOST_REQUIRE(cell.Leader() == old);
@@ -108,7 +108,7 @@
         if (name != old && name != first) other = name;
       }
       cell.SetPartition({old, other}, {upstream});
-      BOOST_REQUIRE(RunUntilSucceeded(cell, old));
+      BOOST_REQUIRE(RunUntilNewLeader(cell, old));
       cell.RunFor(Millis(30000));
       BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
       for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
@@ -117,9 +117,9 @@
 }
 
 /// Guards against the same with most entries cut off from the store.
-BOOST_AUTO_TEST_CASE(MostEntriesCutOffFromTheStoreAreNoWitness) {
+BOOST_AUTO_TEST_CASE(MajorityPartitionedFromStoreDoesNotConfirmLeader) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string old = cell.Leader();
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(90000);
@@ -131,15 +131,15 @@
   std::set<std::string> island(names.begin(), names.end());
   island.erase(names.front() == old ? names.back() : names.front());
   cell.SetPartition(island, {upstream});
-  BOOST_REQUIRE(RunUntilSucceeded(cell, old));
+  BOOST_REQUIRE(RunUntilNewLeader(cell, old));
   cell.RunFor(Millis(20000));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
 /// Guards against a denied job that a leader nearer to the store has accepted.
-BOOST_AUTO_TEST_CASE(ALeaderWithoutTheStoreDeniesNoJob) {
+BOOST_AUTO_TEST_CASE(LeaderWithoutStoreDoesNotReportJobAsUnknown) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string old = cell.Leader();
   std::set<std::string> island{old};
   std::string outside;
@@ -152,7 +152,7 @@
     }
   }
   cell.SetPartition(island, {});
-  BOOST_REQUIRE(RunUntilSucceeded(cell, old));
+  BOOST_REQUIRE(RunUntilNewLeader(cell, old));
   cell.RunFor(Millis(4000));
   cell.Submit(outside, OneStepJob(2, 1, 1000));
   cell.RunFor(Millis(4000));
@@ -167,9 +167,9 @@
 }
 
 /// Guards against work lost in an outage, as entries have ended before it.
-BOOST_AUTO_TEST_CASE(EntriesThatStoppedBeforeAnOutageAreNotMissedInIt) {
+BOOST_AUTO_TEST_CASE(EntriesStoppedBeforeStoreOutageDoNotCountTowardMajority) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string leader = cell.Leader();
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(30000);
@@ -192,13 +192,13 @@
 }
 
 /// Guards against deposing a leader before it is told that it leads.
-BOOST_AUTO_TEST_CASE(WhoDoesNotKnowYetThatItLeadsHasNotResigned) {
+BOOST_AUTO_TEST_CASE(LeaderNotYetAwareOfElectionIsNotReplaced) {
   constexpr Millis kLate{850};  // less than a claim is waited for
   int claimed = 0;
   for (int number = 0; number < 6; ++number) {
     BOOST_TEST_CONTEXT("entry " << number << " is answered late") {
       JobCell cell({.entries = 6});
-      cell.RunFor(kSettle);
+      cell.RunFor(kStartupTime);
       const std::string first = cell.Leader();
       const int64_t term = cell.entry(first)->leadership().term();
       const std::string claimer = cell.names()[static_cast<size_t>(number)];
@@ -219,7 +219,7 @@
       if (leader.name != claimer) continue;  // another was faster
       ++claimed;
       cell.store().faults().append_reply_delays.clear();
-      cell.RunFor(kSettle);
+      cell.RunFor(kStartupTime);
       BOOST_TEST(cell.Leader() == claimer);
       BOOST_TEST(cell.entry(claimer)->leadership().term() == term + 1);
     }
@@ -228,9 +228,9 @@
 }
 
 /// Guards against a change of leaders because the store is slow for all.
-BOOST_AUTO_TEST_CASE(ALeaderWhoseRenewalsAreStoredLateIsNotReplaced) {
+BOOST_AUTO_TEST_CASE(LeaderWithDelayedRenewalsIsNotReplaced) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string leader = cell.Leader();
   const int64_t term = cell.entry(leader)->leadership().term();
   constexpr Millis kStep{100};
@@ -246,11 +246,11 @@
 }
 
 /// Guards against the same again and again where it becomes slow at once.
-BOOST_AUTO_TEST_CASE(AStoreThatIsSlowAtOnceCostsOneLeaderAtMost) {
+BOOST_AUTO_TEST_CASE(SuddenStoreLatencyCausesAtMostOneTakeover) {
   for (const Millis late : {Millis(500), Millis(700)}) {
     BOOST_TEST_CONTEXT("appends are answered late by " << late.count()) {
       JobCell cell({});
-      cell.RunFor(kSettle);
+      cell.RunFor(kStartupTime);
       const std::string leader = cell.Leader();
       const int64_t term = cell.entry(leader)->leadership().term();
       for (const std::string& name : cell.names()) {
@@ -264,9 +264,9 @@
 
 /// Guards against an outage of the store that ends what runs, with an entry
 /// dead.
-BOOST_AUTO_TEST_CASE(MostEntriesAreEnoughWhileTheStoreIsAway) {
+BOOST_AUTO_TEST_CASE(MajorityKeepsLeaderDuringStoreOutage) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   const std::string leader = cell.Leader();
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(15000);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -14,7 +14,7 @@
 constexpr Millis kSilence{750};
 
 /// Greetings to other entries, which the test answers when and as it likes.
-class HeldGreetings final : public leadership::JobPeerPort {
+class ManualPeerPort final : public leadership::JobPeerPort {
  public:
   using Done = Callback<wire::HeartbeatReply>;
 
@@ -67,7 +67,7 @@
   StoreFake fake{clock};
   MachineFake machine{clock};
   StoreClientFake store{fake, executor, "self", &machine};
-  HeldGreetings peers;
+  ManualPeerPort peers;
   metrics::Registry metrics;
   faults::MalformedRecordReporter bad_records{metrics};
   leadership::LeadershipOptions options{.member = MemberAt("self"),
@@ -97,7 +97,7 @@
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 /// Guards against deposing a leader by what it said before its claim.
-BOOST_FIXTURE_TEST_CASE(AnAnswerFromBeforeTheClaimIsNoResignation, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ReplyFromBeforeElectionIsNotAResignation, Fixture) {
   Store(Lead(1, "old"));
   self.Start();
   clock.RunFor(Millis(100));
@@ -125,7 +125,7 @@
 }
 
 /// Guards against waiting for a leader that says itself that it has given up.
-BOOST_FIXTURE_TEST_CASE(AResignationIsFollowedByAClaim, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ResignationTriggersElection, Fixture) {
   Store(Lead(1, "next"));
   self.Start();
   clock.RunFor(Millis(500));
@@ -139,7 +139,7 @@
 }
 
 /// Guards against waiting for a leader whose process has started anew.
-BOOST_FIXTURE_TEST_CASE(AnotherProcessInItsPlaceIsFollowedByAClaim, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RestartedLeaderProcessTriggersElection, Fixture) {
   Store(Lead(1, "next"));
   self.Start();
   clock.RunFor(Millis(100));
@@ -165,7 +165,7 @@
 
 /// Guards against trust from greetings and renewals that waited for a frozen
 /// one.
-BOOST_AUTO_TEST_CASE(WhatWaitedGivesNoTrust) {
+BOOST_AUTO_TEST_CASE(MessagesQueuedDuringPauseDoNotConfirmLeader) {
   constexpr int kMoments = 210;  // more than one period of renewals
   for (int moment = 0; moment < kMoments; ++moment) {
     BOOST_TEST_CONTEXT("stands still after " << moment << " ms") {
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -185,7 +185,7 @@
 }
 
 /// Work that can't go on elsewhere is waited for, as long as the time allows.
-BOOST_AUTO_TEST_CASE(WorkDecidesWhoGoesWhen) {
+BOOST_AUTO_TEST_CASE(RunningWorkDecidesHostOrder) {
   WaveView view = ThreeHosts();
   view.hosts[0].work = {.tasks = 1, .drained_in = Millis(5000)};
   view.hosts[1].work = {.tasks = 3, .drained_in = Millis(300)};
@@ -242,7 +242,7 @@
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
-BOOST_AUTO_TEST_CASE(RecordsComeBackAsTheyWere) {
+BOOST_AUTO_TEST_CASE(WaveRecordsRoundTrip) {
   const auto wave = maintenance::DecodeWave(
       Encode(maintenance::WaveRecord{.wave = 12,
                                      .status = WaveStatus::kComplete,
@@ -406,7 +406,7 @@
 
 /// Operators ask for a wave over all hosts while nothing else goes on. Each
 /// host has its upkeep once, and operators read "running", then "complete".
-BOOST_AUTO_TEST_CASE(ACalmWaveIsCarriedOut) {
+BOOST_AUTO_TEST_CASE(WaveCompletesWithoutFaults) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
   cell.hosts().RequestWave(Wave(kWave, kAll, 2));
@@ -509,7 +509,7 @@
 /// A leader has ordered a host, in vain, and dies. The next one gives no order
 /// for 3 s: ordered by two leaders within that time, and by the first again,
 /// the host would have two holders that take turns.
-BOOST_AUTO_TEST_CASE(ANewLeaderLetsTheEarlierOnesOrdersPass) {
+BOOST_AUTO_TEST_CASE(NewLeaderWaitsForEarlierLeadersOrdersToExpire) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
   cell.hosts().RequestWave(Wave(kWave, kAll, 1));
@@ -554,7 +554,7 @@
 
 /// A host of the wave leaves for good and another one crashes and comes back as
 /// another upstream. The wave waits for the second and not for the first.
-BOOST_AUTO_TEST_CASE(AWaveWaitsForTheHostsThatStay) {
+BOOST_AUTO_TEST_CASE(WaveIgnoresRemovedHostsAndWaitsForReplacedOnes) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
   cell.hosts().Leave("host-3");
@@ -596,7 +596,7 @@
 /// It is stopped before the upkeep and starts elsewhere: ended by the upkeep it
 /// would wait for its lease (4 s), and an end in the last moment before it
 /// would be believed here and lost there.
-BOOST_AUTO_TEST_CASE(AHostIsClearedBeforeItGoes) {
+BOOST_AUTO_TEST_CASE(HostIsDrainedBeforeMaintenance) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
   cell.upstreams().behavior({7, 0, 0, 0}).run_time = Millis(30000);
--- a/tests/foreign_entries_test.cc
+++ b/tests/malformed_records_test.cc
@@ -1,7 +1,7 @@
 // Whole entry instances that read what another writer has left in the store or
 // says as a peer.
 
-#define BOOST_TEST_MODULE foreign_entries
+#define BOOST_TEST_MODULE malformed_records
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 
@@ -18,7 +18,7 @@
 const std::string kNoise = "\xff\xfe\x01";
 
 /// What the leader has counted of entries that it can't use.
-bool Told(JobCell& cell, const std::string& of, int times) {
+bool CountedBadEntries(JobCell& cell, const std::string& of, int times) {
   const std::string line =
       "bad_entries{of=\"" + of + "\"} " + std::to_string(times) + "\n";
   return cell.Metrics(cell.Leader()).find(line) != std::string::npos;
@@ -54,7 +54,7 @@
 /// again, while jobs run. The jobs go on; nobody calls what the entries name;
 /// each is told once, though the list is read four times a second and the
 /// entries come anew.
-BOOST_AUTO_TEST_CASE(BadEntriesDoNotHinderTheOthers) {
+BOOST_AUTO_TEST_CASE(MalformedListEntriesDoNotAffectOthers) {
   JobCell cell({});
   cell.store().Put(kUpstreamTable, "up-bad", kNoise);
   cell.store().Put(kUpstreamTable, kNoise, kNoise);
@@ -68,17 +68,17 @@
     BOOST_TEST(cell.RunUntilFinal(id, Millis(10000)));
   }
   BOOST_TEST(!cell.upstreams().WasCalled("up-bad"));
-  BOOST_TEST(Told(cell, "upstream list", 2));
+  BOOST_TEST(CountedBadEntries(cell, "upstream list", 2));
   cell.store().DropHistory();
   cell.RunFor(Millis(1000));
-  BOOST_TEST(Told(cell, "upstream list", 2));
+  BOOST_TEST(CountedBadEntries(cell, "upstream list", 2));
   BOOST_TEST(cell.Violations().empty());
 }
 
 /// The entry of an upstream that runs a task turns bad. Its task is neither
 /// lost nor run a second time; nothing new starts there until a later entry can
 /// be read, and then it is used again.
-BOOST_AUTO_TEST_CASE(AKnownUpstreamWhoseEntryTurnsBadKeepsItsTasks) {
+BOOST_AUTO_TEST_CASE(UpstreamKeepsTasksWhenItsListEntryBecomesMalformed) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(9000);
@@ -104,7 +104,7 @@
 
 /// The same while the leader is lost: the next one holds the upstream by the
 /// address in the roster and finds the task there; a cancel reaches it.
-BOOST_AUTO_TEST_CASE(ANewLeaderHoldsAnUpstreamWhoseEntryIsBad) {
+BOOST_AUTO_TEST_CASE(NewLeaderFindsUpstreamWithMalformedListEntry) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
@@ -129,7 +129,7 @@
 /// An entry of a service that nothing names stands among the others. A call to
 /// it would be one to a stranger, and a new leader would wait 6 s for its
 /// inventory. It is used once a job or the configuration names its pool.
-BOOST_AUTO_TEST_CASE(AnUpstreamOfAPoolThatNothingNamesIsNotCalled) {
+BOOST_AUTO_TEST_CASE(UpstreamOfUnreferencedPoolIsNotCalled) {
   JobCell cell({.upstreams = 2});
   wire::UpstreamRecord stranger = cell.ListEntry(7);
   stranger.pool = "strange";
@@ -137,7 +137,7 @@
   cell.store().Put(kUpstreamTable, stranger.id, rpc::Encode(stranger));
   cell.RunFor(Millis(3000));
   BOOST_TEST(!cell.upstreams().WasCalled(stranger.id));
-  BOOST_TEST(Told(cell, "upstream list", 1));
+  BOOST_TEST(CountedBadEntries(cell, "upstream list", 1));
   wire::JobSpec job = OneStepJob(1, 1, 1000);
   job.queue.pool = "strange";
   cell.Submit("entry-1", job);
@@ -149,7 +149,7 @@
 /// A configuration that nobody can read follows one that is in force, and comes
 /// in the same read as a good one. What was good is in force, and a later good
 /// one is taken.
-BOOST_AUTO_TEST_CASE(ABadConfigurationLeavesTheOneInForce) {
+BOOST_AUTO_TEST_CASE(MalformedConfigurationKeepsCurrentOne) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   BOOST_TEST(ConfigVersion(cell) == 1);
@@ -158,7 +158,7 @@
     cell.RunFor(Millis(500));
   }
   BOOST_TEST(ConfigVersion(cell) == 1);
-  BOOST_TEST(Told(cell, "configuration", 1));
+  BOOST_TEST(CountedBadEntries(cell, "configuration", 1));
   cell.store().Put(kConfigTable, "config", "2");
   cell.store().Put(kConfigTable, "config", kNoise);
   cell.RunFor(Millis(500));
@@ -171,7 +171,7 @@
 
 /// Something overwrites the leader's record while it leads. It goes on in its
 /// term and writes its record anew.
-BOOST_AUTO_TEST_CASE(ALeaderOutlivesABadRecord) {
+BOOST_AUTO_TEST_CASE(LeaderRewritesItsOverwrittenRecord) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
@@ -181,14 +181,14 @@
   BOOST_TEST(cell.Leader() == leader);
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
   BOOST_TEST(cell.store().Records(kLeaderTable).at(kLeaderKey) != kNoise);
-  BOOST_TEST(Told(cell, "leaders", 1));
+  BOOST_TEST(CountedBadEntries(cell, "leaders", 1));
 }
 
 /// All entries lose power, and the leader's record can't be read when they are
 /// back, or names what no leader can be. One that started from the first term
 /// again was fenced once for each earlier term, or never claimed at all. The
 /// next leader is above all earlier ones at once, and the job goes on.
-BOOST_AUTO_TEST_CASE(ABadLeaderRecordIsSucceeded) {
+BOOST_AUTO_TEST_CASE(ElectionSucceedsDespiteMalformedLeaderRecord) {
   const auto record = [](int64_t term, const std::string& address) {
     wire::AnnounceCall out;
     out.term = term;
@@ -276,7 +276,7 @@
       BOOST_TEST(!cell.cancelled(bad_id));
       BOOST_TEST(!cell.State(bad_id).has_value());
       BOOST_TEST(cell.store().Records(kJobTable).at(key) == row.value);
-      BOOST_TEST(Told(cell, "jobs", 1));
+      BOOST_TEST(CountedBadEntries(cell, "jobs", 1));
       BOOST_TEST(cell.Violations().empty());
     }
   }
@@ -286,7 +286,7 @@
 /// upstream forgets the end once it is told of; a version that reads the record
 /// again must know of it, or it runs the task a second time. What still runs is
 /// stopped, since nobody knows the room that it takes.
-BOOST_AUTO_TEST_CASE(EndsOfAJobWhoseRecordIsBadAreKept) {
+BOOST_AUTO_TEST_CASE(TaskEndsOfJobWithMalformedRecordAreKept) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const TaskId ends{1, 0, 0, 0};
@@ -336,7 +336,7 @@
   BOOST_TEST(cell.RunUntilFinal(1, Millis(9000)));
   BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
   BOOST_TEST(cell.store().Records(kJobTable).at(key) == kNoise);
-  BOOST_TEST(Told(cell, "jobs", 2));
+  BOOST_TEST(CountedBadEntries(cell, "jobs", 2));
   BOOST_TEST(cell.Violations().empty());
 }
 
@@ -344,7 +344,7 @@
 /// upstream is cut off and its entry has lapsed. A new leader that counted on
 /// the rest of the roster would start the task a second time while its lease
 /// still runs there.
-BOOST_AUTO_TEST_CASE(ABadRosterRecordIsWaitedFor) {
+BOOST_AUTO_TEST_CASE(NewLeaderWaitsOutLeasesOnMalformedRosterRecord) {
   JobCell cell({.upstreams = 2});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
@@ -366,7 +366,7 @@
 
 /// A peer names terms that nobody can have, hands in jobs that no entry takes,
 /// and answers with verdicts and states that nobody knows.
-BOOST_AUTO_TEST_CASE(OddPeersMoveNobody) {
+BOOST_AUTO_TEST_CASE(InvalidPeerMessagesAreIgnored) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
--- a/tests/member_list_test.cc
+++ b/tests/member_list_test.cc
@@ -46,7 +46,7 @@
 }
 
 /// An entry that comes back, perhaps at another address, is known again.
-BOOST_AUTO_TEST_CASE(WhoComesBackIsKnownAgain) {
+BOOST_AUTO_TEST_CASE(ReturningMemberIsListedAgain) {
   MemberChanges changes;
   KnownMembers known;
   changes.Join(Named(1));
@@ -64,7 +64,7 @@
 
 /// The next leader numbers its changes from the beginning. Until it has heard
 /// of everybody, those of the one before are still worth asking.
-BOOST_AUTO_TEST_CASE(ANewLeaderTellsAnew) {
+BOOST_AUTO_TEST_CASE(NewLeaderRestartsMemberNumbering) {
   MemberChanges first;
   KnownMembers known;
   for (int i = 0; i < 5; ++i) first.Join(Named(i));
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -186,7 +186,7 @@
   BOOST_TEST((order == std::vector<uint64_t>{3, 1, 2}));
 }
 
-BOOST_AUTO_TEST_CASE(blocked_shapes_are_asked_once) {
+BOOST_AUTO_TEST_CASE(identical_blocked_requests_are_tried_once_per_pass) {
   WaitQueue queue;
   const TimePoint now = TimePoint() + std::chrono::hours(1);
   for (uint64_t id = 1; id <= 1000; ++id) {
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -154,7 +154,7 @@
   BOOST_TEST(DecodeAppend(200, R"({"endOffset":842})").end_offset == 842);
 }
 
-BOOST_AUTO_TEST_CASE(RecordsGoThereAndBack) {
+BOOST_AUTO_TEST_CASE(RecordsRoundTrip) {
   const std::vector<ports::KeyedRecord> records{{"k", "value"}, {"gone", ""}};
   const std::string body = std::string(7, '\0') + "\x05" +
                            std::string(7, '\0') + "\x03" +
@@ -332,7 +332,7 @@
 }
 
 /// A parser must give the same messages however the bytes are cut.
-BOOST_AUTO_TEST_CASE(RequestsParseFromAnyCut) {
+BOOST_AUTO_TEST_CASE(RequestsParseFromAnySplit) {
   const std::string bytes =
       "POST /q/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}"
       "GET /q/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
--- a/tests/schedule_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -1,7 +1,7 @@
 // Seeded schedules of faults over whole entry instances, under a manual clock.
 // MIMOSARAIL_SEED runs one seed; MIMOSARAIL_SEEDS sets how many are run.
 
-#define BOOST_TEST_MODULE schedule
+#define BOOST_TEST_MODULE request_fault_injection
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 #include <random>
@@ -285,7 +285,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(promises_hold_under_seeded_fault_schedules) {
+BOOST_AUTO_TEST_CASE(invariants_hold_under_seeded_fault_schedules) {
   const int64_t one = FromEnvironment("MIMOSARAIL_SEED", -1);
   if (one >= 0) return RunSeed(static_cast<uint64_t>(one));
   const int64_t count = FromEnvironment("MIMOSARAIL_SEEDS", 200);
--- a/tests/rpc_server_test.cc
+++ b/tests/rpc_server_test.cc
@@ -76,7 +76,7 @@
 /// is started anew. For a moment it had no descriptor left, as in a burst of
 /// callers, so that accepting a connection failed; its server took that for the
 /// end of the listener and never accepted again.
-BOOST_AUTO_TEST_CASE(AFailedAcceptIsNotTheLast) {
+BOOST_AUTO_TEST_CASE(ServerKeepsAcceptingAfterFailedAccept) {
   Pair pair;
   asio::io_context callers;
   tcp::socket caller(callers);
--- a/tests/scheduling_load_test.cc
+++ b/tests/scheduling_load_test.cc
@@ -38,7 +38,7 @@
   bool ticks = false;
 };
 
-struct Waits {
+struct WaitTimes {
   std::vector<int64_t> millis;
   int64_t Percentile(int percent) {
     std::sort(millis.begin(), millis.end());
@@ -51,9 +51,10 @@
 /// call at a time for each lane, upstreams that run tasks for as long as they
 /// really take (half to one and a half times their estimate; the members of a
 /// gang end together, each with its own pace) and report progress.
-class Player {
+class LoadSimulator {
  public:
-  Player(Load load, uint64_t seed) : load_(std::move(load)), random_(seed) {
+  LoadSimulator(Load load, uint64_t seed)
+      : load_(std::move(load)), random_(seed) {
     for (int i = 0; i < load_.upstreams; ++i) {
       ports::UpstreamEntry entry;
       entry.id = "up-" + std::to_string(i);
@@ -80,7 +81,7 @@
     }
   }
 
-  Waits& waits(const std::string& queue) { return waits_[queue]; }
+  WaitTimes& waits(const std::string& queue) { return waits_[queue]; }
   int64_t calls(const std::string& queue) { return calls_[queue]; }
   int64_t steps(const std::string& queue) { return arrived_[queue]; }
 
@@ -255,7 +256,7 @@
   std::vector<Call> under_way_;
   std::map<JobId, TimePoint> came_;
   std::map<JobId, const Kind*> kind_;
-  std::map<std::string, Waits> waits_;
+  std::map<std::string, WaitTimes> waits_;
   std::map<std::string, int64_t> calls_;
   std::map<std::string, int64_t> arrived_;
 };
@@ -280,7 +281,7 @@
 /// at all), pushes 40 ms; now 8.6 s for 2.1 calls, 0.35 s (229 of 236) and
 /// 20 ms. Each bound lies between the two.
 BOOST_AUTO_TEST_CASE(ScarceAdviceLeavesNoCoresIdle) {
-  Player player(HeavyLoad(), 7);
+  LoadSimulator player(HeavyLoad(), 7);
   player.Play(Millis(60000));
   for (const char* queue : {"push", "render", "report"}) {
     BOOST_TEST_MESSAGE(queue
@@ -311,9 +312,9 @@
     Load load = HeavyLoad();
     load.ticks = true;
     for (Kind& kind : load.kinds) kind.per_second *= 1.3;
-    Player player(load, seed);
+    LoadSimulator player(load, seed);
     player.Play(Millis(60000));
-    Waits& waits = player.waits("render");
+    WaitTimes& waits = player.waits("render");
     // Half of the objective of twice the estimate is left for waiting.
     in_time += static_cast<size_t>(
         std::count_if(waits.millis.begin(), waits.millis.end(),
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -166,7 +166,7 @@
 
 /// An upstream answers again under its id after its leases had run out: it was
 /// cut off, and its end much later counts for what it runs then.
-BOOST_AUTO_TEST_CASE(WhatAnUpstreamHadBeforeItsCutIsNotLostInItsCrash) {
+BOOST_AUTO_TEST_CASE(RunsFromBeforeAPartitionAreNotCountedAsCrashed) {
   Bench b(2);
   b.s.Add(Spec(1, 1, 1000), b.now, 0);
   const Orders first = b.Place();
@@ -221,7 +221,7 @@
 
 /// A worker that fails all it starts looks idle. After two failures in a row it
 /// rests, and the second tries go to upstreams that have not failed.
-BOOST_AUTO_TEST_CASE(AFailingUpstreamDrawsNoMoreWork) {
+BOOST_AUTO_TEST_CASE(FailingUpstreamIsBackedOff) {
   Bench b(3);
   std::map<UpstreamIndex, int> tries;
   for (JobId id = 1; id <= 40; ++id) {
@@ -258,7 +258,7 @@
 
 /// A retry whose only allowed upstream is the one that failed it must still
 /// run some day: it goes back there when nothing else is left to ask about.
-BOOST_AUTO_TEST_CASE(ARetryWithNoOtherPlaceGoesBack) {
+BOOST_AUTO_TEST_CASE(RetryReusesFailedUpstreamWhenNoOtherIsAllowed) {
   Bench b(2);
   wire::JobSpec spec = Spec(1, 1, 1000);
   spec.queue.advised = true;
@@ -357,7 +357,7 @@
 /// asked for again only when it had run out, so that at any moment one was on
 /// its way, and a render waited for 20 s beside twice the room that it needs.
 /// Once all four are there, it starts within two calls.
-BOOST_AUTO_TEST_CASE(TicketsThatCameOneByOneAreBroughtTogether) {
+BOOST_AUTO_TEST_CASE(TicketsOfAGangAreRenewedTogether) {
   constexpr Millis kValid{1500};
   constexpr Millis kCall{800};
   constexpr Millis kApart{575};
@@ -406,7 +406,7 @@
 
 /// Not every member of a gang could be started: the others are told to stop,
 /// and the gang starts anew only when all are gone, with a higher attempt.
-BOOST_AUTO_TEST_CASE(AHalfStartedGangIsTakenBack) {
+BOOST_AUTO_TEST_CASE(PartiallyStartedGangIsStoppedAndRestarted) {
   Bench b(2);
   wire::JobSpec spec = Spec(1, 2, 10000);
   spec.steps[0].gang = true;
@@ -428,7 +428,7 @@
 
 /// A task on an upstream that stands still holds room for ever: its percent
 /// does not move. It is stopped and runs elsewhere, without losing an attempt.
-BOOST_AUTO_TEST_CASE(ATaskThatStandsStillIsMoved) {
+BOOST_AUTO_TEST_CASE(StalledTaskIsMoved) {
   Bench b(2);
   b.s.Add(Spec(1, 1, 1000), b.now, 0);
   const StartOrder start = b.Place().starts.at(0);
@@ -539,7 +539,7 @@
 /// A user's render is broken off seconds from its end and starts anew, again
 /// and again. Members of a gang end together, so a fast one stands at 100 % for
 /// as long as the slowest needs; it was taken to stand still.
-BOOST_AUTO_TEST_CASE(AFastMemberWaitsForTheSlowest) {
+BOOST_AUTO_TEST_CASE(FinishedGangMemberIsNotTakenForStalled) {
   Bench b(2);
   wire::JobSpec spec = Spec(1, 2, 10000);
   spec.steps[0].gang = true;
@@ -626,7 +626,7 @@
 /// A gang waits for two upstreams to come free, and pushes keep taking what is
 /// free there already, though another upstream has room for them. Urgent work
 /// goes first, but elsewhere where it can.
-BOOST_AUTO_TEST_CASE(UrgentWorkSparesRoomThatAGangWaitsFor) {
+BOOST_AUTO_TEST_CASE(UrgentWorkAvoidsRoomReservedForGang) {
   Bench b(3);
   for (const UpstreamIndex up : {0U, 1U}) {
     b.s.pool().at(up).entry.labels = {"a"};
@@ -724,7 +724,7 @@
 }
 
 /// Labels, the bound per upstream and draining upstreams are kept to.
-BOOST_AUTO_TEST_CASE(PlacesThatAreRuledOutAreNotUsed) {
+BOOST_AUTO_TEST_CASE(PlacementConstraintsAreRespected) {
   Bench b(3);
   b.s.pool().at(0).entry.labels = {"a", "r0"};
   b.s.pool().at(1).entry.labels = {"a", "r0"};
@@ -790,7 +790,7 @@
 
 /// One call is enough nine times in ten: with seven upstreams of ten allowed,
 /// three places need seven named, and certain ones no more than they are.
-BOOST_AUTO_TEST_CASE(CallsAreSizedForNineInTen) {
+BOOST_AUTO_TEST_CASE(AdviceCallsSucceedNineTimesInTen) {
   const std::vector<AskOption> likely(40, {.fit = 1, .rate = 0.7});
   BOOST_TEST(AskCount(likely, 3, 100) == 7);
   const std::vector<AskOption> certain(40, {.fit = 1, .rate = 1});
@@ -863,7 +863,7 @@
 }
 
 /// An entry whose call failed is spared for a while, then used again.
-BOOST_AUTO_TEST_CASE(AFailedLaneRests) {
+BOOST_AUTO_TEST_CASE(FailedAdviceLaneIsBackedOff) {
   coordinator::AdviceLanes lanes;
   TimePoint now = TimePoint() + std::chrono::hours(1);
   lanes.SetEntries({"a"}, now);
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -156,7 +156,7 @@
 /// failure domain was stopped machine by machine, so that the balancer went on
 /// sending to all of it. The process took requests until its time was up, never
 /// had a moment without an open one, and ended with those of the last moments.
-BOOST_AUTO_TEST_CASE(NothingTakenIsLeftAtTheEnd) {
+BOOST_AUTO_TEST_CASE(StoppingServerAnswersAllAcceptedRequests) {
   for (const Millis answer : {Millis(5), Millis(60), Millis(550)}) {
     BOOST_TEST_CONTEXT("answers take " << answer.count() << " ms") {
       const Outcome outcome = Stop({}, answer);
@@ -170,7 +170,7 @@
 }
 
 /// A process whose last calls hang ends all the same before it is killed.
-BOOST_AUTO_TEST_CASE(TheEndDoesNotWaitForEver) {
+BOOST_AUTO_TEST_CASE(ShutdownIsBoundedInTime) {
   const Outcome outcome = Stop({}, Millis(60000));
   BOOST_TEST(outcome.ended.count() == ShutdownOptions().limit.count());
 }
@@ -178,7 +178,7 @@
 /// A caller connects to an entry that is about to end, sends a whole request,
 /// and sees the connection close without an answer: the listener took
 /// connections until the process was gone, also when nobody was left to answer.
-BOOST_AUTO_TEST_CASE(AfterItsIntakeAServerRefuses) {
+BOOST_AUTO_TEST_CASE(ServerRefusesConnectionsAfterIntakeEnds) {
   HeldServer held;
   held.server().BeginShutdown();
   held.server().StopAccepting();
@@ -189,7 +189,7 @@
 /// What was taken is answered whole, what has begun to come is taken, and a
 /// connection without a request is closed instead of waiting for one that
 /// nobody would answer.
-BOOST_AUTO_TEST_CASE(WhatWasTakenIsAnswered) {
+BOOST_AUTO_TEST_CASE(AcceptedRequestsAreAnsweredOnShutdown) {
   HeldServer held;
   std::error_code error;
   tcp::socket idle = held.Connect(error);
@@ -221,7 +221,7 @@
 /// sees the connection end after that one. The entry was stopped in between: it
 /// ended the connection with the first answer, read the second request, which
 /// had stood in the kernel's buffer, and threw it away.
-BOOST_AUTO_TEST_CASE(WhatStandsInTheBufferIsAnswered) {
+BOOST_AUTO_TEST_CASE(BufferedRequestIsAnsweredOnShutdown) {
   HeldServer held;
   std::error_code error;
   tcp::socket caller = held.Connect(error);
@@ -243,7 +243,7 @@
 /// answer. The entry was stopping and stood still for a moment. When it went
 /// on, the request was there and the time for it was over: it read the request
 /// and handed it on, and then closed the connection for want of one.
-BOOST_AUTO_TEST_CASE(WhatComesWithTheTimeoutIsAnswered) {
+BOOST_AUTO_TEST_CASE(RequestArrivingAtTimeoutIsAnswered) {
   HeldServer held;
   std::error_code error;
   tcp::socket caller = held.Connect(error);
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -15,7 +15,7 @@
 /// A request that comes this long before its connection ends may be unread.
 constexpr Millis kLossSlack{200};
 /// What an entry does is judged when no signal but SIGTERM came for this long.
-constexpr Millis kCalm{3000};
+constexpr Millis kRecoveryTime{3000};
 
 constexpr Millis kShortestThought{5};
 constexpr Millis kLongestThought{60};
@@ -79,7 +79,7 @@
     const std::error_code code = response.error().code;
     out.unsent = code == Errc::kUnavailable;
     // A signal may end it, and so may an entry that has not read the request.
-    const bool excused = entry.last_fault_at() > sent - kCalm ||
+    const bool excused = entry.last_fault_at() > sent - kRecoveryTime ||
                          Clock::now() - sent <= kLossSlack;
     const bool broken = code == Errc::kDisconnected && !excused;
     if (code == Errc::kMalformed || broken) {
@@ -208,8 +208,8 @@
   const std::string text = checker_.Describe(call.job) + ", denied by " +
                            entry.name() + " to a " + call.method;
   const TimePoint now = Clock::now();
-  const bool excused =
-      now - job.accepted_at < kVisible || now - entry.last_fault_at() < kCalm;
+  const bool excused = now - job.accepted_at < kVisible ||
+                       now - entry.last_fault_at() < kRecoveryTime;
   if (excused) return checker_.Log("excused: " + text);
   checker_.AddFinding(text);
 }
--- a/tests/takeover_load_test.cc
+++ b/tests/takeover_load_test.cc
@@ -111,7 +111,7 @@
 /// the day: the calls repeated at a leader that was still loading took half of
 /// its link, its renewals came too late, and the next one loaded everything
 /// again. It must serve within four times what loading takes alone, and 3 s.
-BOOST_DATA_TEST_CASE(AFleetServesAgainHoweverThinItsLinks,
+BOOST_DATA_TEST_CASE(NewLeaderServesInTimeOnSlowLinks,
                      boost::unit_test::data::make(kFleets), fleet) {
   JobCell cell({.entries = kEntries,
                 .upstreams = 6,
@@ -139,7 +139,7 @@
 /// a machine whose link carries 2.5 MB, and callers waited behind them: each
 /// answer listed all entries, so that all of them together grew with the square
 /// of the fleet. What one follower is sent must not grow with the others.
-BOOST_AUTO_TEST_CASE(WhatAFollowerIsSentDoesNotGrowWithTheFleet) {
+BOOST_AUTO_TEST_CASE(HeartbeatReplySizeIsIndependentOfFleetSize) {
   const auto sent_to_each = [](int entries) {
     JobCell cell({.entries = entries, .upstreams = 2});
     cell.RunFor(Millis(15000));
--- a/tests/upstream_link_test.cc
+++ b/tests/upstream_link_test.cc
@@ -102,7 +102,7 @@
 }  // namespace
 
 /// Guards against room held for good by an older answer that comes last.
-BOOST_FIXTURE_TEST_CASE(TheClockTellsWhichAnswerIsOlder, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OlderRenewReplyIsIgnored, Fixture) {
   link->Open();
   Answer(0, 1000, {}, {});
   const ports::RunningTask run{.task = TaskOf(1), .attempt = 1};
@@ -128,7 +128,7 @@
 }
 
 /// Guards against a second run of a task that ended beyond the listed ends.
-BOOST_FIXTURE_TEST_CASE(APartOfTheEndsIsNoInventory, Fixture) {
+BOOST_FIXTURE_TEST_CASE(PartialEndListIsNotAnInventory, Fixture) {
   link->Open();
   Answer(0, 1000, {}, DoneEnds(1, kEndsAnAnswer), true);
   BOOST_TEST(told.ended.size() == static_cast<size_t>(kEndsAnAnswer));
@@ -145,7 +145,7 @@
 }
 
 /// Guards against a second start of a task that ended beyond them.
-BOOST_FIXTURE_TEST_CASE(AStartBeyondTheListedEndsStaysInDoubt, Fixture) {
+BOOST_FIXTURE_TEST_CASE(StartIsUnresolvedWhenEndListIsTruncated, Fixture) {
   link->Open();
   Answer(0, 1000, {}, {});
   link->Start(
--- a/tests/closed_upstreams_test.cc
+++ b/tests/upstream_takeover_test.cc
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE closed_upstreams
+#define BOOST_TEST_MODULE upstream_takeover
 #include <boost/test/unit_test.hpp>
 
 #include "src/libs/rpc/codec.h"
@@ -8,7 +8,7 @@
 namespace mimosarail::jobsim {
 namespace {
 
-constexpr Millis kSettle{2000};
+constexpr Millis kStartupTime{2000};
 /// By then the leader has noticed that an upstream does not answer.
 constexpr Millis kNoticed{2500};
 /// A take-over after a kill, with the time in which a job starts.
@@ -35,9 +35,9 @@
 /// half of a job's tasks still wait for room. The next leader can't know what
 /// the lost upstream runs and has to wait for its leases, 6 s; but none of
 /// these tasks can be there, and their caller waits.
-BOOST_AUTO_TEST_CASE(ALostUpstreamDoesNotHoldUpJobsThatCannotBeThere) {
+BOOST_AUTO_TEST_CASE(LostUpstreamDoesNotDelayUnstartedTasks) {
   JobCell cell({});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
@@ -67,9 +67,9 @@
 
 /// An upstream was told to drain and is taken back into service. It is closed
 /// in the store meanwhile; work must go there again.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatNoLongerDrainsTakesWork) {
+BOOST_AUTO_TEST_CASE(UpstreamTakesWorkAfterDrainIsCancelled) {
   JobCell cell({.upstreams = 1});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   wire::UpstreamRecord entry = cell.ListEntry(0);
   const std::string domain = entry.failure_domain;
   entry.failure_domain = "draining";
@@ -88,9 +88,9 @@
 /// the leader dies and the upstream is cut off. Were it still marked as closed
 /// in the store, the next leader would start the job's task a second time while
 /// the first run goes on.
-BOOST_AUTO_TEST_CASE(AReopenedUpstreamCountsAgain) {
+BOOST_AUTO_TEST_CASE(RecoveredUpstreamIsAwaitedByNextLeader) {
   JobCell cell({.upstreams = 1});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   cell.upstreams().faults("up-0").unreachable = true;
   cell.RunFor(kNoticed);
   cell.upstreams().faults("up-0").unreachable = false;
@@ -111,9 +111,9 @@
 
 /// The store is away when an upstream comes back. New work must wait until the
 /// store has taken the reopening, or a later leader would trust the old record.
-BOOST_AUTO_TEST_CASE(NothingStartsBeforeTheReopeningIsStored) {
+BOOST_AUTO_TEST_CASE(NoTaskStartsBeforeUpstreamRecoveryIsStored) {
   JobCell cell({.upstreams = 1});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   cell.upstreams().faults("up-0").unreachable = true;
   cell.RunFor(kNoticed);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
@@ -133,11 +133,11 @@
 /// All upstreams shrink to a quarter, and the leader dies. What they could take
 /// when they were first seen lies in the store; the next leader must not fill
 /// them by that.
-BOOST_AUTO_TEST_CASE(ANewLeaderFillsUpstreamsByWhatTheyCanTakeNow) {
+BOOST_AUTO_TEST_CASE(NewLeaderUsesCurrentUpstreamCapacity) {
   constexpr int kUpstreams = 4;
   constexpr int32_t kShrunk = 2000;
   JobCell cell({.upstreams = kUpstreams});
-  cell.RunFor(kSettle);
+  cell.RunFor(kStartupTime);
   for (int i = 0; i < kUpstreams; ++i) {
     wire::UpstreamRecord entry = cell.ListEntry(i);
     entry.millicores = kShrunk;
