--- a/src/leadership/election_timeout.h
+++ b/src/leadership/election_timeout.h
@@ -8,31 +8,31 @@
 
 namespace mimosarail::leadership {
 
-/// How long a leader that seems to be gone is waited for, by its record in the
-/// store (absent where it can't be read).
+/// How long to wait for a leader that seems to have ended, given its record in
+/// the store (absent if the record is unreadable).
 ///
-/// The load that this answers: each take-over makes the next leader load all
-/// jobs again, over the link on which it also renews its record. Where loading
-/// holds a renewal up for longer than `usual`, a fixed patience replaces every
-/// leader before it serves, for ever. So it doubles with each term in a row
-/// that ended before its leader had settled, and is the usual one again behind
-/// a leader that had. The terms that are lost take as long together as the one
-/// that holds, whatever the table, the link and the processor.
+/// Each failover makes the next leader load all jobs again, over the link on
+/// which it also renews its record. If loading delays a renewal for longer than
+/// `usual`, a fixed timeout replaces every leader before it serves, without
+/// end. The timeout therefore doubles with each consecutive term that ended
+/// before its leader was stable, and returns to `usual` after a stable leader.
+/// The unsuccessful terms together take as long as the one that lasts, whatever
+/// the table, the link and the processor.
 ///
 /// Safe from any thread.
 Millis ElectionTimeout(Millis usual,
                        const std::optional<wire::AnnounceCall>& record);
 
-/// Terms in a row that had ended unsettled when the leader of this record began
-/// its own; 0 if it has settled since.
+/// Number of consecutive unstable terms right before the term of this record;
+/// 0 if its leader has become stable.
 int32_t UnstableTerms(const std::optional<wire::AnnounceCall>& record);
 
-/// The same once that leader has been replaced for its silence.
+/// The same after that leader has been replaced as unresponsive.
 int32_t UnstableTermsAfter(const std::optional<wire::AnnounceCall>& record);
 
-/// Most doublings: 16 times 450 ms is longer than 5,000 jobs take over a link
-/// of 2 Mbit/s (4.5 s), and short against a day without service should the
-/// fleet's fifth leader in a row die as well.
+/// Maximum number of doublings. 16 times 450 ms is longer than loading 5,000
+/// jobs takes over a link of 2 Mbit/s (4.5 s), and still a short outage if a
+/// fifth leader in a row dies as well.
 inline constexpr int32_t kMaxTimeoutDoublings = 4;
 
 }  // namespace mimosarail::leadership
--- a/src/leadership/job_peer_port.h
+++ b/src/leadership/job_peer_port.h
@@ -8,8 +8,8 @@
 
 namespace mimosarail::leadership {
 
-/// Calls from one entry to another. Callbacks run on the control thread, once.
-/// Control thread only.
+/// Calls from one entry to another. Each callback runs exactly once, on the
+/// control thread. Control thread only.
 class JobPeerPort {
  public:
   virtual ~JobPeerPort() = default;
--- a/src/leadership/job_peers.h
+++ b/src/leadership/job_peers.h
@@ -5,8 +5,8 @@
 
 namespace mimosarail::leadership {
 
-/// JobPeerPort over framed calls. Control thread only; everything given
-/// outlives it.
+/// JobPeerPort over framed calls. Control thread only; the client and the
+/// executor outlive it.
 class JobPeers final : public JobPeerPort {
  public:
   JobPeers(rpc::Client& client, Executor& executor)
--- a/src/leadership/leader_timeout_votes.cc
+++ b/src/leadership/leader_timeout_votes.cc
@@ -3,14 +3,14 @@
 namespace mimosarail::leadership {
 
 bool LeaderTimeoutVotes::HasMajority(TimePoint now) const {
-  size_t heard = 0;
-  size_t waiting = 0;
+  size_t recent = 0;
+  size_t unresponsive = 0;
   for (const auto& [follower, vote] : votes_) {
-    if (now - vote.told > kAge) continue;
-    ++heard;
-    if (vote.waits) ++waiting;
+    if (now - vote.received > kVoteLifetime) continue;
+    ++recent;
+    if (vote.leader_unresponsive) ++unresponsive;
   }
-  return heard >= kFewest && 2 * waiting > heard;
+  return recent >= kMinVotes && 2 * unresponsive > recent;
 }
 
 }  // namespace mimosarail::leadership
--- a/src/leadership/leader_timeout_votes.h
+++ b/src/leadership/leader_timeout_votes.h
@@ -8,27 +8,30 @@
 
 namespace mimosarail::leadership {
 
-/// What other followers said of late: whether they wait for the leader's
-/// answers. Not thread-safe.
+/// Recent reports of other followers on whether the leader leaves their
+/// heartbeats unanswered. Not thread-safe.
 class LeaderTimeoutVotes {
  public:
-  void Note(const std::string& follower, TimePoint now, bool waits) {
-    votes_[follower] = {now, waits};
+  void Note(const std::string& follower, TimePoint now,
+            bool leader_unresponsive) {
+    votes_[follower] = {now, leader_unresponsive};
   }
-  /// Precondition: another leader, so that all said before is of no use.
+  /// Drops all votes. Precondition: the leader has changed, so that earlier
+  /// votes do not apply.
   void Clear() { votes_.clear(); }
-  /// Whether more than half of those heard lately wait, and enough were heard.
+  /// Whether more than half of the recent votes call the leader unresponsive,
+  /// and there are at least kMinVotes of them.
   bool HasMajority(TimePoint now) const;
 
-  /// What was said counts for this long: the others are asked every 250 ms.
-  static constexpr Millis kAge{700};
-  /// Fewer say nothing: the one that asks may be slow itself.
-  static constexpr size_t kFewest = 2;
+  /// How long a vote counts. Followers are asked every 250 ms.
+  static constexpr Millis kVoteLifetime{700};
+  /// Fewer votes prove nothing: the entry that asks may be slow itself.
+  static constexpr size_t kMinVotes = 2;
 
  private:
   struct Vote {
-    TimePoint told;
-    bool waits = false;
+    TimePoint received;
+    bool leader_unresponsive = false;
   };
   std::map<std::string, Vote> votes_;
 };
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -11,26 +11,27 @@
 namespace mimosarail::leadership {
 namespace {
 
-/// A follower that has not greeted for this long is not counted on.
+/// A follower whose last heartbeat is older than this is regarded as lost.
 constexpr Millis kFollowerTimeout{1000};
-/// Refused connections in a row after which a leader is suspected.
-constexpr int kRefusals = 2;
+/// Number of consecutive refused connections after which a leader is suspected.
+constexpr int kMaxRefusedConnections = 2;
 constexpr Millis kTick{50};
-/// Pause between two questions who leads: a take-over after a resignation takes
-/// some 30 ms, two steps of the clock.
-constexpr Millis kAskPeriod{100};
-/// Other followers are asked this often whether the leader answers them, so
-/// many at a time: with 40 entries more would be 6,000 calls a second.
-constexpr Millis kWitnessPeriod{250};
-constexpr size_t kWitnesses = 6;
-/// A follower takes it that its leader has heard of all that live after this:
-/// ten greetings of each.
-constexpr Millis kTermKnown{2000};
-/// After handing over, time for the other to claim.
-constexpr Millis kLookAfterYield{1000};
-/// A suspension longer than this is noticed; shorter ones are within the trust
-/// of a leader.
-constexpr Millis kSuspension{200};
+/// Pause between two queries for the current leader. A takeover after a
+/// resignation takes some 30 ms; this is two ticks.
+constexpr Millis kPeerQueryInterval{100};
+/// Interval at which other followers are asked whether the leader answers them,
+/// and the number asked at a time. Asking all of 40 entries would take 6,000
+/// calls a second.
+constexpr Millis kIndirectProbeInterval{250};
+constexpr size_t kIndirectProbeCount = 6;
+/// Time after which a follower assumes that its leader knows all live entries:
+/// ten heartbeats of each.
+constexpr Millis kMemberDiscoveryTime{2000};
+/// Pause after handing over, in which the other entry claims leadership.
+constexpr Millis kLeaderCheckAfterYield{1000};
+/// A suspension of the machine longer than this invalidates the lease; shorter
+/// ones are within the leader lease.
+constexpr Millis kSuspensionTolerance{200};
 
 using faults::RecordSource;
 using logging::Level;
@@ -81,8 +82,8 @@
 
 bool Leadership::store_reachable() const {
   const TimePoint last = std::max(last_renewed_, events_.last_stored());
-  // While the store is slow for all, whoever leads next is no better off.
-  const Millis next = options_.renew_period + 2 * renewal_took_;
+  // While the store is slow for all entries, a new leader would do no better.
+  const Millis next = options_.renew_period + 2 * renewal_duration_;
   return executor_.Now() - last <
          std::max(options_.store_unreachable_after, next);
 }
@@ -94,34 +95,37 @@
 
 bool Leadership::lease_valid() const {
   if (role_ != Role::kLeading) return false;
-  // A machine that was suspended has missed time that its clock does not show;
-  // somebody else may lead by now, which the next renewal tells.
-  if (executor_.Suspended() - confirmed_.suspended > kSuspension) return false;
+  // The clock does not show the time for which the machine was suspended.
+  // Another entry may lead by now; the next renewal finds out.
+  if (executor_.Suspended() - confirmed_.suspended > kSuspensionTolerance)
+    return false;
   const TimePoint now = executor_.Now();
   if (now - last_tick_ > options_.leader_lease)
-    return false;  // it just stood still
+    return false;  // the process was paused until now
   const bool confirmed = confirmed_.sent >= resumed_at_;
   return (confirmed && now - last_confirmation() < options_.leader_lease) ||
          HasFollowerQuorum();
 }
 
 TimePoint Leadership::last_confirmation() const {
-  // Dated when it was read, a word of the store that was under way for a second
-  // would count for longer than the next leader waits.
+  // Counted from when the call was sent, not from when its answer was read: an
+  // answer that was in flight for a second would otherwise confirm the lease
+  // for longer than the next leader waits.
   return std::max(confirmed_.sent, events_.last_stored_sent());
 }
 
 bool Leadership::HasFollowerQuorum() const {
   const TimePoint now = executor_.Now();
-  // What waited for a process that stood still says nothing of now: a greeting
-  // counts if the store has answered since, or if it can't have been under way.
+  // Messages that were queued during a process pause say nothing about the
+  // present. A heartbeat counts if the store has answered since the pause, or
+  // if it was received too late to have been queued.
   const bool confirmed = confirmed_.sent >= resumed_at_;
-  // Only while the store answers can an entry be counted out: one that is
-  // behind a cut may have taken over, however long ago it was heard of.
-  const TimePoint counted_from = last_confirmation() - options_.counted;
+  // An entry can be left out of the count only while the store answers: a
+  // partitioned entry may have taken over, however old its last heartbeat is.
+  const TimePoint counted_from = last_confirmation() - options_.member_expiry;
   size_t entries = 1;
   size_t following = 1;
-  if (leading_since_ >= counted_from) entries += NotHeardOfYet();
+  if (leading_since_ >= counted_from) entries += MembersWithoutHeartbeat();
   for (const auto& [name, follower] : followers_) {
     if (follower.heard < counted_from) continue;
     ++entries;
@@ -132,7 +136,7 @@
   return following > 1 && 2 * following > entries;
 }
 
-size_t Leadership::NotHeardOfYet() const {
+size_t Leadership::MembersWithoutHeartbeat() const {
   const std::vector<wire::Member>& known = members_.all();
   return static_cast<size_t>(
       std::count_if(known.begin(), known.end(), [this](const auto& member) {
@@ -141,14 +145,14 @@
       }));
 }
 
-Leadership::Asked Leadership::AskedNow() const {
+Leadership::CallStart Leadership::CallStartNow() const {
   return {.sent = executor_.Now(), .suspended = executor_.Suspended()};
 }
 
 void Leadership::NoteProcessPause() {
   const TimePoint now = executor_.Now();
   const TimePoint before = std::exchange(last_tick_, now);
-  // Less than that is within the trust of a leader, as any silence is.
+  // A shorter pause is within the leader lease, like any other missing answer.
   if (now - before <= options_.leader_lease) return;
   logging::Event(
       Level::kWarning, "stood still",
@@ -164,49 +168,54 @@
     const bool due = now - last_renewed_ >= options_.renew_period ||
                      confirmed_.sent < resumed_at_;
     if (due && !renewing_) Renew();
-    // Another may have taken over while the announcement could not get here.
-    // With the store out of reach nothing else would tell of it, and callers
-    // here would be refused for as long.
-    if (!lease_valid()) AskAround();
-    NoteGoneFollowers();
+    // Another entry may have taken over without its announcement reaching this
+    // one. While the store is unreachable, only another entry can report that,
+    // and callers of this entry would be refused until then.
+    if (!lease_valid()) QueryNextPeer();
+    ReportExpiredFollowers();
     return YieldIfWeak();
   }
   if (leader_.address.empty()) {
-    AskAround();
+    QueryNextPeer();
     return Suspect(Suspicion::kUnresponsive, "no leader known");
   }
   if (now - last_ack_sent_ > options_.unresponsive_after) SendIndirectProbes();
-  const bool silent = now - last_ack_sent_ > options_.leader_suspect_after;
-  if (silent) Suspect(Suspicion::kUnresponsive, "leader not heard of");
+  const bool unresponsive =
+      now - last_ack_sent_ > options_.leader_suspect_after;
+  if (unresponsive) Suspect(Suspicion::kUnresponsive, "leader does not answer");
   if (heartbeat_in_flight_) return;
-  // A next leader announces itself once. An entry that missed that and has lost
-  // the store would greet a dead leader for ever, and refuse its callers though
-  // the others know the living one. By turns, since the leader may be back.
-  if (silent && std::exchange(others_next_, !others_next_)) return AskAround();
+  // A new leader announces itself once. An entry that missed the announcement
+  // and cannot reach the store would send heartbeats to the dead leader forever
+  // and refuse its callers, though other entries know the new leader.
+  // Heartbeats alternate between the leader and another entry, since the leader
+  // may be back.
+  if (unresponsive && std::exchange(query_peers_next_, !query_peers_next_))
+    return QueryNextPeer();
   if (now - last_heard_ >= options_.heartbeat_interval)
     SendHeartbeat(leader_.address);
 }
 
-void Leadership::AskAround() {
+void Leadership::QueryNextPeer() {
   const TimePoint now = executor_.Now();
-  if (heartbeat_in_flight_ || now < ask_after_) return;
-  const std::vector<std::string> others = KnownAddresses();
-  if (others.empty()) return;
-  ask_after_ = now + kAskPeriod;
-  // In turn: one that is gone for good must not hide those that know.
-  SendHeartbeat(others[asked_++ % others.size()]);
+  if (heartbeat_in_flight_ || now < next_query_at_) return;
+  const std::vector<std::string> peers = KnownAddresses();
+  if (peers.empty()) return;
+  next_query_at_ = now + kPeerQueryInterval;
+  // In turn: an entry that has ended must not keep this one from reaching those
+  // that know the leader.
+  SendHeartbeat(peers[queries_sent_++ % peers.size()]);
 }
 
 void Leadership::SendIndirectProbes() {
   const TimePoint now = executor_.Now();
-  if (role_ != Role::kFollowing || now < witnesses_after_) return;
-  witnesses_after_ = now + kWitnessPeriod;
+  if (role_ != Role::kFollowing || now < next_probe_at_) return;
+  next_probe_at_ = now + kIndirectProbeInterval;
   const wire::HeartbeatCall call = MakeHeartbeat();
   const std::vector<wire::Member>& members = members_.all();
-  const size_t count = std::min(kWitnesses, members.size());
+  const size_t count = std::min(kIndirectProbeCount, members.size());
   for (size_t i = 0; i < count; ++i) {
     const std::string address =
-        members[witnesses_asked_++ % members.size()].address;
+        members[probes_sent_++ % members.size()].address;
     if (address == options_.member.address || address == leader_.address) {
       continue;
     }
@@ -222,13 +231,13 @@
     const std::string& address, TimePoint sent,
     const Result<wire::HeartbeatReply>& reply) {
   if (role_ != Role::kFollowing || !reply.ok()) return;
-  const wire::HeartbeatReply& hello = reply.value();
-  if (hello.term != term_ || hello.leading) {
+  const wire::HeartbeatReply& answer = reply.value();
+  if (answer.term != term_ || answer.leading) {
     return OnHeartbeatReply(address, sent, reply);
   }
   votes_.Note(
       address, executor_.Now(),
-      Millis(hello.leader_unresponsive_ms) >= options_.unresponsive_after);
+      Millis(answer.leader_unresponsive_ms) >= options_.unresponsive_after);
 }
 
 bool Leadership::LeaderIsSlow(
@@ -236,7 +245,7 @@
   const TimePoint now = executor_.Now();
   return now - last_ack_sent_ >= options_.unresponsive_after &&
          now - following_since_ >=
-             ElectionTimeout(options_.least_term, record) &&
+             ElectionTimeout(options_.min_term_duration, record) &&
          votes_.HasMajority(now);
 }
 
@@ -245,8 +254,9 @@
   for (const wire::Member& member : members_.all()) {
     out.insert(member.address);
   }
-  // However long ago they greeted: who led and lost its office while it was cut
-  // off has heard of nobody lately, and may know no other.
+  // Followers count however old their heartbeats are: an entry that lost
+  // leadership while it was partitioned has had no recent heartbeats and may
+  // know no other addresses.
   for (const auto& [name, follower] : followers_) {
     out.insert(follower.member.address);
   }
@@ -287,53 +297,55 @@
     }
     return;
   }
-  // What was asked before the leader was known may have been answered before it
-  // led: its announcement overtakes that answer.
+  // An answer to a heartbeat that was sent before the leader was known may have
+  // been given before that entry led, and been overtaken by its announcement.
   const bool of_leader = address == leader_.address && sent >= following_since_;
   if (!reply.ok()) {
     if (!of_leader) return;
-    // Nobody listens there any more: most likely the process has ended.
+    // No process listens at the address: most likely the leader has ended.
     const bool refused = reply.error().code == Errc::kUnavailable;
-    refused_ = refused ? refused_ + 1 : 0;
-    if (refused_ >= kRefusals) {
-      Suspect(Suspicion::kEnded, "leader refuses connections");
+    refused_connections_ = refused ? refused_connections_ + 1 : 0;
+    if (refused_connections_ >= kMaxRefusedConnections) {
+      Suspect(Suspicion::kConnectionRefused, "leader refuses connections");
     }
     return;
   }
-  refused_ = 0;
-  const wire::HeartbeatReply& hello = reply.value();
-  if (!Plausible(hello.term, address)) return;
-  if (hello.term > term_ || (hello.term == term_ && leader_.address.empty() &&
-                             !hello.leader.address.empty())) {
-    Follow(hello.term, hello.leader, hello.loading);
+  refused_connections_ = 0;
+  const wire::HeartbeatReply& answer = reply.value();
+  if (!IsPlausibleTerm(answer.term, address)) return;
+  if (answer.term > term_ || (answer.term == term_ && leader_.address.empty() &&
+                              !answer.leader.address.empty())) {
+    Follow(answer.term, answer.leader, answer.loading);
   }
-  if (!hello.leading) {
-    // The store names a leader before the answer to its claim has reached it.
+  if (!answer.leading) {
+    // The leader record can be read before the answer to the claim has reached
+    // the leader itself.
     const bool may_not_know =
-        hello.term < term_ &&
+        answer.term < term_ &&
         executor_.Now() - following_since_ <= kStoreTimeout;
     if (of_leader && !may_not_know) {
-      Suspect(Suspicion::kResigned,
-              "the leader's address says that it does not lead");
+      Suspect(
+          Suspicion::kResigned,
+          "the entry at the leader's address reports that it does not lead");
     }
     return;
   }
-  if (hello.term < term_) return;
+  if (answer.term < term_) return;
   const TimePoint now = executor_.Now();
   last_heard_ = now;
-  if (!hello.loading) NoteLeaderServes();
-  members_.Take(hello.members, hello.members_known);
-  // By then whoever lives has greeted the new leader.
-  if (hello.members.empty() && now - following_since_ > kTermKnown) {
-    members_.DropEarlier();
+  if (!answer.loading) NoteLeaderReady();
+  members_.Apply(answer.members, answer.members_known);
+  // By then every live entry has sent a heartbeat to the new leader.
+  if (answer.members.empty() && now - following_since_ > kMemberDiscoveryTime) {
+    members_.RemoveFromEarlierTerms();
   }
-  events_.on_heartbeat_reply(hello);
-  if (!hello.store_reachable) {
-    Suspect(Suspicion::kCutFromStore, "leader cannot reach the store");
+  events_.on_heartbeat_reply(answer);
+  if (!answer.store_reachable) {
+    Suspect(Suspicion::kStoreUnreachable, "leader cannot reach the store");
   }
 }
 
-void Leadership::NoteLeaderServes() {
+void Leadership::NoteLeaderReady() {
   if (std::exchange(leader_loading_, false)) events_.on_leader_ready();
 }
 
@@ -342,11 +354,11 @@
   if (term < term_ || (term == term_ && leader.address == leader_.address)) {
     return;
   }
-  // Others name this entry until they know a later leader. One that follows
-  // itself greets nobody else and hands its callers to nobody; they waited in
-  // vain until it ended.
+  // Other entries name this one as the leader until they know a later leader.
+  // An entry that followed itself would send heartbeats to no other entry and
+  // could not forward calls: its callers would wait until the process ended.
   if (leader.address == options_.member.address) return;
-  const bool led = role_ == Role::kLeading;
+  const bool was_leading = role_ == Role::kLeading;
   term_ = term;
   leader_ = leader;
   leader_loading_ = true;
@@ -355,17 +367,17 @@
   following_since_ = last_heard_;
   members_.BeginTerm();
   votes_.Clear();
-  refused_ = 0;
+  refused_connections_ = 0;
   logging::Event(Level::kInfo, "following",
                  {{"term", Text(term)},
                   {"leader", leader.name},
                   {"address", leader.address},
                   {"loading", loading ? "yes" : "no"}});
-  if (led) {
+  if (was_leading) {
     role_ = Role::kFollowing;
     events_.on_leadership_lost();
   }
-  if (!loading) NoteLeaderServes();
+  if (!loading) NoteLeaderReady();
 }
 
 void Leadership::StepDown(const std::string& cause) {
@@ -374,22 +386,22 @@
                  {{"term", Text(term_)}, {"cause", cause}});
   role_ = Role::kFollowing;
   leader_ = {};
-  look_after_ = executor_.Now() + kLookAgain;
+  next_check_at_ = executor_.Now() + kLeaderCheckRetry;
   events_.on_leadership_lost();
 }
 
 void Leadership::Resign() {
   if (role_ == Role::kLeading) {
-    return GiveUpOffice(Role::kResigned, "this entry stops");
+    return RelinquishLeadership(Role::kResigned, "this entry stops");
   }
   role_ = Role::kResigned;
 }
 
-void Leadership::GiveUpOffice(Role role, const std::string& cause) {
+void Leadership::RelinquishLeadership(Role role, const std::string& cause) {
   members_.Assign(followers());
   role_ = role;
   leader_ = {};
-  look_after_ = executor_.Now() + kLookAfterYield;
+  next_check_at_ = executor_.Now() + kLeaderCheckAfterYield;
   logging::Event(Level::kInfo, "leadership resigned",
                  {{"term", Text(term_)}, {"cause", cause}});
   events_.on_leadership_lost();
@@ -400,12 +412,12 @@
   for (const wire::Member& member : followers()) {
     peers_.Announce(member.address, call, options_.heartbeat_timeout,
                     [](const Result<wire::AnnounceReply>&) {
-                      // Those that do not hear it find out by greeting.
+                      // Entries that miss it learn of it by heartbeats.
                     });
   }
 }
 
-void Leadership::NoteGoneFollowers() {
+void Leadership::ReportExpiredFollowers() {
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
     if (now - follower.heard >= kFollowerTimeout) changes_.Leave(name);
@@ -419,21 +431,21 @@
   for (const auto& [name, follower] : followers_) {
     if (follower.member.fitness < options_.enough_fitness) continue;
     if (now - follower.heard > kFollowerTimeout) continue;
-    // The others must have heard of it too, or they claim before it can.
+    // The other followers must know the fitter entry too, or they claim before
+    // it can.
     if (now - follower.since < options_.leader_suspect_after) continue;
-    return GiveUpOffice(Role::kFollowing, "a fitter entry is there");
+    return RelinquishLeadership(Role::kFollowing, "a fitter entry is there");
   }
 }
 
-bool Leadership::Plausible(int64_t term, const std::string& peer) {
+bool Leadership::IsPlausibleTerm(int64_t term, const std::string& peer) {
   if (term >= 0 && term <= kMaxTerm) return true;
-  bad_records_.Report(RecordSource::kPeer, peer,
-                      "names a term that nobody can have");
+  bad_records_.Report(RecordSource::kPeer, peer, "term out of range");
   return false;
 }
 
-void Leadership::Lead(int64_t term, int32_t unstable_terms, const Asked& asked,
-                      int64_t end_offset) {
+void Leadership::BecomeLeader(int64_t term, int32_t unstable_terms,
+                              const CallStart& start, int64_t end_offset) {
   role_ = Role::kLeading;
   term_ = term;
   unstable_terms_ = unstable_terms;
@@ -442,16 +454,16 @@
   end_offset_ = end_offset;
   last_renewed_ = executor_.Now();
   leading_since_ = last_renewed_;
-  renewal_took_ =
-      std::chrono::duration_cast<Millis>(last_renewed_ - asked.sent);
-  confirmed_ = asked;
+  renewal_duration_ =
+      std::chrono::duration_cast<Millis>(last_renewed_ - start.sent);
+  confirmed_ = start;
   followers_.clear();
   changes_.Clear();
   changes_.Join(options_.member);
   logging::Event(
       Level::kInfo, "leading",
       {{"term", Text(term)}, {"unsettled_terms", Text(unstable_terms)}});
-  AnnounceLead();
+  AnnounceLeadership();
   events_.on_elected(term);
 }
 
@@ -462,11 +474,11 @@
       std::chrono::duration_cast<Millis>(serving_since_ - leading_since_);
   logging::Event(Level::kInfo, "serving",
                  {{"term", Text(term_)}, {"loading_ms", Text(took.count())}});
-  NoteLeaderServes();
-  AnnounceLead();
+  NoteLeaderReady();
+  AnnounceLeadership();
 }
 
-void Leadership::AnnounceLead() {
+void Leadership::AnnounceLeadership() {
   wire::AnnounceCall call;
   call.term = term_;
   call.leader = options_.member;
@@ -474,38 +486,41 @@
   for (const std::string& address : KnownAddresses()) {
     peers_.Announce(address, call, options_.heartbeat_timeout,
                     [](const Result<wire::AnnounceReply>&) {
-                      // Those that do not hear it find the record.
+                      // Entries that miss it read the leader record.
                     });
   }
 }
 
 void Leadership::Renew() {
   renewing_ = true;
-  store_.Append({.table = options_.table,
-                 .records = {{kLeaderKey, Record(term_, unstable_terms_)}},
-                 .expected_end_offset = end_offset_},
-                kStoreTimeout,
-                [this, asked = AskedNow()](const ports::AppendReply& reply) {
-                  OnRenew(asked, reply);
-                });
-}
-
-void Leadership::OnRenew(const Asked& asked, const ports::AppendReply& reply) {
+  store_.Append(
+      {.table = options_.table,
+       .records = {{kLeaderKey, Record(term_, unstable_terms_)}},
+       .expected_end_offset = end_offset_},
+      kStoreTimeout,
+      [this, start = CallStartNow()](const ports::AppendReply& reply) {
+        OnRenew(start, reply);
+      });
+}
+
+void Leadership::OnRenew(const CallStart& start,
+                         const ports::AppendReply& reply) {
   renewing_ = false;
   if (role_ != Role::kLeading) return;
   if (reply.verdict == ports::AppendVerdict::kStored) {
     end_offset_ = reply.end_offset;
     last_renewed_ = executor_.Now();
-    renewal_took_ =
-        std::chrono::duration_cast<Millis>(last_renewed_ - asked.sent);
-    confirmed_ = asked;
+    renewal_duration_ =
+        std::chrono::duration_cast<Millis>(last_renewed_ - start.sent);
+    confirmed_ = start;
     return;
   }
-  // A conflict is another's claim or an own renewal whose answer was lost.
-  SettleRenewal();
+  // A conflict means that another entry has claimed, or that an earlier renewal
+  // was stored and its answer lost.
+  ResolveRenewal();
 }
 
-void Leadership::SettleRenewal() {
+void Leadership::ResolveRenewal() {
   renewing_ = true;
   const int64_t term = term_;
   store_.ReadNewest(options_.table, "", kStoreTimeout,
@@ -517,20 +532,20 @@
                                        {{"cause", page.error().message}});
                         return;
                       }
-                      const auto record = LeaderIn(page.value());
+                      const auto record = FindLeaderRecord(page.value());
                       if (record && record->term > term_) {
                         StepDown("the store names a later leader");
                         return Follow(record->term, record->leader,
                                       record->loading);
                       }
-                      // The next renewal overwrites what can't be read.
+                      // The next renewal overwrites an unreadable record.
                       end_offset_ = page.value().end_offset;
                     });
 }
 
 wire::HeartbeatReply Leadership::OnHeartbeat(const wire::HeartbeatCall& call) {
   wire::HeartbeatReply reply;
-  if (Plausible(call.term, call.caller.name) && call.term > term_ &&
+  if (IsPlausibleTerm(call.term, call.caller.name) && call.term > term_ &&
       role_ == Role::kLeading) {
     StepDown("a follower knows a later term");
   }
@@ -539,12 +554,13 @@
   reply.leader = leader_;
   reply.loading = leader_loading_;
   if (!leading()) {
-    const auto silent =
+    const auto unresponsive_for =
         std::chrono::duration_cast<Millis>(executor_.Now() - last_ack_sent_);
-    reply.leader_unresponsive_ms = leader_.address.empty() ? 0 : silent.count();
+    reply.leader_unresponsive_ms =
+        leader_.address.empty() ? 0 : unresponsive_for.count();
     return reply;
   }
-  // Operators' tools ask without an address of their own.
+  // Operators' tools send heartbeats without an address of their own.
   if (!call.caller.address.empty()) {
     const TimePoint now = executor_.Now();
     auto& follower = followers_.try_emplace(call.caller.name).first->second;
@@ -565,20 +581,20 @@
 
 wire::AnnounceReply Leadership::OnAnnounce(const wire::AnnounceCall& call) {
   wire::AnnounceReply reply;
-  if (!Plausible(call.term, call.leader.name)) {
+  if (!IsPlausibleTerm(call.term, call.leader.name)) {
     reply.term = term_;
     return reply;
   }
   if (call.resigned) {
     if (call.term == term_ && call.leader.address == leader_.address) {
-      look_after_ = {};
+      next_check_at_ = {};
       Suspect(Suspicion::kResigned, "the leader has resigned");
     }
   } else {
     Follow(call.term, call.leader, call.loading);
     const bool known =
         call.term == term_ && call.leader.address == leader_.address;
-    if (known && !call.loading) NoteLeaderServes();
+    if (known && !call.loading) NoteLeaderReady();
   }
   reply.term = term_;
   return reply;
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -21,100 +21,109 @@
   std::string table = "leaders";
   /// Entries to ask for the leader while the store cannot be read.
   std::vector<std::string> seeds;
-  /// A leader that has served for this long is settled.
+  /// A leader that has served for this long is stable.
   Millis stable_after{3000};
-  /// How often a follower greets the leader.
+  /// Interval at which a follower sends heartbeats to the leader.
   Millis heartbeat_interval{200};
   Millis heartbeat_timeout{500};
-  /// A leader not heard of for this long is suspected. Three greetings.
+  /// A leader that has not answered for this long is suspected. Three
+  /// heartbeats.
   Millis leader_suspect_after{700};
-  /// How often the leader renews its record in the store.
+  /// Interval at which the leader renews its record in the store.
   Millis renew_period{200};
-  /// A suspected leader whose record did not move for this long has lost its
-  /// office. Two renewals; the store's own delay is added.
+  /// A suspected leader whose record stays unchanged for this long has lost
+  /// leadership. Two renewals; the store's own delay is added.
   Millis election_timeout{450};
-  /// The same for a leader that says itself that it has lost the store.
+  /// The same for a leader that reports that it cannot reach the store.
   Millis election_timeout_store_lost{150};
-  /// A leader that answers most followers' greetings no more for this long is
-  /// replaced, though it renews its record in the store. Two greetings without
-  /// an answer; a machine that stands still for less is not worth a take-over.
+  /// A leader that leaves most followers' heartbeats unanswered for this long
+  /// is replaced even if it renews its record in the store. Two unanswered
+  /// heartbeats; a shorter process pause does not justify a failover.
   Millis unresponsive_after{800};
-  /// Not within this of the start of its term: where the load is too much for
-  /// any machine another leader does no better, and each take-over makes
-  /// callers wait for some 0.3 s.
-  Millis least_term{3000};
-  /// A leader that had no success at the store for this long is replaced by
-  /// somebody who can reach it.
+  /// An unresponsive leader that renews its record is not replaced earlier than
+  /// this after the start of its term. Where the load is too high for any
+  /// machine, another leader does no better, and each failover makes callers
+  /// wait for some 0.3 s.
+  Millis min_term_duration{3000};
+  /// A leader without a successful store call for this long is replaced by an
+  /// entry that can reach the store.
   Millis store_unreachable_after{700};
-  /// Without a word from the store or most other entries for this long, a
-  /// leader gives no orders any more: another may have taken over unseen.
+  /// A leader that has had no answer from the store and no heartbeats from most
+  /// other entries for this long gives no more orders: another entry may have
+  /// taken over without its knowledge.
   Millis leader_lease{2000};
-  /// An entry that had not been heard of for this long when the store last
-  /// answered is not counted among the others: it has ended, since a leader
-  /// that most entries can't reach is replaced within some 5 s.
-  Millis counted{8000};
+  /// An entry whose last heartbeat was older than this when the store last
+  /// answered is left out of the majority count. It has ended: a leader that
+  /// most entries cannot reach is replaced within some 5 s.
+  Millis member_expiry{8000};
   /// Processor share, in percent of a core, with which an entry can lead any
-  /// deployment; to lead 350 upstreams took 0.22 of a core.
+  /// deployment; leading 350 upstreams took 0.22 of a core.
   int32_t enough_fitness = 25;
-  /// A leader that turned out too weak hands over to an entry that is fit for
-  /// it after this.
+  /// A leader with too small a processor share hands over to a sufficiently fit
+  /// entry after this time.
   Millis yield_after{1500};
 };
 
-/// Who leads, and in which term. The arbiter is the end of a table in the
-/// store: a claim is stored only if nobody wrote since the claimant looked, and
-/// the leader writes there all the time. Greetings between entries only say
-/// when it is worth looking. Control thread only.
+/// Elects the leader and tracks the current leader and its term. The end offset
+/// of a table in the store decides elections: a claim is stored only if the
+/// table is unchanged since the claimant read it, and the leader writes to it
+/// continuously. Heartbeats between entries only indicate when the table is
+/// worth reading. Control thread only.
 class Leadership {
  public:
   struct Events {
-    /// This entry leads from now on.
+    /// This entry has become the leader.
     std::function<void(int64_t term)> on_elected;
-    /// It does not lead any more.
+    /// This entry no longer leads.
     std::function<void()> on_leadership_lost;
-    /// The leader, whoever it is, takes calls from now on.
+    /// The current leader, this entry or another one, now takes calls.
     std::function<void()> on_leader_ready;
-    /// A leader answered a greeting.
+    /// A leader answered a heartbeat.
     std::function<void(const wire::HeartbeatReply&)> on_heartbeat_reply;
-    /// Version of the configuration that is known here, and its document.
+    /// Version of the configuration that this entry has, and its document.
     std::function<int64_t()> config_version;
     std::function<std::string()> config_document;
-    /// When the leader's own journal was last stored.
+    /// Time at which the newest stored append of the leader's own journal was
+    /// confirmed.
     std::function<TimePoint()> last_stored;
-    /// When that append had been sent.
+    /// Time at which that append was sent.
     std::function<TimePoint()> last_stored_sent;
   };
 
-  /// Everything given outlives it.
+  /// All arguments passed by reference outlive this object.
   Leadership(Executor& executor, ports::RecordStorePort& store,
              JobPeerPort& peers, faults::MalformedRecordReporter& bad_records,
              LeadershipOptions options, Events events);
 
   void Start();
-  /// Tells the others to take over at once, and claims nothing any more. Goes
-  /// on following whoever leads, so that callers are served to the end.
+  /// Asks the other entries to take over at once and makes no more claims. This
+  /// entry keeps following the current leader, so that its callers are served
+  /// until it stops.
   void Resign();
-  /// Steps down, since somebody else was found to lead.
+  /// Gives up leadership because another entry was found to lead.
   void StepDown(const std::string& cause);
-  /// What is stored has been taken over: tells the others that calls are taken
-  /// from now on. Does nothing if this entry doesn't lead any more.
+  /// Notes that the stored state is loaded and announces to the other entries
+  /// that this leader takes calls. Does nothing if this entry no longer leads.
   void MarkReady();
 
   bool leading() const { return role_ == Role::kLeading; }
   int64_t term() const { return term_; }
-  /// Whether orders may still be given; see LeadershipOptions::leader_lease.
+  /// Whether this leader may still give orders; see
+  /// LeadershipOptions::leader_lease.
   bool lease_valid() const;
-  /// Whether the store itself has said so within that time: only then is it
-  /// sure that no other entry has taken jobs that are not known here.
+  /// Whether the store itself has confirmed the lease within that time. Only
+  /// then is it certain that no other entry has accepted jobs that this leader
+  /// does not know.
   bool lease_confirmed_by_store() const;
-  /// The leader as far as is known; empty address if none is.
+  /// The leader known to this entry; its address is empty if there is none.
   const wire::Member& leader() const { return leader_; }
-  /// Whether the leader is known and takes calls. A call to one that still
-  /// loads is turned away, and its repeats take the link that it loads over.
+  /// Whether the leader is known and takes calls. A leader that is still
+  /// loading refuses calls, and repeated calls use bandwidth of the link that
+  /// it loads over.
   bool leader_ready() const {
     return !leader_.address.empty() && !leader_loading_;
   }
-  /// Entries that have greeted this leader lately, without itself.
+  /// Entries with a recent heartbeat to this leader; does not include itself.
   std::vector<wire::Member> followers() const;
   bool store_reachable() const;
 
@@ -125,89 +134,96 @@
   enum class Role { kFollowing, kLeading, kResigned };
 
   void Tick();
-  /// Notes that this process did not run for longer than
+  /// Records a pause of this process that was longer than
   /// LeadershipOptions::leader_lease.
   void NoteProcessPause();
-  /// Greets another entry in turn, since no leader is known, or none that still
-  /// answers.
-  void AskAround();
+  /// Sends a heartbeat to the next of the other entries, to learn of a leader.
+  /// Used when no leader is known or the known one does not answer.
+  void QueryNextPeer();
   /// Asks some other followers whether the leader answers them.
   void SendIndirectProbes();
   void OnIndirectProbeReply(const std::string& address, TimePoint sent,
                             const Result<wire::HeartbeatReply>& reply);
-  /// As leader: whether more than half of the entries, this one among them, are
-  /// known to follow it still. One that is cut off as this one may greet it for
-  /// ever, while the rest of the cell has another leader.
+  /// As leader: whether more than half of the entries, including this one, are
+  /// known to still follow it. A single follower is not enough: an entry in the
+  /// same partition may send heartbeats indefinitely while the rest of the cell
+  /// has another leader.
   bool HasFollowerQuorum() const;
-  /// Entries that were known when this one claimed and have not greeted it.
-  size_t NotHeardOfYet() const;
-  /// As leader: when the newest call that the store answered had been sent.
+  /// Number of entries that were known when this one claimed leadership and
+  /// have sent no heartbeat since.
+  size_t MembersWithoutHeartbeat() const;
+  /// As leader: send time of the newest call that the store answered.
   TimePoint last_confirmation() const;
-  /// Whether the leader leaves this entry and most others waiting, late enough
-  /// in its term.
+  /// Whether the leader leaves this entry and most others without answers, and
+  /// its term has lasted long enough to replace it.
   bool LeaderIsSlow(const std::optional<wire::AnnounceCall>& record) const;
-  /// Every entry that was ever heard of, without this one, each once.
+  /// Addresses of all entries known to this one, without its own and without
+  /// duplicates.
   std::vector<std::string> KnownAddresses() const;
-  /// The greeting that this entry would send now.
+  /// The heartbeat that this entry would send now.
   wire::HeartbeatCall MakeHeartbeat() const;
   void SendHeartbeat(const std::string& address);
-  /// `sent` is when the greeting was.
+  /// `sent` is the send time of the heartbeat.
   void OnHeartbeatReply(const std::string& address, TimePoint sent,
                         const Result<wire::HeartbeatReply>& reply);
   void Follow(int64_t term, const wire::Member& leader, bool loading);
-  /// The known leader has loaded. Within a term that stays so, whatever comes
-  /// late from before.
-  void NoteLeaderServes();
-  /// Announces this leader to all that are known.
-  void AnnounceLead();
-  /// What speaks against the leader.
+  /// Notes that the known leader has loaded. This holds for the rest of the
+  /// term; late messages from before are ignored.
+  void NoteLeaderReady();
+  /// Announces this leader to all known entries.
+  void AnnounceLeadership();
+  /// Why the leader is suspected.
   enum class Suspicion {
-    kUnresponsive,  ///< No answer of it was heard, or nobody is known to lead.
-    kCutFromStore,  ///< It says itself that it does not reach the store.
-    kEnded,         ///< Its address refuses connections.
-    kResigned,      ///< It says itself that it does not lead.
+    kUnresponsive,       ///< It does not answer, or no leader is known.
+    kStoreUnreachable,   ///< It reports that it cannot reach the store.
+    kConnectionRefused,  ///< Its address refuses connections.
+    kResigned,           ///< It reports that it does not lead.
   };
-  /// Looks at the store who leads. Claims if the leader's record stands still
-  /// for ElectionTimeoutFor(), at once if it has resigned; a resigned entry
-  /// only looks.
+  /// Reads the leader record in the store. Claims leadership if the record
+  /// stays unchanged for ElectionTimeoutFor(), or at once if the leader has
+  /// resigned. An entry that has itself resigned only reads.
   void Suspect(Suspicion suspicion, const std::string& cause);
   Millis ElectionTimeoutFor(
       Suspicion suspicion,
       const std::optional<wire::AnnounceCall>& record) const;
-  void Look(Suspicion suspicion, std::optional<int64_t> seen_end);
-  void OnLook(Suspicion suspicion, std::optional<int64_t> seen_end,
-              TimePoint asked, const Result<ports::NewestPage>& page);
-  /// How long this entry lets better ones claim first.
+  void CheckLeaderRecord(Suspicion suspicion, std::optional<int64_t> seen_end);
+  void OnLeaderRecord(Suspicion suspicion, std::optional<int64_t> seen_end,
+                      TimePoint sent, const Result<ports::NewestPage>& page);
+  /// Delay of this entry's claim, which lets fitter entries claim first.
   Millis ClaimDelay() const;
   void YieldIfWeak();
-  /// Tells followers that fell silent as gone.
-  void NoteGoneFollowers();
-  void GiveUpOffice(Role role, const std::string& cause);
+  /// Adds followers without recent heartbeats to the member changes as removed.
+  void ReportExpiredFollowers();
+  void RelinquishLeadership(Role role, const std::string& cause);
   void Claim(int64_t term, int64_t end_offset, int32_t unstable_terms);
-  /// What the store answers holds as of when it was asked: the answer may be
-  /// late, and another may lead by then.
-  struct Asked {
+  /// The moment at which a store call was sent. The answer confirms leadership
+  /// as of this moment only: it may arrive late, when another entry leads.
+  struct CallStart {
     TimePoint sent{};
-    /// How long the machine had been suspended by then.
+    /// Total time that the machine had been suspended by then.
     Millis suspended{0};
   };
-  Asked AskedNow() const;
-  void OnClaim(int64_t term, int32_t unstable_terms, const Asked& asked,
+  CallStart CallStartNow() const;
+  void OnClaim(int64_t term, int32_t unstable_terms, const CallStart& start,
                const ports::AppendReply& reply);
-  void EndLook(Millis pause);
-  void Lead(int64_t term, int32_t unstable_terms, const Asked& asked,
-            int64_t end_offset);
+  void EndLeaderCheck(Millis pause);
+  void BecomeLeader(int64_t term, int32_t unstable_terms,
+                    const CallStart& start, int64_t end_offset);
   /// Whether this leader has served for LeadershipOptions::stable_after.
   bool stable() const;
   void Renew();
-  void OnRenew(const Asked& asked, const ports::AppendReply& reply);
-  void SettleRenewal();
+  void OnRenew(const CallStart& start, const ports::AppendReply& reply);
+  /// Reads the table to find out whether a renewal that was not confirmed was
+  /// stored or lost to another entry's claim.
+  void ResolveRenewal();
   std::string Record(int64_t term, int32_t unstable_terms) const;
-  /// The leader's record on a page of the table; empty if there is none that
-  /// can be true.
-  std::optional<wire::AnnounceCall> LeaderIn(const ports::NewestPage& page);
-  /// Whether a term from another process can be true; told if not.
-  bool Plausible(int64_t term, const std::string& peer);
+  /// The leader's record on a page of the table; empty if there is none that is
+  /// plausible.
+  std::optional<wire::AnnounceCall> FindLeaderRecord(
+      const ports::NewestPage& page);
+  /// Whether a term received from another process is plausible; an implausible
+  /// one is reported as malformed.
+  bool IsPlausibleTerm(int64_t term, const std::string& peer);
 
   Executor& executor_;
   ports::RecordStorePort& store_;
@@ -218,51 +234,53 @@
   Role role_ = Role::kFollowing;
   int64_t term_ = 0;
   wire::Member leader_;
-  /// As far as is known here; of this entry's own term, if it leads.
+  /// Whether the known leader is still loading, be it this entry or another.
   bool leader_loading_ = false;
   TimePoint last_heard_{};
-  /// When the newest greeting that the leader answered was sent.
+  /// Send time of the newest heartbeat that the leader answered.
   TimePoint last_ack_sent_{};
   bool heartbeat_in_flight_ = false;
-  TimePoint ask_after_{};
-  size_t asked_ = 0;
+  TimePoint next_query_at_{};
+  size_t queries_sent_ = 0;
   LeaderTimeoutVotes votes_;
-  TimePoint witnesses_after_{};
-  size_t witnesses_asked_ = 0;
+  TimePoint next_probe_at_{};
+  size_t probes_sent_ = 0;
   TimePoint following_since_{};
-  /// While the leader is silent: whether the next question goes to another.
-  bool others_next_ = true;
-  bool looking_ = false;
-  /// Term of the leader that is looked into.
+  /// While the leader is unresponsive: whether the next heartbeat goes to
+  /// another entry.
+  bool query_peers_next_ = true;
+  bool checking_leader_ = false;
+  /// Term of the suspected leader.
   int64_t suspected_term_ = 0;
-  TimePoint look_after_{};
-  int refused_ = 0;
-  /// As leader: see AnnounceCall.
+  TimePoint next_check_at_{};
+  int refused_connections_ = 0;
+  /// As leader: see wire::AnnounceCall.
   int32_t unstable_terms_ = 0;
   TimePoint serving_since_{};
   /// As leader: end of the table as this entry last wrote it.
   int64_t end_offset_ = 0;
   bool renewing_ = false;
   TimePoint last_renewed_{};
-  /// How long the last renewal took that was stored, or the claim.
-  Millis renewal_took_{0};
-  /// When the newest renewal that was stored, or the claim, had been sent, and
-  /// how long the machine had been suspended by then.
-  Asked confirmed_;
+  /// Duration of the newest stored renewal, or of the claim.
+  Millis renewal_duration_{0};
+  /// Start of the newest stored renewal, or of the claim.
+  CallStart confirmed_;
   TimePoint last_tick_{};
-  /// End of the last time that this process stood still.
+  /// End of the last process pause.
   TimePoint resumed_at_{};
   struct Follower {
     wire::Member member;
+    /// Time of the newest heartbeat.
     TimePoint heard;
-    /// First heard of in this term.
+    /// Time of the first heartbeat after the start of the term or after a gap
+    /// longer than the follower timeout.
     TimePoint since;
   };
   std::map<std::string, Follower> followers_;
   TimePoint leading_since_{};
-  /// As leader: the followers, as they are told of each other.
+  /// As leader: changes of the followers, to be sent to all of them.
   MemberChanges changes_;
-  /// What the leader has told of its followers.
+  /// Entries known from the leader's heartbeat answers.
   KnownMembers members_;
 };
 
--- a/src/leadership/member_list.cc
+++ b/src/leadership/member_list.cc
@@ -7,19 +7,19 @@
 void MemberChanges::Join(const wire::Member& member) {
   const auto known = numbers_.find(member.name);
   if (known != numbers_.end() && changes_.at(known->second) == member) return;
-  Note(member);
+  AddChange(member);
 }
 
 void MemberChanges::Leave(const std::string& name) {
   const auto known = numbers_.find(name);
   if (known == numbers_.end()) return;
-  wire::Member gone = changes_.at(known->second);
-  if (gone.gone) return;
-  gone.gone = true;
-  Note(gone);
+  wire::Member removed = changes_.at(known->second);
+  if (removed.gone) return;
+  removed.gone = true;
+  AddChange(removed);
 }
 
-void MemberChanges::Note(const wire::Member& member) {
+void MemberChanges::AddChange(const wire::Member& member) {
   const auto known = numbers_.find(member.name);
   if (known != numbers_.end()) changes_.erase(known->second);
   numbers_[member.name] = ++last_;
@@ -44,26 +44,27 @@
 
 void KnownMembers::BeginTerm() {
   number_ = 0;
-  for (auto& [name, known] : by_name_) known.told_in_term = false;
+  for (auto& [name, known] : by_name_) known.reported_in_term = false;
 }
 
-void KnownMembers::Take(const std::vector<wire::Member>& changes,
-                        int64_t number) {
+void KnownMembers::Apply(const std::vector<wire::Member>& changes,
+                         int64_t number) {
   number_ = std::max(number_, number);
   if (changes.empty()) return;
   for (const wire::Member& member : changes) {
     if (member.gone) {
       by_name_.erase(member.name);
     } else {
-      by_name_[member.name] = {.member = member, .told_in_term = true};
+      by_name_[member.name] = {.member = member, .reported_in_term = true};
     }
   }
   Refresh();
 }
 
-void KnownMembers::DropEarlier() {
-  const size_t dropped = std::erase_if(
-      by_name_, [](const auto& entry) { return !entry.second.told_in_term; });
+void KnownMembers::RemoveFromEarlierTerms() {
+  const size_t dropped = std::erase_if(by_name_, [](const auto& entry) {
+    return !entry.second.reported_in_term;
+  });
   if (dropped > 0) Refresh();
 }
 
--- a/tests/member_list_test.cc
+++ b/tests/member_list_test.cc
@@ -19,7 +19,7 @@
     int64_t number = to.number();
     const std::vector<wire::Member> changes = from.After(number);
     BOOST_TEST(changes.size() <= MemberChanges::kMaxChangesPerReply);
-    to.Take(changes, number);
+    to.Apply(changes, number);
     if (changes.empty()) return answers;
   }
 }
@@ -74,7 +74,7 @@
   second.Join(Named(1));
   Tell(second, known);
   BOOST_TEST(known.all().size() == 5U);
-  known.DropEarlier();
+  known.RemoveFromEarlierTerms();
   BOOST_REQUIRE_EQUAL(known.all().size(), 1U);
   BOOST_TEST(known.all()[0].name == "entry-1");
 }
