--- a/src/journal/journal.cc
+++ b/src/journal/journal.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Key of the record that opens an epoch; without a value it leaves nothing
-/// behind.
+/// Key of the record that opens an epoch; since it has no value, the store
+/// keeps no record.
 constexpr const char* kOpeningKey = "opening";
 
 }  // namespace
@@ -22,12 +22,12 @@
     : executor_(executor),
       store_(store),
       options_(std::move(options)),
-      lost_(std::move(lost)) {}
+      on_lost_(std::move(lost)) {}
 
 void Journal::Open(std::function<void()> done) {
-  // An append without records sets the epoch, but the store counts it as none:
-  // the next one would be taken whatever its number, and one that overtakes the
-  // first would stand for both.
+  // An append without records sets the epoch, but the store does not count it
+  // in the sequence: it would accept the next append under any number, and an
+  // append that overtakes the first one would be taken for both.
   Batch fence;
   fence.records.push_back({.key = kOpeningKey});
   fence.waiters.push_back([this, done = std::move(done)](bool stored) {
@@ -40,13 +40,13 @@
 
 void Journal::Close() {
   closed_ = true;
-  const auto tell = [this](std::vector<Stored>& waiters) {
+  const auto fail = [this](std::vector<Stored>& waiters) {
     for (Stored& waiter : std::exchange(waiters, {})) {
       executor_.Post([waiter = std::move(waiter)] { waiter(false); });
     }
   };
-  for (Batch& batch : in_flight_) tell(batch.waiters);
-  tell(waiters_);
+  for (Batch& batch : in_flight_) fail(batch.waiters);
+  fail(waiters_);
 }
 
 void Journal::Put(const std::string& key, std::string value) {
@@ -57,7 +57,7 @@
 bool Journal::Withdraw(const std::string& key) {
   if (pending_.erase(key) == 0) return false;
   if (!pending_.empty()) return true;
-  // Nothing is left to append: what waited for that would wait for ever.
+  // Nothing is left to append, so no answer would ever run these callbacks.
   for (Stored& waiter : std::exchange(waiters_, {})) {
     WhenStored(std::move(waiter));
   }
@@ -67,7 +67,7 @@
 void Journal::WhenStored(Stored done) {
   const bool stored = pending_.empty() && in_flight_.empty();
   if (closed_ || stored) {
-    // Keeps the order of callbacks: never inside the call.
+    // Callbacks never run inside the call, which keeps their order.
     return executor_.Post([stored, done = std::move(done)] { done(stored); });
   }
   if (pending_.empty()) {
@@ -84,21 +84,24 @@
 
 bool Journal::MaySend() const {
   if (in_flight_.empty()) return true;
-  // What is on its way can't be taken back and refused any more. So a store
-  // that has fallen silent gets no more than the one that it leaves unanswered.
-  return last_answer_ >= options_.slow && stalled_for() < 2 * last_answer_ &&
+  // Records in flight can no longer be withdrawn and refused. A store that has
+  // stopped responding therefore gets no append beyond the unanswered one.
+  return last_reply_time_ >= options_.slow_append_threshold &&
+         stalled_for() < 2 * last_reply_time_ &&
          in_flight_.size() < options_.max_in_flight;
 }
 
 void Journal::ScheduleFlush() {
   if (!open_ || closed_ || pending_.empty() || !MaySend()) return;
   const Millis spread =
-      last_answer_ / static_cast<Millis::rep>(options_.max_in_flight);
-  const Millis gap =
-      in_flight_.empty() ? options_.gap : std::max(options_.gap, spread);
+      last_reply_time_ / static_cast<Millis::rep>(options_.max_in_flight);
+  const Millis gap = in_flight_.empty()
+                         ? options_.min_append_interval
+                         : std::max(options_.min_append_interval, spread);
   const TimePoint now = executor_.Now();
   const TimePoint at = std::max(now, last_flush_ + gap);
-  // One that waits for its turn beside others gives way once those are stored.
+  // A flush scheduled while others were in flight gives way to an earlier one
+  // once those are stored.
   if (flush_due_ && flush_at_ <= at) return;
   flush_due_ = true;
   flush_at_ = at;
@@ -121,7 +124,7 @@
     batch.records.push_back(
         {std::move(first.key()), std::move(first.mapped())});
   }
-  // With a part left over, what waits for all of it waits for the rest.
+  // Callbacks that wait for all pending records wait for the last part.
   if (pending_.empty()) std::swap(batch.waiters, waiters_);
   SendNew(std::move(batch));
   ScheduleFlush();
@@ -159,10 +162,12 @@
   return nullptr;
 }
 
-void Journal::TellStored(const Batch& batch, Millis took, int64_t answered,
-                         int64_t end_offset) const {
-  const bool itself = batch.sequence == answered;
-  if (itself && took < options_.slow && batch.sequence > 1) return;
+void Journal::LogStored(const Batch& batch, Millis took, int64_t answered,
+                        int64_t end_offset) const {
+  const bool answered_directly = batch.sequence == answered;
+  if (answered_directly && took < options_.slow_append_threshold &&
+      batch.sequence > 1)
+    return;
   logging::Event(logging::Level::kInfo, "journal append stored",
                  {{"table", options_.table},
                   {"epoch", std::to_string(options_.epoch)},
@@ -174,13 +179,13 @@
 }
 
 void Journal::OnStored(int64_t sequence, int64_t end_offset) {
-  // The store takes them in order: those before it are stored as well, though
-  // their answers may come later or never.
+  // The store applies appends in order: those before this one are stored as
+  // well, though their answers may come later or never.
   while (!closed_ && !in_flight_.empty() &&
          in_flight_.front().sequence <= sequence) {
     last_took_ = stalled_for();
-    TellStored(in_flight_.front(), last_took_, sequence, end_offset);
-    if (!in_flight_.front().repeated) last_answer_ = last_took_;
+    LogStored(in_flight_.front(), last_took_, sequence, end_offset);
+    if (!in_flight_.front().repeated) last_reply_time_ = last_took_;
     last_stored_ = executor_.Now();
     const Batch done = std::move(in_flight_.front());
     in_flight_.pop_front();
@@ -214,14 +219,15 @@
                   {"sequence", std::to_string(sequence)},
                   {"under_way", std::to_string(in_flight_.size())},
                   {"cause", reply.detail}});
-  // One that overtook those before it is refused for its number, too.
-  const bool strange =
+  // An append that overtook earlier ones is refused for its sequence number,
+  // too; only the next one in line shows that another writer has taken over.
+  const bool other_writer =
       reply.verdict == AppendVerdict::kOutOfSequence && batch->next_in_line;
-  if (strange || reply.verdict == AppendVerdict::kFenced) {
+  if (other_writer || reply.verdict == AppendVerdict::kFenced) {
     Close();
-    return lost_();
+    return on_lost_();
   }
-  executor_.RunAfter(options_.retry, [weak = weak_from_this(), sequence] {
+  executor_.RunAfter(options_.retry_delay, [weak = weak_from_this(), sequence] {
     const auto self = weak.lock();
     if (!self || self->closed_) return;
     Batch* again = self->Find(sequence);
