--- a/src/cellconfig/cell_config_follower.cc
+++ b/src/cellconfig/cell_config_follower.cc
@@ -20,8 +20,8 @@
 
 void CellConfigFollower::Start() { ReadNewest(); }
 
-void CellConfigFollower::Again(void (CellConfigFollower::*next)()) {
-  executor_.RunAfter(options_.retry, [this, next] { (this->*next)(); });
+void CellConfigFollower::RetryLater(void (CellConfigFollower::*next)()) {
+  executor_.RunAfter(options_.retry_delay, [this, next] { (this->*next)(); });
 }
 
 void CellConfigFollower::ReadNewest() {
@@ -30,12 +30,12 @@
                      if (!update.ok()) {
                        logging::Event(Level::kWarning, "configuration not read",
                                       {{"cause", update.error().message}});
-                       return Again(&CellConfigFollower::ReadNewest);
+                       return RetryLater(&CellConfigFollower::ReadNewest);
                      }
                      cursor_ = update.value().cursor;
                      AcceptWaves(update.value());
                      if (update.value().documents.empty()) {
-                       return Again(&CellConfigFollower::ReadNewest);
+                       return RetryLater(&CellConfigFollower::ReadNewest);
                      }
                      AcceptAll(update.value());
                      ReadChange();
@@ -55,23 +55,25 @@
           AcceptAll(update.value());
           return ReadChange();
         }
-        // The history behind the cursor is gone: only the newest is left.
+        // The history at the cursor has been removed: only the newest state can
+        // be read.
         if (update.error().code == Errc::kInvalid) return ReadNewest();
         if (std::exchange(reachable_, false)) {
           logging::Event(Level::kWarning, "configuration not followed",
                          {{"cause", update.error().message},
                           {"version", std::to_string(config_.version)}});
         }
-        // A stream that nobody can read on from here would be read for ever.
+        // Retrying from the same cursor would fail on an unreadable record
+        // forever.
         const bool unreadable = update.error().code == Errc::kMalformed;
-        Again(unreadable ? &CellConfigFollower::ReadNewest
-                         : &CellConfigFollower::ReadChange);
+        RetryLater(unreadable ? &CellConfigFollower::ReadNewest
+                              : &CellConfigFollower::ReadChange);
       });
 }
 
 void CellConfigFollower::AcceptAll(const ports::ConfigUpdate& update) {
-  // A bad document may follow a good one that nobody here has seen: that one is
-  // in force then.
+  // A malformed document may follow a valid one that this entry has not seen
+  // yet; the valid one is then in force.
   for (const std::string& document : update.documents) {
     Accept(document, "store");
   }
--- a/src/cellconfig/cell_config_follower.h
+++ b/src/cellconfig/cell_config_follower.h
@@ -12,35 +12,36 @@
 namespace mimosarail::cellconfig {
 
 struct FollowerOptions {
-  /// How long one look waits for a change. A connection that goes silent is
-  /// noticed within this and the timeout, well before a change must be in
-  /// force (2 s).
+  /// How long one read waits for a change. A connection that has stopped
+  /// responding is detected within this time plus the timeout, well before a
+  /// change must be in force (2 s).
   Millis wait{900};
   Millis timeout{500};
-  Millis retry{150};
+  Millis retry_delay{150};
 };
 
-/// Keeps the newest configuration of the cell. It never goes back: an older
-/// version than the one known is ignored, wherever it comes from. A document
-/// that does not decode leaves the one in force. Control thread only.
+/// Keeps the newest configuration of the cell. The version never decreases: an
+/// older version than the known one is ignored, wherever it comes from. A
+/// document that does not decode leaves the current one in force. Control
+/// thread only.
 class CellConfigFollower {
  public:
-  /// `changed` runs after each new version. Executor, port and faults outlive
-  /// it.
+  /// `changed` runs after each new version. The executor, the port and the
+  /// reporter outlive this object.
   CellConfigFollower(Executor& executor, ports::CellConfigPort& port,
                      faults::MalformedRecordReporter& bad_records,
                      FollowerOptions options, std::function<void()> changed);
 
   void Start();
-  /// A document that another entry passed on.
+  /// Accepts a document that another entry passed on, if it is newer.
   void Offer(const std::string& document);
 
-  /// Whether the store answered this entry's last look.
+  /// Whether the store answered this entry's last read for changes.
   bool reachable() const { return reachable_; }
   bool known() const { return config_.version > 0; }
   const ports::CellConfig& config() const { return config_; }
   const std::string& document() const { return document_; }
-  /// Every maintenance wave that was asked for, by its number.
+  /// All requested maintenance waves, by number.
   const std::map<int64_t, ports::WaveRequest>& waves() const { return waves_; }
 
  private:
@@ -49,7 +50,7 @@
   void AcceptAll(const ports::ConfigUpdate& update);
   void Accept(const std::string& document, const char* source);
   void AcceptWaves(const ports::ConfigUpdate& update);
-  void Again(void (CellConfigFollower::*next)());
+  void RetryLater(void (CellConfigFollower::*next)());
 
   Executor& executor_;
   ports::CellConfigPort& port_;
