--- a/tests/journal_test.cc
+++ b/tests/journal_test.cc
@@ -15,32 +15,32 @@
 
 constexpr const char* kTable = "t";
 constexpr uint64_t kSeeds = 200;
-uint64_t seeds_with_several = 0;
+uint64_t seeds_with_concurrent_appends = 0;
 
-/// A store whose answers take any time and overtake each other, which leaves
-/// some appends undone and the answers of others out.
-class UnrulyStore final : public ports::RecordStorePort {
+/// A store with random delays, so that calls and answers overtake each other.
+/// It refuses some appends and loses the answers to others.
+class FaultyStore final : public ports::RecordStorePort {
  public:
-  UnrulyStore(sim::ManualClock& clock, StoreFake& store, uint64_t seed)
+  FaultyStore(sim::ManualClock& clock, StoreFake& store, uint64_t seed)
       : clock_(clock), store_(store), random_(seed) {}
 
-  bool unruly = true;
+  bool faulty = true;
 
   void Append(const ports::AppendCall& call, Millis timeout,
               std::function<void(ports::AppendReply)> done) override {
-    const uint64_t luck = unruly ? random_() % 100 : 100;
-    const Millis there(50 + random_() % 200);
-    const Millis back(50 + random_() % 200);
-    if (luck < 8) {
-      return clock_.At(clock_.now() + back, [done] {
+    const uint64_t roll = faulty ? random_() % 100 : 100;
+    const Millis call_delay(50 + random_() % 200);
+    const Millis reply_delay(50 + random_() % 200);
+    if (roll < 8) {
+      return clock_.At(clock_.now() + reply_delay, [done] {
         done({.verdict = ports::AppendVerdict::kRefused, .detail = "busy"});
       });
     }
-    const bool lost = luck < 20;
-    clock_.At(clock_.now() + there, [this, call, lost, back, done] {
+    const bool lost = roll < 20;
+    clock_.At(clock_.now() + call_delay, [this, call, lost, reply_delay, done] {
       const ports::AppendReply reply = store_.Append(call);
       if (lost) return;
-      clock_.At(clock_.now() + back, [done, reply] { done(reply); });
+      clock_.At(clock_.now() + reply_delay, [done, reply] { done(reply); });
     });
     if (!lost) return;
     clock_.At(clock_.now() + timeout, [done] {
@@ -58,20 +58,21 @@
   std::mt19937_64 random_;
 };
 
-/// A store that each append takes its own time to get to, in turn.
-class UnevenStore final : public ports::RecordStorePort {
+/// A store that delays each append by the next of the given call delays.
+class DelayingStore final : public ports::RecordStorePort {
  public:
-  UnevenStore(sim::ManualClock& clock, StoreFake& store,
-              std::deque<Millis> ways)
-      : clock_(clock), store_(store), ways_(std::move(ways)) {}
+  DelayingStore(sim::ManualClock& clock, StoreFake& store,
+                std::deque<Millis> call_delays)
+      : clock_(clock), store_(store), call_delays_(std::move(call_delays)) {}
 
   void Append(const ports::AppendCall& call, Millis,
               std::function<void(ports::AppendReply)> done) override {
-    const Millis there = ways_.empty() ? kWay : ways_.front();
-    if (!ways_.empty()) ways_.pop_front();
-    clock_.At(clock_.now() + there, [this, call, done] {
+    const Millis call_delay =
+        call_delays_.empty() ? kDefaultDelay : call_delays_.front();
+    if (!call_delays_.empty()) call_delays_.pop_front();
+    clock_.At(clock_.now() + call_delay, [this, call, done] {
       const ports::AppendReply reply = store_.Append(call);
-      clock_.At(clock_.now() + kWay, [done, reply] { done(reply); });
+      clock_.At(clock_.now() + kDefaultDelay, [done, reply] { done(reply); });
     });
   }
   void ReadNewest(const std::string&, const std::string&, Millis,
@@ -80,42 +81,42 @@
                 Callback<ports::TailReply>) override {}
 
  private:
-  static constexpr Millis kWay{2};
+  static constexpr Millis kDefaultDelay{2};
   sim::ManualClock& clock_;
   StoreFake& store_;
-  std::deque<Millis> ways_;
+  std::deque<Millis> call_delays_;
 };
 
 }  // namespace
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// The store is slow, loses answers and turns appends away while several are
-/// under way, which overtake each other. What a caller was told is stored must
-/// be there, a later value never gives way to an earlier one, and the writer
-/// must not take its own disorder for another writer.
+/// The store is slow, loses answers and refuses appends while several appends
+/// are in flight and overtake each other. Guards against records that are
+/// reported as stored but missing, values overwritten by earlier ones, and a
+/// writer that takes its own reordered appends for those of another writer.
 BOOST_DATA_TEST_CASE(RecordsAreStoredInOrder,
                      boost::unit_test::data::xrange(kSeeds), seed) {
   sim::ManualClock clock;
   sim::ManualExecutor executor(clock);
   StoreFake fake(clock);
-  UnrulyStore store(clock, fake, seed);
+  FaultyStore store(clock, fake, seed);
   std::mt19937_64 random(seed + 1);
   bool lost = false;
-  int told = 0;
+  int reported = 0;
   const auto journal = std::make_shared<journal::Journal>(
       executor, store,
       journal::JournalOptions{.table = kTable, .writer = "w", .epoch = 1},
       [&lost] { lost = true; });
   journal->Open([] {});
   constexpr int kPuts = 200;
-  size_t most_under_way = 0;
+  size_t max_in_flight = 0;
   const int64_t before = journal->appends();
   for (int i = 1; i <= kPuts; ++i) {
     const std::string key = "k" + std::to_string(random() % 5);
     journal->Put(key, std::to_string(i));
-    journal->WhenStored([&fake, &told, key, i](bool stored) {
-      ++told;
+    journal->WhenStored([&fake, &reported, key, i](bool stored) {
+      ++reported;
       BOOST_TEST(stored);
       const auto& records = fake.Records(kTable);
       const auto found = records.find(key);
@@ -123,62 +124,64 @@
       BOOST_TEST(std::stoi(found->second) >= i);
     });
     clock.RunFor(Millis(random() % 40));
-    most_under_way = std::max(most_under_way, journal->in_flight());
+    max_in_flight = std::max(max_in_flight, journal->in_flight());
   }
-  store.unruly = false;
+  store.faulty = false;
   clock.RunFor(Millis(20000));
   BOOST_TEST(!lost);
-  BOOST_TEST(told == kPuts);
+  BOOST_TEST(reported == kPuts);
   BOOST_TEST(journal->appends() > before);
-  if (most_under_way > 1) ++seeds_with_several;
+  if (max_in_flight > 1) ++seeds_with_concurrent_appends;
 }
 
-/// The schedules above do what they are for: most have several appends under
-/// way at a time.
+/// Guards against fault schedules above that do not test concurrency: most must
+/// have several appends in flight at a time.
 BOOST_AUTO_TEST_CASE(MostFaultSchedulesHadConcurrentAppends) {
-  BOOST_TEST(seeds_with_several > kSeeds * 9 / 10);
+  BOOST_TEST(seeds_with_concurrent_appends > kSeeds * 9 / 10);
 }
 
-/// Guards against records told as stored that an overtaken append lost.
+/// Guards against records that are reported as stored although their append was
+/// overtaken by a later one and refused.
 BOOST_AUTO_TEST_CASE(OvertakenAppendIsNotReportedAsStored) {
-  constexpr Millis kSlowFence{150};
-  constexpr Millis kLate{400};
-  constexpr Millis kFast{10};
+  constexpr Millis kFenceDelay{150};
+  constexpr Millis kLongDelay{400};
+  constexpr Millis kShortDelay{10};
   sim::ManualClock clock;
   sim::ManualExecutor executor(clock);
   StoreFake fake(clock);
-  UnevenStore store(clock, fake, {kSlowFence, kLate, kFast});
+  DelayingStore store(clock, fake, {kFenceDelay, kLongDelay, kShortDelay});
   const auto journal = std::make_shared<journal::Journal>(
       executor, store,
       journal::JournalOptions{.table = kTable, .writer = "w", .epoch = 1},
       [] {});
   journal->Open([] {});
-  clock.RunFor(2 * kSlowFence);
-  int told = 0;
+  clock.RunFor(2 * kFenceDelay);
+  int reported = 0;
   for (const char* key : {"first", "second"}) {
     journal->Put(key, "value");
-    journal->WhenStored([&fake, &told, key](bool stored) {
-      ++told;
+    journal->WhenStored([&fake, &reported, key](bool stored) {
+      ++reported;
       BOOST_TEST(fake.Records(kTable).count(key) == (stored ? 1U : 0U));
     });
-    clock.RunFor(kSlowFence);
+    clock.RunFor(kFenceDelay);
   }
   clock.RunFor(Millis(5000));
-  BOOST_TEST(told == 2);
-  // The fence and two appends, of which one came too early.
+  BOOST_TEST(reported == 2);
+  // The fence and two appends, one of which overtook the other and was sent
+  // again.
   BOOST_TEST(journal->appends() > 3);
   BOOST_TEST(fake.Records(kTable).size() == 2U);
 }
 
-/// Another writer has taken over while several appends are under way: each of
-/// them is refused, the loss is told once, and whoever waits is told that it is
-/// not known what became of it.
+/// Another writer takes over while several appends are in flight, and each of
+/// them is refused. Guards against a loss that is reported more than once, and
+/// against waiting callbacks that are not told that the outcome is in doubt.
 BOOST_AUTO_TEST_CASE(LostJournalOwnershipIsReportedOnce) {
   sim::ManualClock clock;
   sim::ManualExecutor executor(clock);
   StoreFake fake(clock);
-  UnrulyStore store(clock, fake, 1);
-  store.unruly = false;
+  FaultyStore store(clock, fake, 1);
+  store.faulty = false;
   int lost = 0;
   int unknown = 0;
   const auto journal = std::make_shared<journal::Journal>(
--- a/tests/leader_partition_test.cc
+++ b/tests/leader_partition_test.cc
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr Millis kStartupTime{5000};
-/// A next leader counts on it that the one before gives no order later than
-/// this after the next one's claim.
-constexpr Millis kEarlierLeader{2000};
-constexpr Millis kTakeOver{6000};
+/// A new leader relies on its predecessor giving no orders later than this
+/// after the new leader's claim.
+constexpr Millis kPredecessorLease{2000};
+constexpr Millis kFailoverTimeout{6000};
 constexpr Millis kPollInterval{10};
 
-/// Runs until another entry leads; false if none does in time.
+/// Runs until an entry other than `before` leads; false if none does in time.
 bool RunUntilNewLeader(JobCell& cell, const std::string& before) {
-  const TimePoint limit = cell.clock().now() + kTakeOver;
+  const TimePoint limit = cell.clock().now() + kFailoverTimeout;
   while (cell.clock().now() < limit) {
     const std::string leader = cell.Leader();
     if (!leader.empty() && leader != before) return true;
@@ -29,18 +29,19 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Guards against a leader that takes a late answer of the store for a new one.
+/// Guards against a leader whose lease is extended by a late answer of the
+/// store: the answer confirms leadership only as of the time of the call.
 BOOST_AUTO_TEST_CASE(DelayedStoreReplyDoesNotRenewLeadership) {
-  constexpr Millis kAnswerLateBy{1450};
-  constexpr int kMoments = 40;  // a period of renewals
+  constexpr Millis kReplyDelay{1450};
+  constexpr int kMoments = 40;  // one renewal period
   constexpr Millis kStep{5};
   for (int moment = 0; moment < kMoments; ++moment) {
-    BOOST_TEST_CONTEXT("cut off after " << moment << " steps") {
+    BOOST_TEST_CONTEXT("partitioned after " << moment << " steps") {
       JobCell cell({});
       cell.RunFor(kStartupTime + moment * kStep);
       const std::string old = cell.Leader();
       StoreFaults& store = cell.store().faults();
-      store.append_reply_delays[old] = kAnswerLateBy;
+      store.append_reply_delays[old] = kReplyDelay;
       cell.SetIsolated(old, true);
       std::set<std::string> island{old};
       for (const std::string& id : cell.upstreams().ids()) island.insert(id);
@@ -50,13 +51,15 @@
       cell.RunFor(Millis(50));
       store.partitioned_entries.insert(old);
       BOOST_REQUIRE(RunUntilNewLeader(cell, old));
-      cell.RunFor(kEarlierLeader);
+      cell.RunFor(kPredecessorLease);
       BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
     }
   }
 }
 
-/// Guards against a task at two places, as one other entry greets the leader.
+/// Guards against a task that runs at two upstreams: a partitioned leader must
+/// not keep its lease by the heartbeats of one other entry in its partition
+/// while the rest of the cell has another leader.
 BOOST_AUTO_TEST_CASE(HeartbeatFromPartitionedEntryDoesNotConfirmLeader) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -73,22 +76,23 @@
   }
   cell.SetPartition({old, other}, {upstream});
   BOOST_REQUIRE(RunUntilNewLeader(cell, old));
-  // However long it lasts.
+  // The heartbeats do not extend the lease however long the partition lasts.
   cell.RunFor(Millis(60000));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
-  // The part of the cell that reaches the store goes on with the task.
+  // The part of the cell that reaches the store restarts the task.
   BOOST_TEST(cell.upstreams().Starts(task) == 2);
   cell.SetPartition({}, {});
   cell.RunFor(Millis(5000));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// Guards against the same right after a take-over, when few have greeted.
+/// Guards against the same right after a failover, when only few entries have
+/// sent a heartbeat to the new leader.
 BOOST_AUTO_TEST_CASE(EntriesWithoutHeartbeatToNewLeaderCountTowardMajority) {
   constexpr Millis kStep{20};
-  constexpr int kMoments = 15;  // beyond a period of greetings
+  constexpr int kMoments = 15;  // longer than one heartbeat interval
   for (int moment = 0; moment < kMoments; ++moment) {
-    BOOST_TEST_CONTEXT("cut off after " << moment << " steps") {
+    BOOST_TEST_CONTEXT("partitioned after " << moment << " steps") {
       JobCell cell({.entries = 6});
       cell.RunFor(kStartupTime);
       const std::string first = cell.Leader();
@@ -116,7 +120,8 @@
   }
 }
 
-/// Guards against the same with most entries cut off from the store.
+/// Guards against the same while most entries, including the leader, are
+/// partitioned from the store.
 BOOST_AUTO_TEST_CASE(MajorityPartitionedFromStoreDoesNotConfirmLeader) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -136,7 +141,8 @@
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// Guards against a denied job that a leader nearer to the store has accepted.
+/// Guards against a partitioned leader that reports a job as unknown although
+/// its successor, which reaches the store, has accepted the job.
 BOOST_AUTO_TEST_CASE(LeaderWithoutStoreDoesNotReportJobAsUnknown) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -157,16 +163,18 @@
   cell.Submit(outside, OneStepJob(2, 1, 1000));
   cell.RunFor(Millis(4000));
   BOOST_REQUIRE(cell.accepted(2));
-  std::optional<coordinator::JobVerdict> told;
+  std::optional<coordinator::JobVerdict> verdict;
   cell.entry(old)->State(2, Millis(2000), [&](const jobentry::JobAnswer& it) {
-    told = it.verdict;
+    verdict = it.verdict;
   });
   cell.RunFor(Millis(2500));
-  BOOST_REQUIRE(told.has_value());
-  BOOST_TEST((*told != coordinator::JobVerdict::kNoSuchJob));
+  BOOST_REQUIRE(verdict.has_value());
+  BOOST_TEST((*verdict != coordinator::JobVerdict::kNoSuchJob));
 }
 
-/// Guards against work lost in an outage, as entries have ended before it.
+/// Guards against a leader that loses its lease and its running tasks in a
+/// store outage because entries that ended earlier still count toward the
+/// majority.
 BOOST_AUTO_TEST_CASE(EntriesStoppedBeforeStoreOutageDoNotCountTowardMajority) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -191,22 +199,23 @@
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// Guards against deposing a leader before it is told that it leads.
+/// Guards against replacing a leader that does not know yet that its claim was
+/// stored, since the store's answer is late.
 BOOST_AUTO_TEST_CASE(LeaderNotYetAwareOfElectionIsNotReplaced) {
-  constexpr Millis kLate{850};  // less than a claim is waited for
+  constexpr Millis kReplyDelay{850};  // below the timeout of a claim
   int claimed = 0;
   for (int number = 0; number < 6; ++number) {
-    BOOST_TEST_CONTEXT("entry " << number << " is answered late") {
+    BOOST_TEST_CONTEXT("store replies to entry " << number << " are late") {
       JobCell cell({.entries = 6});
       cell.RunFor(kStartupTime);
       const std::string first = cell.Leader();
       const int64_t term = cell.entry(first)->leadership().term();
       const std::string claimer = cell.names()[static_cast<size_t>(number)];
       if (claimer == first) continue;
-      cell.store().faults().append_reply_delays[claimer] = kLate;
+      cell.store().faults().append_reply_delays[claimer] = kReplyDelay;
       cell.Kill(first);
       std::string follower;
-      const TimePoint limit = cell.clock().now() + kTakeOver;
+      const TimePoint limit = cell.clock().now() + kFailoverTimeout;
       while (follower.empty() && cell.clock().now() < limit) {
         cell.RunFor(kPollInterval);
         for (const std::string& name : cell.names()) {
@@ -216,7 +225,7 @@
       }
       BOOST_REQUIRE(!follower.empty());
       const wire::Member leader = cell.entry(follower)->leadership().leader();
-      if (leader.name != claimer) continue;  // another was faster
+      if (leader.name != claimer) continue;  // another entry claimed first
       ++claimed;
       cell.store().faults().append_reply_delays.clear();
       cell.RunFor(kStartupTime);
@@ -227,7 +236,8 @@
   BOOST_TEST(claimed > 0);
 }
 
-/// Guards against a change of leaders because the store is slow for all.
+/// Guards against replacing a leader because the store becomes gradually slower
+/// for all entries.
 BOOST_AUTO_TEST_CASE(LeaderWithDelayedRenewalsIsNotReplaced) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -245,10 +255,11 @@
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
 }
 
-/// Guards against the same again and again where it becomes slow at once.
+/// Guards against repeated failovers when the store becomes slow for all
+/// entries at once.
 BOOST_AUTO_TEST_CASE(SuddenStoreLatencyCausesAtMostOneTakeover) {
   for (const Millis late : {Millis(500), Millis(700)}) {
-    BOOST_TEST_CONTEXT("appends are answered late by " << late.count()) {
+    BOOST_TEST_CONTEXT("append replies delayed by " << late.count() << " ms") {
       JobCell cell({});
       cell.RunFor(kStartupTime);
       const std::string leader = cell.Leader();
@@ -262,8 +273,8 @@
   }
 }
 
-/// Guards against an outage of the store that ends what runs, with an entry
-/// dead.
+/// Guards against a leader that loses its lease and its running tasks in a
+/// store outage when one entry dies, although most entries still follow it.
 BOOST_AUTO_TEST_CASE(MajorityKeepsLeaderDuringStoreOutage) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -11,16 +11,17 @@
 namespace mimosarail::jobsim {
 namespace {
 
-constexpr Millis kSilence{750};
+/// Longer than the time after which a leader is suspected.
+constexpr Millis kUnresponsiveTime{750};
 
-/// Greetings to other entries, which the test answers when and as it likes.
+/// Collects heartbeats to other entries, which the test answers itself.
 class ManualPeerPort final : public leadership::JobPeerPort {
  public:
   using Done = Callback<wire::HeartbeatReply>;
 
   void Heartbeat(const std::string& address, const wire::HeartbeatCall&, Millis,
                  Done done) override {
-    held[address].push_back(std::move(done));
+    pending[address].push_back(std::move(done));
   }
   void Announce(const std::string&, const wire::AnnounceCall&, Millis,
                 Callback<wire::AnnounceReply>) override {}
@@ -35,15 +36,15 @@
   void Advise(const std::string&, const wire::AdviseCall&, Millis,
               Callback<wire::AdviseReply>) override {}
 
-  /// Answers the oldest greeting to this address. Precondition: there is one.
+  /// Answers the oldest heartbeat to this address. Precondition: there is one.
   void Answer(const std::string& address, Result<wire::HeartbeatReply> reply) {
-    std::vector<Done>& waiting = held.at(address);
+    std::vector<Done>& waiting = pending.at(address);
     const Done done = std::move(waiting.front());
     waiting.erase(waiting.begin());
     done(std::move(reply));
   }
 
-  std::map<std::string, std::vector<Done>> held;
+  std::map<std::string, std::vector<Done>> pending;
 };
 
 wire::Member MemberAt(const std::string& name) {
@@ -54,7 +55,7 @@
   return out;
 }
 
-wire::AnnounceCall Lead(int64_t term, const std::string& name) {
+wire::AnnounceCall LeaderRecord(int64_t term, const std::string& name) {
   wire::AnnounceCall out;
   out.term = term;
   out.leader = MemberAt(name);
@@ -96,23 +97,24 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Guards against deposing a leader by what it said before its claim.
+/// Guards against replacing a leader because of an answer that it gave before
+/// its claim.
 BOOST_FIXTURE_TEST_CASE(ReplyFromBeforeElectionIsNotAResignation, Fixture) {
-  Store(Lead(1, "old"));
+  Store(LeaderRecord(1, "old"));
   self.Start();
   clock.RunFor(Millis(100));
   BOOST_REQUIRE_EQUAL(self.leader().name, "old");
-  clock.RunFor(kSilence);
-  // The greeting to the silent leader ends without an answer.
-  for (int i = 0; i < 10 && peers.held["next:1"].empty(); ++i) {
-    while (!peers.held["old:1"].empty()) {
+  clock.RunFor(kUnresponsiveTime);
+  // The heartbeats to the unresponsive leader time out.
+  for (int i = 0; i < 10 && peers.pending["next:1"].empty(); ++i) {
+    while (!peers.pending["old:1"].empty()) {
       peers.Answer("old:1", Result<wire::HeartbeatReply>(Errc::kTimeout));
     }
     clock.RunFor(Millis(60));
   }
-  BOOST_REQUIRE(!peers.held["next:1"].empty());
-  Store(Lead(2, "next"));
-  self.OnAnnounce(Lead(2, "next"));
+  BOOST_REQUIRE(!peers.pending["next:1"].empty());
+  Store(LeaderRecord(2, "next"));
+  self.OnAnnounce(LeaderRecord(2, "next"));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
   clock.RunFor(Millis(450));
   wire::HeartbeatReply before;
@@ -124,13 +126,13 @@
   BOOST_TEST(self.term() == 2);
 }
 
-/// Guards against waiting for a leader that says itself that it has given up.
+/// Guards against waiting for a leader that reports that it has resigned.
 BOOST_FIXTURE_TEST_CASE(ResignationTriggersElection, Fixture) {
-  Store(Lead(1, "next"));
+  Store(LeaderRecord(1, "next"));
   self.Start();
   clock.RunFor(Millis(500));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
-  BOOST_REQUIRE(!peers.held["next:1"].empty());
+  BOOST_REQUIRE(!peers.pending["next:1"].empty());
   wire::HeartbeatReply resigned;
   resigned.term = 1;
   peers.Answer("next:1", resigned);
@@ -138,24 +140,24 @@
   BOOST_TEST(self.leading());
 }
 
-/// Guards against waiting for a leader whose process has started anew.
+/// Guards against waiting for a leader whose process has restarted.
 BOOST_FIXTURE_TEST_CASE(RestartedLeaderProcessTriggersElection, Fixture) {
-  Store(Lead(1, "next"));
+  Store(LeaderRecord(1, "next"));
   self.Start();
   clock.RunFor(Millis(100));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
-  wire::HeartbeatReply leads;
-  leads.leading = true;
-  leads.term = 1;
-  leads.leader = MemberAt("next");
-  leads.store_reachable = true;
+  wire::HeartbeatReply leading;
+  leading.leading = true;
+  leading.term = 1;
+  leading.leader = MemberAt("next");
+  leading.store_reachable = true;
   for (int i = 0; i < 12; ++i) {
-    while (!peers.held["next:1"].empty()) peers.Answer("next:1", leads);
+    while (!peers.pending["next:1"].empty()) peers.Answer("next:1", leading);
     clock.RunFor(Millis(100));
   }
   BOOST_REQUIRE(!self.leading());
   for (int i = 0; i < 4 && !self.leading(); ++i) {
-    while (!peers.held["next:1"].empty()) {
+    while (!peers.pending["next:1"].empty()) {
       peers.Answer("next:1", wire::HeartbeatReply());
     }
     clock.RunFor(Millis(100));
@@ -163,34 +165,34 @@
   BOOST_TEST(self.leading());
 }
 
-/// Guards against trust from greetings and renewals that waited for a frozen
-/// one.
+/// Guards against a leader lease that is extended by heartbeats and renewals
+/// that were queued while the leader's process was paused.
 BOOST_AUTO_TEST_CASE(MessagesQueuedDuringPauseDoNotConfirmLeader) {
-  constexpr int kMoments = 210;  // more than one period of renewals
+  constexpr int kMoments = 210;  // in ms, more than one renewal period
   for (int moment = 0; moment < kMoments; ++moment) {
-    BOOST_TEST_CONTEXT("stands still after " << moment << " ms") {
+    BOOST_TEST_CONTEXT("paused after " << moment << " ms") {
       Fixture cell;
       cell.self.Start();
       cell.clock.RunFor(Millis(1000 + moment));
-      const auto greet_all = [&cell] {
+      const auto send_heartbeats = [&cell] {
         for (const char* name : {"a", "b", "c"}) {
-          wire::HeartbeatCall greeting;
-          greeting.caller = MemberAt(name);
-          greeting.term = 1;
-          cell.self.OnHeartbeat(greeting);
+          wire::HeartbeatCall heartbeat;
+          heartbeat.caller = MemberAt(name);
+          heartbeat.term = 1;
+          cell.self.OnHeartbeat(heartbeat);
         }
       };
-      greet_all();
+      send_heartbeats();
       BOOST_REQUIRE(cell.self.lease_valid());
       cell.executor.Pause();
       cell.clock.RunFor(Millis(5000));
       cell.fake.faults().down = true;
       cell.executor.Resume();
-      greet_all();
+      send_heartbeats();
       BOOST_TEST(!cell.self.lease_valid());
       cell.clock.RunFor(Millis(1));
       BOOST_TEST(!cell.self.lease_valid());
-      greet_all();
+      send_heartbeats();
       BOOST_TEST(!cell.self.lease_valid());
     }
   }
