--- a/src/coordinator/advice_lanes.cc
+++ b/src/coordinator/advice_lanes.cc
@@ -12,29 +12,30 @@
            addresses.end();
   });
   for (const std::string& address : addresses) lanes_.try_emplace(address);
-  Keep(now);
+  UpdateUrgentLanes(now);
 }
 
-void AdviceLanes::Keep(TimePoint now) {
+void AdviceLanes::UpdateUrgentLanes(TimePoint now) {
   const auto in_use =
       std::count_if(lanes_.begin(), lanes_.end(), [](const auto& lane) {
         return lane.second.busy && lane.second.urgent_call;
       });
-  const std::chrono::duration<double> aged = now - peak_at_;
-  const std::chrono::duration<double> memory = kPeakDecay;
+  const std::chrono::duration<double> elapsed = now - peak_at_;
+  const std::chrono::duration<double> decay = kPeakDecay;
   urgent_peak_ = std::max(static_cast<double>(in_use),
-                          urgent_peak_ * std::exp(-(aged / memory)));
+                          urgent_peak_ * std::exp(-(elapsed / decay)));
   peak_at_ = now;
   const auto count = static_cast<double>(lanes_.size());
-  const int most =
+  const int max_reserved =
       lanes_.size() < 2 ? 0 : static_cast<int>(std::ceil(kUrgentShare * count));
-  int kept = std::min(
-      most, static_cast<int>(std::ceil(urgent_peak_)) + kUrgentHeadroom);
-  for (auto& [address, lane] : lanes_) lane.urgent = kept-- > 0;
+  int reserved =
+      std::min(max_reserved,
+               static_cast<int>(std::ceil(urgent_peak_)) + kUrgentHeadroom);
+  for (auto& [address, lane] : lanes_) lane.urgent = reserved-- > 0;
 }
 
 scheduling::AdviceBudget AdviceLanes::Budget(TimePoint now) {
-  Keep(now);
+  UpdateUrgentLanes(now);
   scheduling::AdviceBudget out;
   for (const auto& [address, lane] : lanes_) {
     if (lane.busy || now < lane.backoff_until) continue;
--- a/src/coordinator/advice_lanes.h
+++ b/src/coordinator/advice_lanes.h
@@ -12,7 +12,7 @@
 
 namespace mimosarail::coordinator {
 
-/// Has one entry call the adviser. Control thread only.
+/// Sends calls to the adviser through a given entry. Control thread only.
 class AdviceCaller {
  public:
   virtual ~AdviceCaller() = default;
@@ -21,38 +21,45 @@
                    Callback<ports::Advice> done) = 0;
 };
 
-/// Which entries call the adviser now. It serves the calls of one machine one
-/// by one, so each entry is a lane that carries one call at a time; some lanes
-/// are kept for urgent work, whose calls of 10 ms would otherwise stand behind
-/// calls of 400 ms and more. Not thread-safe.
+/// Tracks which entries are calling the adviser. The adviser serves the calls
+/// of one machine one at a time, so each entry is a lane that carries one call
+/// at a time. Some lanes are reserved for urgent work, whose calls take 10 ms
+/// and would otherwise queue behind calls of 400 ms and more. Not thread-safe.
 class AdviceLanes {
  public:
   void SetEntries(const std::vector<std::string>& addresses, TimePoint now);
   scheduling::AdviceBudget Budget(TimePoint now);
-  /// Takes a free lane; empty if there is none for this priority.
+  /// Occupies a free lane and returns its address; empty if there is none for
+  /// this priority.
   std::string Take(int32_t priority, TimePoint now);
-  /// Gives it back; one whose call failed rests.
+  /// Releases a lane. A lane whose call failed is not used for
+  /// kFailureBackoff.
   void Free(const std::string& address, bool failed, TimePoint now);
 
-  /// Most lanes kept for urgent work. Two of seven kept late urgent work in
-  /// bursts from 94 to 4 of 154 jobs; none kept or half kept did worse.
+  /// Largest share of the lanes that is reserved for urgent work. In bursts of
+  /// urgent work, two of seven reduced the late jobs from 94 to 4 of 154;
+  /// reserving none or half of the lanes did worse.
   static constexpr double kUrgentShare = 2.0 / 7;
-  /// Kept beside the most that urgent work used lately: with 36 lanes, 9 of the
-  /// 11 that the share alone kept stood idle while gangs waited for one.
+  /// Lanes reserved in addition to the recent peak of urgent calls. The share
+  /// alone reserved 11 of 36 lanes, 9 of which were idle while gangs waited for
+  /// a lane.
   static constexpr int kUrgentHeadroom = 2;
-  /// The most that was used counts for e times less after this.
+  /// Time constant of the exponential decay of the recent peak of urgent
+  /// calls.
   static constexpr Millis kPeakDecay{8000};
   /// A lane whose call failed is not used for this long.
   static constexpr Millis kFailureBackoff{700};
 
  private:
-  /// Sets which lanes are kept, by what urgent work has used lately.
-  void Keep(TimePoint now);
+  /// Selects the lanes reserved for urgent work by the recent peak of urgent
+  /// calls.
+  void UpdateUrgentLanes(TimePoint now);
 
   struct Lane {
     bool busy = false;
+    /// Reserved for urgent work.
     bool urgent = false;
-    /// Its call is for urgent work.
+    /// The current call is for urgent work.
     bool urgent_call = false;
     TimePoint backoff_until{};
   };
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -1,5 +1,5 @@
-// The part of Coordinator that answers callers: jobs handed in, asked for and
-// cancelled.
+// The part of Coordinator that answers callers: submits, queries and cancels
+// jobs.
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 using logging::Text;
 using scheduling::Orders;
 
-/// Callers come back after this when the store is away.
+/// Callers retry after this when the store is unavailable.
 constexpr int64_t kRetryAfterMs = 1000;
 
 wire::SubmitJobReply SubmitReply(JobVerdict verdict, int64_t retry_after = 0) {
@@ -56,24 +56,25 @@
   }
   const auto waiting = pending_submissions_.find(id);
   if (waiting == pending_submissions_.end()) {
-    const bool store_away =
+    const bool store_unavailable =
         journal_->stalled_for() > options_.append_stall_timeout;
-    if (store_away ||
+    if (store_unavailable ||
         scheduler_.jobs() + pending_submissions_.size() >= options_.max_jobs) {
       logging::Event(
           Level::kWarning, "job refused",
           {{"job", JobIdText(id)},
            {"store_stalled_ms", Text(journal_->stalled_for().count())},
            {"jobs", Text(static_cast<int64_t>(scheduler_.jobs()))}});
-      return done(SubmitReply(
-          store_away ? JobVerdict::kStoreUnavailable : JobVerdict::kRefused,
-          kRetryAfterMs));
+      return done(SubmitReply(store_unavailable ? JobVerdict::kStoreUnavailable
+                                                : JobVerdict::kRefused,
+                              kRetryAfterMs));
     }
     wire::JobSpec stored = spec;
     stored.accepted_unix_ms = deps_.executor.UnixMillis();
     std::string record = rpc::Encode(stored);
     if (!Storable(SpecKey(id), record)) {
-      // The store would refuse each append with it, and so all behind it.
+      // The store would refuse every append that contains this record, and
+      // thereby block all records behind it.
       logging::Event(Level::kWarning, "job refused",
                      {{"job", JobIdText(id)},
                       {"cause", "its record is too large for the store"},
@@ -110,10 +111,10 @@
   return once;
 }
 
-void Coordinator::RefuseUnsent() {
-  const Millis patience =
+void Coordinator::RefuseUnsentJobs() {
+  const Millis stall_timeout =
       std::max(options_.unsent_job_timeout, 2 * journal_->last_took());
-  if (journal_->stalled_for() <= patience) return;
+  if (journal_->stalled_for() <= stall_timeout) return;
   for (auto at = pending_submissions_.begin();
        at != pending_submissions_.end();) {
     if (!journal_->Withdraw(SpecKey(at->first))) {
@@ -155,9 +156,10 @@
 }
 
 JobVerdict Coordinator::VerdictOnUnknownJob() const {
-  // Without the store's word this leader may have a successor, which took jobs
-  // that are not known here, whatever other entries say. The caller's entry
-  // asks again, and finds who leads.
+  // Without a recent confirmation of the store this leader may have a
+  // successor, which has accepted jobs that are unknown here, even if other
+  // entries still follow this one. The caller's entry repeats the call and
+  // finds the current leader.
   return deps_.lease_confirmed_by_store() ? JobVerdict::kNoSuchJob
                                           : JobVerdict::kNotLeading;
 }
@@ -179,12 +181,12 @@
   }
   const Job* job = scheduler_.Find(id);
   if (job == nullptr) {
-    // Its record is on the way to the store; the caller does not know yet.
-    const bool coming = pending_submissions_.count(id) > 0;
-    return answer(coming ? JobVerdict::kDone : VerdictOnUnknownJob(),
+    // Its record is not stored yet, and the caller has no answer yet.
+    const bool pending = pending_submissions_.count(id) > 0;
+    return answer(pending ? JobVerdict::kDone : VerdictOnUnknownJob(),
                   JobState::kQueued);
   }
-  // A final state is shown only when it is stored.
+  // A final state is reported only once it is stored.
   return answer(JobVerdict::kDone,
                 job->started() ? JobState::kRunning : JobState::kQueued);
 }
@@ -203,7 +205,7 @@
   Orders orders;
   scheduler_.Cancel(id, deps_.executor.Now(), orders);
   deps_.metrics.Count({.name = "jobs_cancelled"});
-  Pump(orders);
+  ExecuteOrders(orders);
   auto once = WithReplyDeadline<wire::CancelJobReply>(
       std::move(done), CancelReply(JobVerdict::kUnknown));
   journal_->WhenStored([once = std::move(once)](bool stored) {
@@ -218,20 +220,24 @@
 
 void Coordinator::ReplyNoSuchJob(
     JobId id, std::function<void(wire::CancelJobReply)> done) {
-  // A leader that stood still wakes up without the jobs that its successor has
-  // taken. Its caller would take "no such job" for the end of one that runs on.
-  // Only an append under its own term shows that nobody has succeeded it; this
-  // one changes nothing, since there is no progress of such a job.
+  // A leader that resumes after a process pause lacks the jobs that its
+  // successor has accepted. A caller would take "no such job" for the end of a
+  // job that still runs. Only an append under the leader's own term proves that
+  // it has no successor. This append changes nothing, since an unknown job has
+  // no progress record.
   journal_->Remove(ProgressKey(id));
   auto once = WithReplyDeadline<wire::CancelJobReply>(
       std::move(done), CancelReply(JobVerdict::kUnknown));
-  journal_->WhenStored([weak = weak_from_this(), id,
-                        once = std::move(once)](bool stored) {
-    const auto self = weak.lock();
-    // Handed in meanwhile, it is there now: the caller asks again.
-    const bool denied = stored && self && !self->closed_ && !self->Knows(id);
-    once(CancelReply(denied ? JobVerdict::kNoSuchJob : JobVerdict::kUnknown));
-  });
+  journal_->WhenStored(
+      [weak = weak_from_this(), id, once = std::move(once)](bool stored) {
+        const auto self = weak.lock();
+        // If the job was submitted meanwhile, the caller has to repeat the
+        // call.
+        const bool no_such_job =
+            stored && self && !self->closed_ && !self->Knows(id);
+        once(CancelReply(no_such_job ? JobVerdict::kNoSuchJob
+                                     : JobVerdict::kUnknown));
+      });
 }
 
 wire::PendingJobsReply Coordinator::Pending(const std::string& queue) const {
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -12,12 +12,13 @@
 using scheduling::Orders;
 
 constexpr Millis kTick{50};
-/// Several changes within this share one pass of placing.
+/// Changes within this time share one placement pass.
 constexpr Millis kPlaceDelay{2};
-/// The steps that wait longest are explained this often, so many at a time.
+/// How often, and for how many of the steps that have waited longest, the
+/// reason for the wait is logged.
 constexpr Millis kExplainPeriod{2000};
 constexpr size_t kExplainedSteps = 4;
-/// What an adviser may take beyond what its queue says.
+/// What an adviser call may take beyond the duration expected for its queue.
 constexpr Millis kAdviceSlack{600};
 
 constexpr int64_t kAttemptsPerTerm = 100000;
@@ -78,7 +79,7 @@
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
   DropSilentUpstreams();
   CheckResolved();
-  RefuseUnsent();
+  RefuseUnsentJobs();
   DropFinalJobs();
   ExplainWaiting();
   PlaceSoon();
@@ -111,13 +112,13 @@
   const TimePoint now = deps_.executor.Now();
   for (auto at = finals_.begin(); at != finals_.end();) {
     auto& [id, job] = *at;
-    if (job.spec_kept && now - job.since > options_.spec_retention &&
+    if (job.spec_stored && now - job.since > options_.spec_retention &&
         (scheduler_.Find(id) == nullptr || scheduler_.Forgettable(id))) {
       scheduler_.Forget(id);
       journal_->Remove(SpecKey(id));
-      job.spec_kept = false;
+      job.spec_stored = false;
     }
-    if (!job.spec_kept && now - job.since > options_.state_retention) {
+    if (!job.spec_stored && now - job.since > options_.state_retention) {
       journal_->Remove(ProgressKey(id));
       at = finals_.erase(at);
     } else {
@@ -130,7 +131,7 @@
   lanes_.SetEntries(addresses, deps_.executor.Now());
 }
 
-void Coordinator::Pump(Orders& orders) {
+void Coordinator::ExecuteOrders(Orders& orders) {
   StoreChanges();
   for (const scheduling::StopOrder& stop : orders.stops) {
     const auto link = links_.find(stop.upstream);
@@ -154,11 +155,12 @@
     link->second->Start(start);
   }
   for (const scheduling::AdviceOrder& ask : orders.advice) SendAdvice(ask);
-  for (const scheduling::LostRun& run : orders.lost) LogLost(run);
-  for (const scheduling::GivenUpTask& task : orders.given_up) LogGivenUp(task);
+  for (const scheduling::LostRun& run : orders.lost) LogLostRun(run);
+  for (const scheduling::GivenUpTask& task : orders.given_up)
+    LogPermanentlyFailed(task);
 }
 
-void Coordinator::LogGivenUp(const scheduling::GivenUpTask& task) {
+void Coordinator::LogPermanentlyFailed(const scheduling::GivenUpTask& task) {
   deps_.metrics.Count({.name = "tasks_given_up"});
   logging::Event(
       Level::kWarning, "task given up",
@@ -169,7 +171,7 @@
         Text(static_cast<int64_t>(task.crashes.other.size()))}});
 }
 
-void Coordinator::LogLost(const scheduling::LostRun& run) {
+void Coordinator::LogLostRun(const scheduling::LostRun& run) {
   const std::string why(scheduling::kUpstreamLossNames.Name(run.why));
   const auto ago = [](const std::optional<Millis>& span) {
     return span ? Text(span->count()) : "never";
@@ -194,7 +196,8 @@
 }
 
 void Coordinator::LogOrphanedRun(scheduling::StopOrder stop) {
-  // The tasks of a final job are forgotten before its state is.
+  // The scheduler forgets the tasks of a final job before its state expires
+  // here.
   const auto final = finals_.find(stop.task.job);
   const bool forgotten = stop.reason == scheduling::StopReason::kUnknownJob &&
                          final != finals_.end();
@@ -227,15 +230,15 @@
     journal_->WhenStored(
         [weak = weak_from_this(), id, state = job->state()](bool stored) {
           const auto self = weak.lock();
-          if (stored && self && !self->closed_) self->Finished(id, state);
+          if (stored && self && !self->closed_) self->OnJobFinished(id, state);
         });
   }
 }
 
-void Coordinator::Finished(JobId id, JobState state) {
+void Coordinator::OnJobFinished(JobId id, JobState state) {
   finals_[id] = {.state = state,
                  .since = deps_.executor.Now(),
-                 .spec_kept = true,
+                 .spec_stored = true,
                  .ended_here = true};
   deps_.metrics.Count(
       {.name = "jobs_ended",
@@ -259,7 +262,7 @@
   const TimePoint now = deps_.executor.Now();
   Orders orders;
   scheduler_.Place(now, lanes_.Budget(now), orders);
-  Pump(orders);
+  ExecuteOrders(orders);
 }
 
 void Coordinator::SendAdvice(const scheduling::AdviceOrder& order) {
@@ -300,7 +303,7 @@
         }
         self->scheduler_.OnAdvice(order,
                                   advice.ok() ? &advice.value() : nullptr, now);
-        // The lane is free and the step may start: no reason to wait.
+        // The lane is free and the step may be able to start now.
         self->PlaceSoon();
       });
 }
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -30,44 +30,50 @@
   int64_t term = 0;
   std::string table = "jobs";
   Millis lease{4000};
-  /// How long an earlier leader may go on unseen.
+  /// How long an earlier leader may keep giving orders without being noticed.
   Millis previous_leader_timeout{2000};
-  /// An upstream that is not listed and has not answered for this long, nor
-  /// within its leases, is over. Cut off until then, it may still come back.
+  /// An upstream that is not listed, has not answered for this long and holds
+  /// no lease any more counts as ended. Until then it may only be unreachable
+  /// and come back.
   Millis dead_upstream_timeout{5000};
-  /// How often the list of upstreams is read. Nothing may start on a draining
-  /// one 2 s after it said so.
+  /// Interval between reads of the list of upstreams. No task may start on a
+  /// draining upstream later than 2 s after it has reported that it drains.
   Millis list_period{250};
-  /// Most jobs that wait; beyond it new ones are refused. One takes some 4 KB.
+  /// Maximum number of jobs kept in memory, those not stored yet included; new
+  /// ones are refused beyond it. A job takes about 4 KB.
   size_t max_jobs = 20000;
-  /// A store that has not answered an append for this long takes no new jobs.
+  /// New jobs are refused once the store has not answered an append for this
+  /// long.
   Millis append_stall_timeout{400};
-  /// Jobs that wait behind an append are taken back after this, or after twice
-  /// what the last append took: a store that is slow, at some 0.4 s an append,
-  /// still takes them, one that is silent does not.
+  /// Jobs that wait behind an unanswered append are withdrawn after this, or
+  /// after twice the duration of the last append if that is longer. A slow
+  /// store, at about 0.4 s an append, thus still takes them; an unresponsive
+  /// one does not.
   Millis unsent_job_timeout{700};
-  /// A caller whose job or cancel is not stored is told "unknown" after this.
+  /// A caller whose job or cancellation is not stored within this time gets
+  /// the verdict "unknown".
   Millis reply_deadline{900};
-  /// A final job's tasks may still be listed as running for this long.
+  /// How long the spec of a final job is kept, since its tasks may still be
+  /// listed as running.
   Millis spec_retention{15000};
-  /// How long the state of a final job is told.
+  /// How long the state of a final job can be queried.
   Millis state_retention{150000};
-  /// Name of this entry, as the platform's API of hosts is told.
+  /// Name under which this entry calls the platform's host API.
   std::string holder;
-  /// How long a host is away for its upkeep, and how many calls a second its
-  /// API takes.
+  /// How long a host is unavailable during its maintenance.
   Millis maintenance_duration{2000};
+  /// Rates of calls that the host API accepts.
   double host_lists_per_s = 10;
   double host_orders_per_s = 10;
-  /// Leaders that order the same host within this take turns, which is ruled
-  /// out: a new one waits this long.
+  /// Two leaders must not give orders to the same host within this time of each
+  /// other, so a new leader waits this long.
   Millis holder_lease{3000};
 };
 
-/// Everything that only the leader does, for one term: it takes jobs, keeps
-/// them in the journal, holds the upstreams and carries out what the scheduler
-/// decides. Made when a term begins and dropped when it ends. Control thread
-/// only.
+/// Performs the leader's work for one term: it accepts jobs, stores them in the
+/// journal, manages the links to the upstreams and executes the decisions of
+/// the scheduler. Created when a term begins and destroyed when it ends.
+/// Control thread only.
 class Coordinator final : public fleet::UpstreamEvents,
                           public maintenance::HostWorkload,
                           public std::enable_shared_from_this<Coordinator> {
@@ -82,13 +88,13 @@
     faults::MalformedRecordReporter& bad_records;
     /// Pools that the configuration names; null while none is known.
     std::function<const std::set<std::string>*()> pools;
-    /// Whether orders may be given now.
+    /// Whether the leader lease is valid, so that orders may be given now.
     std::function<bool()> lease_valid;
-    /// Whether the store has lately said that nobody else leads.
+    /// Whether the store has recently confirmed that no other entry leads.
     std::function<bool()> lease_confirmed_by_store;
-    /// What is stored has been taken over: calls are taken from now on.
+    /// Called when the stored state is loaded; calls are accepted from then on.
     std::function<void()> loaded;
-    /// Another leader was found.
+    /// Called when another leader is detected.
     std::function<void(const std::string& cause)> on_leadership_lost;
     /// Null where hosts have no API: then there is no maintenance.
     ports::HostPort* hosts = nullptr;
@@ -99,11 +105,11 @@
   Coordinator(Dependencies deps, CoordinatorOptions options);
 
   void Start();
-  /// Gives no orders any more. Whoever waits for an answer is told that it is
-  /// not known, so that the next leader is asked.
+  /// Stops giving orders. Callers that wait for an answer get the verdict
+  /// "unknown", so that their calls are repeated at the next leader.
   void Close();
 
-  /// Entries that may be asked to call the adviser, this one among them.
+  /// Sets the entries that may call the adviser, including this one.
   void SetLanes(const std::vector<std::string>& addresses);
 
   void Submit(const wire::JobSpec& spec,
@@ -113,7 +119,7 @@
   wire::PendingJobsReply Pending(const std::string& queue) const;
 
   TimePoint last_stored() const { return journal_->last_stored(); }
-  /// When the append that was last stored had been sent for the first time.
+  /// When the last stored append was sent for the first time.
   TimePoint last_stored_sent() const {
     return journal_->last_stored() - journal_->last_took();
   }
@@ -140,29 +146,31 @@
   bool MayOrder() override { return loaded_ && MayGiveOrders(); }
 
  private:
-  /// A job whose record is on its way to the store.
+  /// A job whose record is not stored yet.
   struct PendingSubmission {
-    /// Tells this hand-in from an earlier one that was taken back.
+    /// Distinguishes this submission from an earlier, withdrawn one of the job.
     int64_t number = 0;
     std::vector<std::function<void(wire::SubmitJobReply)>> waiters;
   };
-  /// An end of a job whose records could not be read when it was told.
+  /// The result of a task whose job's records could not be read when the
+  /// upstream reported it.
   struct UnmatchedEnd {
     TaskId task;
     int64_t attempt = 0;
     bool failed = false;
   };
+  /// What an earlier leader stored about an upstream that it closed.
   struct InheritedClosure {
-    /// The only jobs that may run something there.
+    /// The only jobs that may have tasks running there.
     std::unordered_set<JobId> jobs;
-    /// What it may have crashed with.
+    /// The runs that were there if the upstream has crashed.
     scheduling::SuspectRuns runs;
   };
   struct FinalJob {
     JobState state = JobState::kComplete;
     TimePoint since{};
-    bool spec_kept = false;
-    /// It ended while this entry led; `since` is then when it did.
+    bool spec_stored = false;
+    /// The job ended in this term; `since` is then the time of its end.
     bool ended_here = false;
   };
 
@@ -172,15 +180,16 @@
   /// `end_offset` is the end of the table when its last page was read.
   void OnLoaded(int64_t end_offset);
   void LoadRecord(const ports::KeyedRecord& record);
-  /// Takes one record into the maps of what is loaded; the cause if it can't.
-  std::string TakeRecord(const ports::KeyedRecord& record);
-  std::string TakeUpstream(const ports::KeyedRecord& record);
-  std::string TakeSpec(JobId id, const std::string& value);
-  std::string TakeProgress(JobId id, const std::string& value);
-  std::string TakeEnd(const ports::KeyedRecord& record);
-  /// Puts kept ends into the progress of jobs that can be read again.
+  /// Decodes one record into the maps of loaded state. Returns why it is
+  /// malformed, or an empty string.
+  std::string DecodeRecord(const ports::KeyedRecord& record);
+  std::string DecodeUpstream(const ports::KeyedRecord& record);
+  std::string DecodeSpec(JobId id, const std::string& value);
+  std::string DecodeProgress(JobId id, const std::string& value);
+  std::string DecodeUnmatchedEnd(const ports::KeyedRecord& record);
+  /// Merges unmatched ends into the progress of jobs that can be read again.
   void ApplyUnmatchedEnds();
-  /// Keeps an end of a job whose records can't be read.
+  /// Stores the end of a task if its job's records can't be read.
   void StoreUnmatchedEnd(const ports::EndedTask& end);
   void LoadJobs();
   void ReadList();
@@ -189,50 +198,51 @@
   void OnBadEntry(const ports::UpstreamEntry& entry);
   /// Whether the configuration or a job names the pool.
   bool IsPoolReferenced(const std::string& pool) const;
-  /// Keeps the upstreams whose pool is named by now.
+  /// Adopts the listed upstreams whose pool is named by now.
   void AdoptReferencedUpstreams();
-  void KeepUpstream(const ports::UpstreamEntry& entry);
+  void AdoptUpstream(const ports::UpstreamEntry& entry);
   void OpenLink(const ports::UpstreamEntry& entry);
-  /// Stores that nothing new starts there, and what it may run at most.
+  /// Closes the upstream to new work and stores which jobs may still have tasks
+  /// there.
   void CloseUpstream(UpstreamIndex upstream);
-  /// Lets new work go there once that is stored.
+  /// Opens the upstream to new work once the reopening is stored.
   void ReopenUpstream(UpstreamIndex upstream);
   void CheckResolved();
-  /// Jobs that upstreams which have not told what they run may run at most;
-  /// none if that is not known of one of them.
+  /// Jobs that may have tasks on upstreams which have not reported their
+  /// running tasks yet; nullopt if that is unknown for one of these upstreams.
   std::optional<std::unordered_set<JobId>> UncertainJobs() const;
   void Tick();
-  /// Ends the lives of upstreams that have been silent and unlisted for long.
+  /// Drops upstreams that are unlisted and have been unresponsive for
+  /// `dead_upstream_timeout`.
   void DropSilentUpstreams();
   void DropUpstream(UpstreamIndex upstream, scheduling::UpstreamLoss why);
   void DropFinalJobs();
   void ExplainWaiting();
 
-  /// A reply that is given once: by the returned function, or `late` when the
-  /// store has let the caller wait for `reply_deadline`.
+  /// Returns a function that passes its reply to `done`. `done` runs only once:
+  /// after `reply_deadline` without a confirmation of the store it gets `late`.
   template <typename Reply>
   std::function<void(Reply)> WithReplyDeadline(std::function<void(Reply)> done,
                                                Reply late);
   JobVerdict VerdictOnUnknownJob() const;
-  /// Tells all whose jobs are on their way to the store that it is not known
-  /// what becomes of them.
+  /// Replies "unknown" to all callers whose jobs are not stored yet.
   void FailPendingCallers();
   void OnJobStored(const wire::JobSpec& spec);
-  /// Refuses the jobs that wait for a store that does not answer.
-  void RefuseUnsent();
-  void Finished(JobId id, JobState state);
-  /// Writes what has changed and carries the orders out.
-  void Pump(scheduling::Orders& orders);
+  /// Withdraws and refuses the jobs that wait for an unresponsive store.
+  void RefuseUnsentJobs();
+  void OnJobFinished(JobId id, JobState state);
+  /// Stores the changes of jobs and executes the orders.
+  void ExecuteOrders(scheduling::Orders& orders);
   void StoreChanges();
-  /// It is open, final or on its way to the store.
+  /// Whether the job is open, final or about to be stored.
   bool Knows(JobId id) const;
-  /// Answers that there is no such job, once it is sure that this entry still
-  /// leads.
+  /// Replies that there is no such job, once the store has confirmed that this
+  /// entry still leads.
   void ReplyNoSuchJob(JobId id, std::function<void(wire::CancelJobReply)> done);
   void LogStop(const scheduling::StopOrder& stop);
-  void LogLost(const scheduling::LostRun& run);
-  void LogGivenUp(const scheduling::GivenUpTask& task);
-  /// Tells of a run that nobody asked for and that is stopped now.
+  void LogLostRun(const scheduling::LostRun& run);
+  void LogPermanentlyFailed(const scheduling::GivenUpTask& task);
+  /// Logs the stop of an orphaned run, which no valid order accounts for.
   void LogOrphanedRun(scheduling::StopOrder stop);
   void PlaceSoon();
   void PlaceNow();
@@ -249,34 +259,36 @@
   bool loaded_ = false;
   bool place_due_ = false;
   std::map<UpstreamIndex, std::shared_ptr<fleet::UpstreamLink>> links_;
-  /// First fencing token of a link that is opened next.
+  /// First fencing token of the next link to be opened.
   int64_t next_fence_ = 0;
-  /// Upstreams that ended with their hosts' upkeep; the list may name them for
-  /// some seconds still.
-  std::set<std::string> ended_;
+  /// Upstreams that ended with the maintenance of their hosts; the list may
+  /// still name them for some seconds.
+  std::set<std::string> ended_upstreams_;
   std::unordered_map<JobId, PendingSubmission> pending_submissions_;
   int64_t submissions_ = 0;
   std::unordered_map<JobId, FinalJob> finals_;
-  /// While loading: records whose partner has not come yet.
+  /// While loading: records read so far, to be matched by job in LoadJobs().
   std::unordered_map<JobId, wire::JobSpec> loaded_specs_;
   std::unordered_map<JobId, wire::ProgressRecord> loaded_progress_;
   std::unordered_map<JobId, std::vector<UnmatchedEnd>> unmatched_ends_;
   std::vector<ports::UpstreamEntry> loaded_upstreams_;
-  /// Closed upstreams as an earlier leader left them, until they have told what
-  /// they run.
+  /// Upstreams that an earlier leader closed, until they have reported their
+  /// running tasks.
   std::map<std::string, InheritedClosure> inherited_closures_;
-  /// How often each was closed, so that a reopening can be overtaken.
-  std::map<UpstreamIndex, int64_t> closings_;
-  /// Jobs that still waited for an upstream when that was last looked at.
-  size_t uncertain_ = 0;
-  /// Jobs whose records were written in a form that this version can't read.
-  /// They are neither run nor written here.
+  /// How often each upstream was closed; a reopening that was superseded by a
+  /// closing is recognized by this.
+  std::map<UpstreamIndex, int64_t> close_counts_;
+  /// Number of jobs that waited for an upstream's report at the last check.
+  size_t uncertain_count_ = 0;
+  /// Jobs whose records this version can't read. They are neither run nor
+  /// overwritten here.
   std::unordered_set<JobId> unreadable_;
-  /// Pools that jobs name; the configuration may not name them any more.
+  /// Pools that jobs name; the configuration may no longer name them.
   std::set<std::string> job_pools_;
-  /// Listed upstreams of pools that nothing names: nobody calls them.
+  /// Listed upstreams of pools that neither the configuration nor a job names.
+  /// They are not called.
   std::map<std::string, ports::UpstreamEntry> unreferenced_upstreams_;
-  /// Before this, an upstream whose record can't be read may run tasks.
+  /// Until then an upstream whose record can't be read may run tasks.
   TimePoint resolved_after_{};
   int64_t list_cursor_ = -1;
   bool list_known_ = false;
--- a/src/coordinator/job_table.h
+++ b/src/coordinator/job_table.h
@@ -11,27 +11,28 @@
 
 namespace mimosarail::coordinator {
 
-/// Keys of the table: what a job is, how far it is, an end of one whose other
-/// records can't be read, and which upstreams may run something of ours.
+/// Key prefixes of the table: the spec of a job, its progress, a task result of
+/// a job whose other records can't be read, and an upstream that may run tasks
+/// of this service.
 inline constexpr char kSpecPrefix = 's';
 inline constexpr char kProgressPrefix = 'p';
 inline constexpr char kEndPrefix = 'e';
 inline constexpr char kUpstreamPrefix = 'u';
 
-/// Limit of one read of the store.
+/// Timeout of one read of the store.
 inline constexpr Millis kStoreTimeout{1500};
-/// Most bytes of a record with its key that the store takes.
+/// Maximum size of a record with its key that the store accepts.
 inline constexpr size_t kMaxRecordBytes = 256 << 10;
 
-/// These build keys and records from values alone: safe from any thread.
+/// Pure functions that build keys and records. Thread-safe.
 std::string SpecKey(JobId id);
 std::string ProgressKey(JobId id);
 std::string EndKey(const TaskId& task, int64_t attempt);
 wire::UpstreamRecord ToRecord(const ports::UpstreamEntry& entry);
 std::vector<wire::RunRecord> ToRecords(const scheduling::SuspectRuns& runs);
-/// The runs that the record keeps; those that can't be read are left out.
+/// Returns the runs that the record holds, without the malformed ones.
 scheduling::SuspectRuns RunsFromRecord(const wire::UpstreamRecord& record);
-/// An upstream as a record keeps it; not listed until the list names it.
+/// Converts a stored upstream. It counts as unlisted until the list names it.
 ports::UpstreamEntry FromRecord(const wire::UpstreamRecord& record);
 
 }  // namespace mimosarail::coordinator
--- a/src/coordinator/job_verdicts.h
+++ b/src/coordinator/job_verdicts.h
@@ -7,21 +7,21 @@
 
 namespace mimosarail::coordinator {
 
-/// What became of a call about a job. The numbers are on the wire.
+/// Outcome of a call about a job. The numbers are part of the wire format.
 enum class JobVerdict : int32_t {
   kDone = 0,
   /// Refused; nothing of the job is stored and nothing will run.
   kRefused = 1,
-  /// May be stored, or not; the same call again finds out.
+  /// The outcome is unknown; repeating the same call resolves it.
   kUnknown = 2,
   /// No such job.
   kNoSuchJob = 3,
-  /// The entry asked does not lead, or has not loaded the jobs yet.
+  /// The called entry is not the leader, or has not loaded the jobs yet.
   kNotLeading = 4,
-  /// Refused since the leader cannot reach the store; nothing was done.
+  /// Refused because the leader cannot reach the store; nothing was changed.
   kStoreUnavailable = 5,
-  /// The job is stored in a form that this version does not read: it is neither
-  /// run nor refused here, and the same call again finds out no more.
+  /// The job is stored in a form that this version cannot read. It is neither
+  /// run nor refused here, and repeating the call does not change that.
   kUnreadable = 6,
 };
 
@@ -35,7 +35,8 @@
     EnumName{JobVerdict::kUnreadable, "record not readable"},
 }};
 
-/// The verdict of a reply; one that this version does not know says nothing.
+/// Returns the verdict of a reply. Numbers that this version does not know map
+/// to kUnknown.
 constexpr JobVerdict ToJobVerdict(int32_t number) {
   const auto verdict = static_cast<JobVerdict>(number);
   return kJobVerdictNames.Has(verdict) ? verdict : JobVerdict::kUnknown;
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -1,4 +1,4 @@
-// The part of Coordinator that takes over what earlier leaders have stored.
+// The part of Coordinator that loads the state stored by earlier leaders.
 
 #include <charconv>
 
@@ -15,19 +15,20 @@
 
 constexpr Millis kStoreRetry{150};
 
-/// Puts a kept end into a job that was loaded again.
-void ApplyKeptEnd(Job& job, const TaskId& task, int64_t attempt, bool failed) {
+/// Applies a stored task result to a job whose records can be read again.
+void ApplyUnmatchedEnd(Job& job, const TaskId& task, int64_t attempt,
+                       bool failed) {
   if (job.final()) return;
   const wire::StepSpec& step = job.step(task.step);
   job.NoteStarted();
   if (failed) {
-    const bool spent = job.CountFailure(task, attempt) && !step.lasting &&
-                       job.Failures(task) >= job.queue().max_attempts;
-    if (spent) job.SetState(JobState::kFailed);
+    const bool exhausted = job.CountFailure(task, attempt) && !step.lasting &&
+                           job.Failures(task) >= job.queue().max_attempts;
+    if (exhausted) job.SetState(JobState::kFailed);
     return;
   }
   if (step.lasting) return;
-  // One member's end stands for its whole gang.
+  // The completion of one member completes its whole gang.
   const int32_t first = step.gang ? 0 : task.index;
   const int32_t last = step.gang ? step.tasks - 1 : task.index;
   for (int32_t i = first; i <= last; ++i) {
@@ -66,73 +67,74 @@
 }
 
 void Coordinator::LoadRecord(const ports::KeyedRecord& record) {
-  const std::string cause = TakeRecord(record);
+  const std::string cause = DecodeRecord(record);
   if (cause.empty()) return;
   deps_.bad_records.Report(faults::RecordSource::kJobs, record.key, cause);
-  // A job whose record can't be read is one all the same: handed in again as if
-  // it were new, it would overwrite that record and run a second time.
+  // A job whose record can't be read still exists. If it were accepted as new
+  // when submitted again, it would overwrite that record and run a second time.
   const bool of_job = !record.key.empty() && (record.key[0] == kSpecPrefix ||
                                               record.key[0] == kProgressPrefix);
   if (!of_job) return;
   if (const auto id = ParseJobId(record.key.substr(1))) unreadable_.insert(*id);
 }
 
-std::string Coordinator::TakeRecord(const ports::KeyedRecord& record) {
+std::string Coordinator::DecodeRecord(const ports::KeyedRecord& record) {
   if (!record.decode_error.empty()) return record.decode_error;
   if (record.value.empty()) return {};
   if (record.key.empty()) return "no key";
   const char kind = record.key[0];
-  if (kind == kUpstreamPrefix) return TakeUpstream(record);
-  if (kind == kEndPrefix) return TakeEnd(record);
+  if (kind == kUpstreamPrefix) return DecodeUpstream(record);
+  if (kind == kEndPrefix) return DecodeUnmatchedEnd(record);
   if (kind == maintenance::kWavePrefix) {
-    // Without an API of hosts the record waits for a leader that has one.
+    // Without a host API the record is left to a leader that has one.
     const bool taken = waves_ == nullptr || waves_->Load(record);
     return taken ? "" : "does not decode";
   }
   if (kind != kSpecPrefix && kind != kProgressPrefix) return "unknown kind";
   const auto id = ParseJobId(record.key.substr(1));
   if (!id) return "no id of a job";
-  return kind == kSpecPrefix ? TakeSpec(*id, record.value)
-                             : TakeProgress(*id, record.value);
+  return kind == kSpecPrefix ? DecodeSpec(*id, record.value)
+                             : DecodeProgress(*id, record.value);
 }
 
-std::string Coordinator::TakeUpstream(const ports::KeyedRecord& record) {
+std::string Coordinator::DecodeUpstream(const ports::KeyedRecord& record) {
   const auto upstream = rpc::Decode<wire::UpstreamRecord>(record.value);
   if (upstream.ok() && record.key.substr(1) == upstream.value().id &&
       !upstream.value().id.empty() && !upstream.value().address.empty()) {
     loaded_upstreams_.push_back(FromRecord(upstream.value()));
     if (upstream.value().closed) {
-      InheritedClosure& left = inherited_closures_[upstream.value().id];
+      InheritedClosure& closure = inherited_closures_[upstream.value().id];
       for (const int64_t id : upstream.value().jobs) {
-        left.jobs.insert(static_cast<JobId>(id));
+        closure.jobs.insert(static_cast<JobId>(id));
       }
-      left.runs = RunsFromRecord(upstream.value());
-      if (left.runs.size() != upstream.value().runs.size()) {
+      closure.runs = RunsFromRecord(upstream.value());
+      if (closure.runs.size() != upstream.value().runs.size()) {
         deps_.bad_records.Report(faults::RecordSource::kJobs, record.key,
-                                 "names runs that are none");
+                                 "contains malformed runs");
       }
     }
     return {};
   }
-  // It may run something of ours, and only the end of its leases is certain.
+  // The upstream may run tasks of this service. Only the expiry of its leases
+  // is certain.
   resolved_after_ = deps_.executor.Now() + options_.previous_leader_timeout +
                     fleet::MaxLeaseDuration(options_.lease);
   return "does not decode";
 }
 
-std::string Coordinator::TakeSpec(JobId id, const std::string& value) {
+std::string Coordinator::DecodeSpec(JobId id, const std::string& value) {
   auto spec = rpc::Decode<wire::JobSpec>(value);
   if (!spec.ok()) return "does not decode";
   Findings findings;
   CheckStoredJob(spec.value(), findings);
   if (static_cast<JobId>(spec.value().id) != id) {
-    findings.Add("id", "is not the key's");
+    findings.Add("id", "differs from the id in the key");
   }
   if (findings.empty()) loaded_specs_[id] = std::move(spec.value());
   return findings.ToString();
 }
 
-std::string Coordinator::TakeProgress(JobId id, const std::string& value) {
+std::string Coordinator::DecodeProgress(JobId id, const std::string& value) {
   auto progress = rpc::Decode<wire::ProgressRecord>(value);
   if (!progress.ok()) return "does not decode";
   Findings findings;
@@ -141,11 +143,11 @@
   return findings.ToString();
 }
 
-std::string Coordinator::TakeEnd(const ports::KeyedRecord& record) {
+std::string Coordinator::DecodeUnmatchedEnd(const ports::KeyedRecord& record) {
   const std::string_view key = record.key;
   const size_t dot = key.rfind('.');
-  const auto kept = rpc::Decode<wire::TaskRecord>(record.value);
-  if (dot == std::string::npos || !kept.ok()) return "does not decode";
+  const auto end = rpc::Decode<wire::TaskRecord>(record.value);
+  if (dot == std::string::npos || !end.ok()) return "does not decode";
   const auto task = ParseTaskId(key.substr(1, dot - 1));
   const std::string_view digits = key.substr(dot + 1);
   int64_t attempt = 0;
@@ -154,7 +156,7 @@
   unmatched_ends_[task->job].push_back(
       {.task = *task,
        .attempt = attempt,
-       .failed = !kept.value().failed_attempts.empty()});
+       .failed = !end.value().failed_attempts.empty()});
   return {};
 }
 
@@ -162,8 +164,9 @@
   const bool failed = end.kind == ports::EndKind::kFailed;
   if (unreadable_.count(end.task.job) == 0) return;
   if (!failed && end.kind != ports::EndKind::kDone) return;
-  // The upstream forgets it once it is safe here. Nothing else would tell a
-  // version that reads the job's records not to run the task again.
+  // The upstream forgets the end once it is stored here. A version that can
+  // read the job's records learns only from this record not to run the task
+  // again.
   wire::TaskRecord record;
   record.task = end.task.index;
   if (failed) record.failed_attempts = {end.attempt};
@@ -180,7 +183,7 @@
     for (const UnmatchedEnd& end : ends) {
       merged.push_back(EndKey(end.task, end.attempt));
       if (!job.Has(end.task)) continue;
-      ApplyKeptEnd(job, end.task, end.attempt, end.failed);
+      ApplyUnmatchedEnd(job, end.task, end.attempt, end.failed);
     }
     loaded_progress_[id] = job.Progress();
     journal_->Put(ProgressKey(id), rpc::Encode(loaded_progress_[id]));
@@ -210,10 +213,11 @@
   for (const auto& [id, progress] : loaded_progress_) {
     const auto state = static_cast<JobState>(progress.state);
     if (!IsFinal(state)) continue;
-    // What became of it is known, whatever its other record holds.
+    // The outcome is known, whatever the job's spec record holds.
     unreadable_.erase(id);
-    finals_[id] = {
-        .state = state, .since = now, .spec_kept = loaded_specs_.count(id) > 0};
+    finals_[id] = {.state = state,
+                   .since = now,
+                   .spec_stored = loaded_specs_.count(id) > 0};
   }
   for (const auto& [id, spec] : loaded_specs_) {
     if (unreadable_.count(id) > 0) continue;
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -1,5 +1,5 @@
-// The part of Coordinator that knows the upstreams: the list, their links, what
-// they tell, and which of them are closed to new work.
+// The part of Coordinator that manages the upstreams: their list, their links,
+// their reports, and which of them are closed to new work.
 
 #include <algorithm>
 
@@ -27,8 +27,8 @@
     if (update.ok()) {
       self->OnList(update.value(), whole);
     } else {
-      // The history is gone, or nobody can read on from there: only the whole
-      // list is left.
+      // The history after the cursor is no longer available, or malformed: the
+      // whole list has to be read.
       const std::error_code& code = update.error().code;
       if (code == Errc::kInvalid || code == Errc::kMalformed) {
         self->list_cursor_ = -1;
@@ -48,13 +48,14 @@
 void Coordinator::OnList(const ports::UpstreamListUpdate& update, bool whole) {
   list_cursor_ = update.cursor;
   if (whole) {
-    // Whoever is not in it has left while nobody looked, or lapsed.
+    // An upstream that is missing here has left, or its entry has expired,
+    // since the last read.
     for (const UpstreamIndex index : scheduler_.pool().all()) {
       const std::string& id = scheduler_.pool().at(index).entry.id;
-      const bool there = std::any_of(
+      const bool still_listed = std::any_of(
           update.entries.begin(), update.entries.end(),
           [&](const ports::UpstreamEntry& entry) { return entry.id == id; });
-      if (!there) scheduler_.pool().at(index).listed = false;
+      if (!still_listed) scheduler_.pool().at(index).listed = false;
     }
     list_known_ = true;
     unreferenced_upstreams_.clear();
@@ -69,7 +70,7 @@
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
   if (!entry.decode_error.empty()) return OnBadEntry(entry);
-  if (ended_.count(entry.id) > 0) return;
+  if (ended_upstreams_.count(entry.id) > 0) return;
   if (!entry.listed) {
     unreferenced_upstreams_.erase(entry.id);
     if (known == kNoUpstream) return;
@@ -100,10 +101,10 @@
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
   if (known == kNoUpstream) return;
-  // It names no upstream to use, and it has not left either: nothing new goes
-  // there, and what runs there stays under its leases, at the address that is
-  // known. Stopped or forgotten instead, its tasks would be lost to one odd
-  // entry.
+  // A malformed entry cannot be used, but it does not mean that the upstream
+  // has left. No new task starts there, and running tasks keep their leases at
+  // the known address. If they were stopped or forgotten instead, one malformed
+  // entry would lose them.
   pool.at(known).listed = true;
   pool.at(known).entry_malformed = true;
 }
@@ -119,23 +120,26 @@
        at != unreferenced_upstreams_.end();) {
     const ports::UpstreamEntry& entry = at->second;
     if (!IsPoolReferenced(entry.pool)) {
-      // Looked at again with each read of the list: its configuration may come.
+      // Checked again with each read of the list, since a configuration that
+      // names the pool may still arrive.
       if (deps_.pools() != nullptr) {
-        deps_.bad_records.Report(faults::RecordSource::kUpstreamList, entry.id,
-                                 "nothing names its pool");
+        deps_.bad_records.Report(
+            faults::RecordSource::kUpstreamList, entry.id,
+            "neither the configuration nor a job names its pool");
       }
       ++at;
       continue;
     }
-    KeepUpstream(entry);
+    AdoptUpstream(entry);
     at = unreferenced_upstreams_.erase(at);
   }
 }
 
-void Coordinator::KeepUpstream(const ports::UpstreamEntry& entry) {
-  // A later leader must know every upstream that may run something: an entry
-  // lapses while the store is away, though its tasks go on. So nothing starts
-  // there before the upstream's own record is stored.
+void Coordinator::AdoptUpstream(const ports::UpstreamEntry& entry) {
+  // A later leader must know every upstream that may run tasks. The list entry
+  // of an upstream expires while the store is unavailable, although its tasks
+  // continue. So no task starts there before the upstream's own record is
+  // stored.
   journal_->Put(kUpstreamPrefix + entry.id, rpc::Encode(ToRecord(entry)));
   OpenLink(entry);
 }
@@ -144,12 +148,12 @@
   const UpstreamIndex index =
       scheduler_.pool().Update(entry, deps_.executor.Now());
   scheduler_.pool().at(index).listed = entry.listed;
-  const auto left = inherited_closures_.find(entry.id);
-  if (left != inherited_closures_.end())
+  const auto closure = inherited_closures_.find(entry.id);
+  if (closure != inherited_closures_.end())
     scheduler_.pool().at(index).closed = true;
   if (links_.count(index) > 0) return;
-  if (left != inherited_closures_.end()) {
-    scheduler_.pool().at(index).suspect_runs = left->second.runs;
+  if (closure != inherited_closures_.end()) {
+    scheduler_.pool().at(index).suspect_runs = closure->second.runs;
   }
   auto link = std::make_shared<fleet::UpstreamLink>(
       deps_.executor, deps_.tasks, *this,
@@ -167,25 +171,26 @@
 }
 
 void Coordinator::CloseUpstream(UpstreamIndex upstream) {
-  // One that goes away while leaders change would hold up all that the next
-  // leader has loaded for 6 s, until its leases have surely run out: 20 of 119
-  // urgent jobs came too late after a loss of power beside one upstream that
-  // had left. What it may run at most is few jobs, and they alone need to wait.
-  // Before it has answered in this term an earlier leader could still start
-  // something there.
+  // The record tells the next leader which jobs may have tasks on this
+  // upstream, so that only these few jobs wait. Without it, an upstream that
+  // disappears during a change of leaders delays all loaded jobs for 6 s, until
+  // its leases have certainly expired: 20 of 119 urgent jobs were late after a
+  // power loss because one upstream had left.
+  // An upstream that has not answered in this term is not closed, since an
+  // earlier leader could still start tasks there.
   const auto link = links_.find(upstream);
   if (link == links_.end() || !link->second->reconciled()) return;
   scheduling::Upstream& it = scheduler_.pool().at(upstream);
   it.closed = true;
-  ++closings_[upstream];
+  ++close_counts_[upstream];
   wire::UpstreamRecord record = ToRecord(it.entry);
   record.closed = true;
   std::set<JobId> jobs;
-  for (const auto& [run, room] : it.held) jobs.insert(run.first.job);
+  for (const auto& [run, allocation] : it.held) jobs.insert(run.first.job);
   for (const JobId id : jobs) record.jobs.push_back(static_cast<int64_t>(id));
   if (!it.reachable) {
-    // A leader that takes over before it is known whether the upstream has
-    // crashed would not know with what.
+    // If this leader fails before it knows whether the upstream has crashed,
+    // the next one needs the runs that the crash would have ended.
     record.runs = ToRecords(scheduler_.RunsOf(upstream, deps_.executor.Now()));
   }
   logging::Event(Level::kInfo, "upstream closed",
@@ -199,15 +204,15 @@
 void Coordinator::ReopenUpstream(UpstreamIndex upstream) {
   const scheduling::Upstream& it = scheduler_.pool().at(upstream);
   if (!it.reachable || it.entry.draining) return;
-  // Nothing may start there while a later leader would still read that nothing
-  // does: it would start the same tasks elsewhere.
+  // No task may start there while the stored record says that the upstream is
+  // closed: a later leader would start the same tasks elsewhere.
   journal_->Put(kUpstreamPrefix + it.entry.id, rpc::Encode(ToRecord(it.entry)));
   journal_->WhenStored([weak = weak_from_this(), upstream,
-                        closing = closings_[upstream]](bool stored) {
+                        closing = close_counts_[upstream]](bool stored) {
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
     if (self->links_.count(upstream) == 0) return;
-    if (self->closings_[upstream] != closing) return;
+    if (self->close_counts_[upstream] != closing) return;
     scheduling::Upstream& reopened = self->scheduler_.pool().at(upstream);
     reopened.closed = false;
     logging::Event(Level::kInfo, "upstream open again",
@@ -220,28 +225,29 @@
   std::unordered_set<JobId> out;
   for (const auto& [index, link] : links_) {
     if (link->reconciled()) continue;
-    const auto left =
+    const auto closure =
         inherited_closures_.find(scheduler_.pool().at(index).entry.id);
-    if (left == inherited_closures_.end()) return std::nullopt;
-    out.insert(left->second.jobs.begin(), left->second.jobs.end());
+    if (closure == inherited_closures_.end()) return std::nullopt;
+    out.insert(closure->second.jobs.begin(), closure->second.jobs.end());
   }
   return out;
 }
 
 void Coordinator::CheckResolved() {
   if (!list_known_ || deps_.executor.Now() < resolved_after_) return;
-  if (scheduler_.resolved() && uncertain_ == 0) return;
+  if (scheduler_.resolved() && uncertain_count_ == 0) return;
   const auto uncertain = UncertainJobs();
   if (!uncertain) return;
-  if (scheduler_.resolved() && uncertain->size() == uncertain_) return;
-  uncertain_ = uncertain->size();
-  logging::Event(Level::kInfo, "all upstreams have told what they run",
-                 {{"term", Text(options_.term)},
-                  {"upstreams", Text(static_cast<int64_t>(links_.size()))},
-                  {"jobs_uncertain", Text(static_cast<int64_t>(uncertain_))}});
+  if (scheduler_.resolved() && uncertain->size() == uncertain_count_) return;
+  uncertain_count_ = uncertain->size();
+  logging::Event(
+      Level::kInfo, "all upstreams have told what they run",
+      {{"term", Text(options_.term)},
+       {"upstreams", Text(static_cast<int64_t>(links_.size()))},
+       {"jobs_uncertain", Text(static_cast<int64_t>(uncertain_count_))}});
   Orders orders;
   scheduler_.Resolve(*uncertain, deps_.executor.Now(), orders);
-  Pump(orders);
+  ExecuteOrders(orders);
 }
 
 bool Coordinator::MayGiveOrders() { return !closed_ && deps_.lease_valid(); }
@@ -268,7 +274,7 @@
     scheduler_.OnEnd(upstream, end, now, orders);
   }
   scheduler_.OnRunning(upstream, running, now, orders);
-  Pump(orders);
+  ExecuteOrders(orders);
   if (ended.empty()) return;
   PlaceSoon();
   const int64_t last = ended.back().number;
@@ -301,13 +307,13 @@
   }
   Orders orders;
   scheduler_.OnUpstreamEmpty(upstream, why, deps_.executor.Now(), orders);
-  Pump(orders);
-  // One that left the list for its silence is kept until it is known whether it
-  // has crashed with what it ran.
+  ExecuteOrders(orders);
+  // An upstream whose leases expired is kept while it is listed, or while it
+  // may still turn out to have crashed with its runs.
   const scheduling::Upstream& it = scheduler_.pool().at(upstream);
-  const bool over = why != UpstreamLoss::kLeasesExpired ||
-                    (!it.listed && it.suspect_runs.empty());
-  if (over) DropUpstream(upstream, why);
+  const bool ended = why != UpstreamLoss::kLeasesExpired ||
+                     (!it.listed && it.suspect_runs.empty());
+  if (ended) DropUpstream(upstream, why);
   CheckResolved();
   PlaceSoon();
 }
@@ -319,9 +325,9 @@
       {{"upstream", id},
        {"why", std::string(scheduling::kUpstreamLossNames.Name(why))}});
   journal_->Remove(kUpstreamPrefix + id);
-  // It may come back under its id, and has then seen all tokens that this link
-  // used. Opened with an earlier one, it would answer as if another entry led,
-  // and this one would resign.
+  // The upstream may come back under its id and has then seen all tokens that
+  // this link used. A link opened with an earlier token would be fenced as if
+  // another entry led, and this entry would resign.
   next_fence_ = std::max(next_fence_, links_.at(upstream)->fence() + 1);
   links_.at(upstream)->Close();
   links_.erase(upstream);
@@ -330,14 +336,14 @@
 
 void Coordinator::DropSilentUpstreams() {
   const TimePoint now = deps_.executor.Now();
-  std::vector<UpstreamIndex> over;
+  std::vector<UpstreamIndex> dead;
   for (const auto& [index, link] : links_) {
     const scheduling::Upstream& it = scheduler_.pool().at(index);
     if (it.listed || !link->all_runs_ended()) continue;
     const TimePoint since = it.silent_since.value_or(it.known_since);
-    if (now - since >= options_.dead_upstream_timeout) over.push_back(index);
+    if (now - since >= options_.dead_upstream_timeout) dead.push_back(index);
   }
-  for (const UpstreamIndex index : over)
+  for (const UpstreamIndex index : dead)
     OnAllRunsEnded(index, UpstreamLoss::kCrashed);
 }
 
@@ -354,7 +360,7 @@
          {"detail", reply.detail}});
   }
   scheduler_.OnStartReply(order, reply.verdict, deps_.executor.Now(), orders);
-  Pump(orders);
+  ExecuteOrders(orders);
   if (reply.verdict != ports::CallVerdict::kDone) PlaceSoon();
 }
 
@@ -374,9 +380,10 @@
   const scheduling::Upstream& it = scheduler_.pool().at(index);
   const auto work = scheduler_.WorkOn(index, deps_.executor.Now());
   const auto link = links_.find(index);
-  const bool noted =
+  const bool ends_acknowledged =
       link != links_.end() && link->second->all_ends_acknowledged();
-  return {.known = it.listed && it.reachable && scheduler_.resolved() && noted,
+  return {.known = it.listed && it.reachable && scheduler_.resolved() &&
+                   ends_acknowledged,
           .tasks = work.tasks,
           .budgeted_tasks = work.budgeted_tasks,
           .drained_in = work.drained_in,
@@ -406,12 +413,12 @@
   if (index == kNoUpstream || !scheduler_.resolved()) return;
   Orders orders;
   scheduler_.EvictTasks(index, all, deps_.executor.Now(), orders);
-  Pump(orders);
+  ExecuteOrders(orders);
 }
 
 void Coordinator::OnUpstreamEnded(const std::string& upstream) {
   const UpstreamIndex index = scheduler_.pool().Find(upstream);
-  ended_.insert(upstream);
+  ended_upstreams_.insert(upstream);
   if (index != kNoUpstream && links_.count(index) > 0) {
     OnAllRunsEnded(index, UpstreamLoss::kMaintenance);
   }
