--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -11,24 +11,27 @@
 using coordinator::ToJobVerdict;
 using logging::Level;
 
-/// Without a word from a leader for this long an entry can't serve callers.
-constexpr Millis kReadySilence{2500};
-/// Callers who were refused come back after this.
+/// An entry that has no heartbeat reply from a leader for this long can't serve
+/// callers.
+constexpr Millis kReadyTimeout{2500};
+/// Callers retry a refused request after this.
 constexpr Millis kRetryAfter{1000};
 constexpr Millis kLanesPeriod{200};
-/// A call without an answer from the leader is tried again after
-/// JobEntryOptions::retry, then after twice as long, up to three times doubled:
-/// 0.4 s. Each repeat takes its share of the link and the processor that the
-/// leader needs to answer at all.
-constexpr int kMostDoublings = 3;
-/// A call that waits for a leader looks this often whether its entry stops.
-constexpr Millis kLongestWait{500};
-/// Longest pause that another entry's refusal may ask callers for.
-constexpr Millis kLongestRetryAfter{60000};
-/// Longest call for advice that another entry may ask for, and longest time
-/// that its answer may be good for: 30 days, far above what queues name.
-constexpr Millis kLongestAdvice{60000};
-constexpr Millis kLongestValid{kMaxJobSpanMs};
+/// A call that the leader has not answered is retried after
+/// JobEntryOptions::retry. The pause then doubles up to three times, to 0.4 s:
+/// each retry uses link and processor capacity that the leader needs to answer
+/// at all.
+constexpr int kMaxDoublings = 3;
+/// A call that waits for a leader checks at this interval whether its entry is
+/// shutting down.
+constexpr Millis kMaxWait{500};
+/// Longest retry pause that is accepted from another entry's refusal.
+constexpr Millis kMaxRetryAfter{60000};
+/// Longest timeout of an advice call that another entry may request, and
+/// longest validity accepted in an advice reply: 30 days, far above the values
+/// of queues.
+constexpr Millis kMaxAdviceTimeout{60000};
+constexpr Millis kMaxAdviceValidity{kMaxJobSpanMs};
 
 wire::AdviseReply ToReply(const Result<ports::Advice>& advice) {
   wire::AdviseReply reply;
@@ -49,11 +52,11 @@
 Result<ports::Advice> FromReply(const Result<wire::AdviseReply>& reply) {
   if (!reply.ok()) return reply.error();
   if (reply.value().verdict != 0) {
-    return {Errc::kUnavailable, "the entry got no advice"};
+    return {Errc::kUnavailable, "the entry received no advice"};
   }
   ports::Advice out;
   out.valid =
-      std::clamp(Millis(reply.value().valid_ms), Millis(0), kLongestValid);
+      std::clamp(Millis(reply.value().valid_ms), Millis(0), kMaxAdviceValidity);
   for (const wire::Ticket& ticket : reply.value().allowed) {
     out.allowed.push_back({ticket.upstream, ticket.ticket});
   }
@@ -63,7 +66,7 @@
 JobAnswer ToAnswer(const wire::SubmitJobReply& reply) {
   return {.verdict = ToJobVerdict(reply.verdict),
           .retry_after = std::clamp(Millis(reply.retry_after_ms), Millis(0),
-                                    kLongestRetryAfter)};
+                                    kMaxRetryAfter)};
 }
 JobAnswer ToAnswer(const wire::JobStateReply& reply) {
   if (!IsJobState(reply.state)) return {.verdict = JobVerdict::kUnknown};
@@ -82,20 +85,23 @@
 
 template <typename Reply>
 struct JobEntry::Forwarded {
-  std::string what;
-  /// When a call that was never sent is refused.
+  /// The call's kind and subject, for the log.
+  std::string name;
+  /// When a call that cannot have taken effect is refused.
   TimePoint deadline;
   /// When the caller stops waiting.
   TimePoint limit;
-  std::function<void(std::function<void(Reply)>)> here;
-  std::function<void(const std::string&, Millis, Callback<Reply>)> there;
+  /// Runs the call at this entry.
+  std::function<void(std::function<void(Reply)>)> run_local;
+  /// Sends the call to another entry.
+  std::function<void(const std::string&, Millis, Callback<Reply>)> send;
   JobDone done;
-  /// It may have taken effect at some leader.
-  bool doubtful = false;
+  /// The outcome is unknown: the call may have taken effect at a leader.
+  bool in_doubt = false;
   int tries = 0;
-  /// What became of the last try, for the log.
+  /// Outcome of the last try, for the log.
   std::string last_try = "none";
-  /// Asks and changes nothing, so that it is never in doubt.
+  /// The call changes nothing, so it is never in doubt.
   bool read_only = false;
 };
 
@@ -113,13 +119,13 @@
            .on_leadership_lost = [this] { OnLeadershipLost(); },
            .on_leader_ready = [this] { waiting_.ReleaseAll(); },
            .on_heartbeat_reply =
-               [this](const wire::HeartbeatReply& hello) {
+               [this](const wire::HeartbeatReply& reply) {
                  last_leader_reply_ = deps_.executor.Now();
-                 // A leader that cannot reach the store may be behind; it is
-                 // no source for an entry that knows nothing itself.
-                 const bool fresh = hello.store_reachable || config_.known();
-                 if (!hello.config.empty() && fresh) {
-                   config_.Offer(hello.config);
+                 // A leader that cannot reach the store may have an outdated
+                 // configuration; an entry that has none does not accept it.
+                 const bool usable = reply.store_reachable || config_.known();
+                 if (!reply.config.empty() && usable) {
+                   config_.Offer(reply.config);
                  }
                },
            .config_version = [this] { return config_.config().version; },
@@ -166,7 +172,8 @@
           .loaded = [this] { leadership_.MarkReady(); },
           .on_leadership_lost =
               [this](const std::string& cause) {
-                // Never inside a call of the coordinator itself.
+                // Posted, since stepping down destroys the coordinator that
+                // is calling.
                 deps_.executor.Post(
                     [this, cause] { leadership_.StepDown(cause); });
               },
@@ -198,16 +205,16 @@
 }
 
 void JobEntry::BeginShutdown() {
-  closing_ = true;
+  shutting_down_ = true;
   shutdown_reply_deadline_ =
       deps_.executor.Now() + options_.shutdown_reply_deadline;
   leadership_.Resign();
 }
 
 bool JobEntry::Ready() {
-  if (closing_ || !config_.known()) return false;
+  if (shutting_down_ || !config_.known()) return false;
   if (coordinator_) return coordinator_->loaded();
-  return deps_.executor.Now() - last_leader_reply_ < kReadySilence;
+  return deps_.executor.Now() - last_leader_reply_ < kReadyTimeout;
 }
 
 Route JobEntry::Find(const std::string& host, const std::string& path) {
@@ -229,88 +236,89 @@
 template <typename Reply>
 void JobEntry::Forward(std::shared_ptr<Forwarded<Reply>> call) {
   const TimePoint now = deps_.executor.Now();
-  // A call that may have taken effect somewhere can't be refused any more: it
-  // is worth settling for as long as its caller waits.
-  // A stopping entry must not take an unanswered call along.
+  // A call that may have taken effect can't be refused any more, so its outcome
+  // is resolved for as long as its caller waits. An entry that shuts down must
+  // answer each call before it exits.
   const TimePoint deadline = std::min(
-      call->doubtful ? call->limit : call->deadline, shutdown_reply_deadline_);
-  const auto left = std::chrono::duration_cast<Millis>(deadline - now);
-  if (left <= Millis(0)) {
+      call->in_doubt ? call->limit : call->deadline, shutdown_reply_deadline_);
+  const auto remaining = std::chrono::duration_cast<Millis>(deadline - now);
+  if (remaining <= Millis(0)) {
     logging::Event(Level::kWarning, "no answer from a leader",
-                   {{"call", call->what},
+                   {{"call", call->name},
                     {"term", std::to_string(leadership_.term())},
                     {"leader", leadership_.leader().name},
                     {"leader_heard_ms", LeaderHeartbeatAge()},
                     {"tries", std::to_string(call->tries)},
                     {"last_try", call->last_try},
-                    {"stopping", closing_ ? "yes" : "no"},
-                    {"doubtful", call->doubtful ? "yes" : "no"}});
-    return call->done({.verdict = call->doubtful ? JobVerdict::kUnknown
+                    {"stopping", shutting_down_ ? "yes" : "no"},
+                    {"doubtful", call->in_doubt ? "yes" : "no"}});
+    return call->done({.verdict = call->in_doubt ? JobVerdict::kUnknown
                                                  : JobVerdict::kRefused,
                        .retry_after = kRetryAfter});
   }
-  const auto again = [this, call, left] {
-    const int doublings = std::clamp(call->tries - 1, 0, kMostDoublings);
-    waiting_.Wait(std::min(left, options_.retry * (1 << doublings)),
+  const auto retry = [this, call, remaining] {
+    const int doublings = std::clamp(call->tries - 1, 0, kMaxDoublings);
+    waiting_.Wait(std::min(remaining, options_.retry * (1 << doublings)),
                   [this, call] { Forward(call); });
   };
-  const auto later = [this, call] {
+  const auto retry_later = [this, call] {
     deps_.executor.RunAfter(options_.store_retry,
                             [this, call] { Forward(call); });
   };
-  const auto answer = [this, again, later, call](const Reply& reply) {
+  const auto answer = [this, retry, retry_later, call](const Reply& reply) {
     JobAnswer out = ToAnswer(reply);
     call->last_try = coordinator::kJobVerdictNames.Name(out.verdict);
-    if (out.verdict == JobVerdict::kNotLeading) return again();
+    if (out.verdict == JobVerdict::kNotLeading) return retry();
     if (out.verdict == JobVerdict::kStoreUnavailable) {
-      // The store turns the leader away and serves this entry: somebody who can
-      // write takes over within a second, and then the job is taken. Where the
-      // store is away for all, waiting would help nobody.
-      // A call in doubt is worth settling for as long as its caller waits.
-      if (call->doubtful) return later();
-      return CheckStore([later, call, out](bool served) {
-        if (served) return later();
+      // If the store still serves this entry, an entry that can write takes
+      // over within a second and accepts the job. If the store is unavailable
+      // to all entries, waiting is useless. The outcome of a call in doubt is
+      // resolved for as long as its caller waits.
+      if (call->in_doubt) return retry_later();
+      return CheckStore([retry_later, call, out](bool served) {
+        if (served) return retry_later();
         call->done(
             {.verdict = JobVerdict::kRefused, .retry_after = out.retry_after});
       });
     }
-    // The leader lost its office or its store meanwhile: the same call again
-    // finds out, here or at the next leader.
+    // The leader has lost leadership or its store meanwhile. Repeating the call
+    // resolves its outcome, at this leader or the next.
     if (out.verdict == JobVerdict::kUnknown) {
-      call->doubtful = true;
-      return again();
+      call->in_doubt = true;
+      return retry();
     }
-    // A refusal now does not undo an earlier try that may have been taken.
-    if (out.verdict == JobVerdict::kRefused && call->doubtful) {
+    // A refusal of this try does not undo an earlier one that may have taken
+    // effect.
+    if (out.verdict == JobVerdict::kRefused && call->in_doubt) {
       out.verdict = JobVerdict::kUnknown;
     }
     call->done(out);
   };
   if (!leadership_.leader_ready()) {
-    // A leader that still loads can only turn the call away. Repeated every
-    // 50 ms by 18 entries, such calls took half of a leader's link of 2 Mbit/s:
-    // its renewals came too late, the next one led and loaded everything again,
-    // 15 times in 20 s without one request served.
+    // A leader that is still loading can only reject the call. Repeated every
+    // 50 ms by 18 entries, such calls used half of a leader's 2 Mbit/s link.
+    // Its lease renewals were late, and the next leader had to load everything
+    // again: 15 changes of leader in 20 s, and no request was served.
     call->last_try = leadership_.leader().address.empty()
                          ? "no leader known"
                          : "the leader still loads";
-    return waiting_.Wait(std::min(left, kLongestWait),
+    return waiting_.Wait(std::min(remaining, kMaxWait),
                          [this, call] { Forward(call); });
   }
   ++call->tries;
-  if (coordinator_) return call->here(answer);
-  call->there(leadership_.leader().address,
-              std::min(left, options_.call_timeout),
-              [again, answer, call](const Result<Reply>& reply) {
-                if (reply.ok()) return answer(reply.value());
-                call->last_try = reply.error().message.empty()
-                                     ? reply.error().code.message()
-                                     : reply.error().message;
-                if (reply.error().code != Errc::kUnavailable) {
-                  call->doubtful = !call->read_only;
-                }
-                again();
-              });
+  if (coordinator_) return call->run_local(answer);
+  call->send(leadership_.leader().address,
+             std::min(remaining, options_.call_timeout),
+             [retry, answer, call](const Result<Reply>& reply) {
+               if (reply.ok()) return answer(reply.value());
+               call->last_try = reply.error().message.empty()
+                                    ? reply.error().code.message()
+                                    : reply.error().message;
+               if (reply.error().code != Errc::kUnavailable) {
+                 call->in_doubt = !call->read_only;
+               }
+               retry();
+             });
 }
 
 std::string JobEntry::LeaderHeartbeatAge() const {
@@ -322,7 +330,8 @@
 void JobEntry::CheckStore(std::function<void(bool served)> done) {
   const bool fresh =
       deps_.executor.Now() - store_checked_at_ < options_.store_check_max_age;
-  // A store known to be away is looked at again, but nobody waits for that.
+  // A store known to be unavailable is checked retry, but no call waits for
+  // the result.
   if (fresh || !store_serves_) done(store_serves_);
   if (fresh) return;
   if (store_serves_) store_check_waiters_.push_back(std::move(done));
@@ -348,13 +357,13 @@
   auto message = std::make_shared<wire::SubmitJobCall>();
   message->job = spec;
   auto call = std::make_shared<Forwarded<wire::SubmitJobReply>>();
-  call->what = "submit " + JobIdText(id);
+  call->name = "submit " + JobIdText(id);
   call->limit = deps_.executor.Now() + limit;
   call->deadline =
       deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
-  call->here = [this, message](auto reply) { OnSubmit(*message, reply); };
-  call->there = [this, message](const std::string& address, Millis timeout,
-                                auto reply) {
+  call->run_local = [this, message](auto reply) { OnSubmit(*message, reply); };
+  call->send = [this, message](const std::string& address, Millis timeout,
+                               auto reply) {
     deps_.peers.SubmitJob(address, *message, timeout, std::move(reply));
   };
   call->done = std::move(done);
@@ -370,25 +379,25 @@
   message.id = static_cast<int64_t>(id);
   auto call = std::make_shared<Forwarded<wire::JobStateReply>>();
   call->read_only = true;
-  call->what = "state " + JobIdText(id);
+  call->name = "state " + JobIdText(id);
   call->limit = deps_.executor.Now() + limit;
   call->deadline =
       deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
-  call->here = [this, message](auto reply) { OnState(message, reply); };
-  call->there = [this, message](const std::string& address, Millis timeout,
-                                auto reply) {
+  call->run_local = [this, message](auto reply) { OnState(message, reply); };
+  call->send = [this, message](const std::string& address, Millis timeout,
+                               auto reply) {
     deps_.peers.JobState(address, message, timeout, std::move(reply));
   };
   call->done = [this, id, done = std::move(done)](const JobAnswer& answer) {
     if (answer.verdict == JobVerdict::kDone && IsFinal(answer.state)) {
-      Remember(id, answer.state);
+      RememberFinalState(id, answer.state);
     }
     done(answer);
   };
   Forward(call);
 }
 
-void JobEntry::Remember(JobId id, JobState state) {
+void JobEntry::RememberFinalState(JobId id, JobState state) {
   if (!final_states_.emplace(id, state).second) return;
   final_order_.push_back(id);
   if (final_order_.size() <= options_.max_final_states) return;
@@ -400,13 +409,13 @@
   wire::CancelJobCall message;
   message.id = static_cast<int64_t>(id);
   auto call = std::make_shared<Forwarded<wire::CancelJobReply>>();
-  call->what = "cancel " + JobIdText(id);
+  call->name = "cancel " + JobIdText(id);
   call->limit = deps_.executor.Now() + limit;
   call->deadline =
       deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
-  call->here = [this, message](auto reply) { OnCancel(message, reply); };
-  call->there = [this, message](const std::string& address, Millis timeout,
-                                auto reply) {
+  call->run_local = [this, message](auto reply) { OnCancel(message, reply); };
+  call->send = [this, message](const std::string& address, Millis timeout,
+                               auto reply) {
     deps_.peers.CancelJob(address, message, timeout, std::move(reply));
   };
   call->done = std::move(done);
@@ -418,13 +427,13 @@
   message.queue = queue;
   auto call = std::make_shared<Forwarded<wire::PendingJobsReply>>();
   call->read_only = true;
-  call->what = "pending " + queue;
+  call->name = "pending " + queue;
   call->limit = deps_.executor.Now() + limit;
   call->deadline =
       deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
-  call->here = [this, message](auto reply) { OnPending(message, reply); };
-  call->there = [this, message](const std::string& address, Millis timeout,
-                                auto reply) {
+  call->run_local = [this, message](auto reply) { OnPending(message, reply); };
+  call->send = [this, message](const std::string& address, Millis timeout,
+                               auto reply) {
     deps_.peers.PendingJobs(address, message, timeout, std::move(reply));
   };
   call->done = std::move(done);
@@ -464,7 +473,8 @@
   Findings findings;
   CheckStoredJob(call.job, findings);
   if (!findings.empty()) {
-    // The entry that took the job has checked it; another version may not have.
+    // The entry that accepted the job has checked it, but an entry of another
+    // version may apply other rules.
     bad_records_.Report(faults::RecordSource::kPeer,
                         JobIdText(static_cast<JobId>(call.job.id)),
                         findings.ToString());
@@ -506,14 +516,14 @@
 
 void JobEntry::OnAdvise(const wire::AdviseCall& call,
                         std::function<void(wire::AdviseReply)> done) {
-  // The adviser takes up to a second; the process would be gone by then, and
-  // the step would have waited for nothing.
+  // The adviser takes up to a second. The process would have exited by then,
+  // and the step would have waited without result.
   if (accepting_stopped_) return done(ToReply(Errc::kUnavailable));
   ++advice_in_flight_;
   deps_.adviser.Ask(
       {static_cast<JobId>(call.job), call.occurrence, call.step},
       call.upstreams,
-      std::clamp(Millis(call.timeout_ms), Millis(0), kLongestAdvice),
+      std::clamp(Millis(call.timeout_ms), Millis(0), kMaxAdviceTimeout),
       [this, done = std::move(done)](const Result<ports::Advice>& advice) {
         --advice_in_flight_;
         done(ToReply(advice));
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -20,28 +20,32 @@
   leadership::LeadershipOptions leadership;
   coordinator::CoordinatorOptions coordinator;
   cellconfig::FollowerOptions config;
-  /// Longest that a caller waits for a leader: a takeover takes some 1.2 s.
+  /// Longest time that a call waits for a leader, unless its outcome is in
+  /// doubt. A takeover takes about 1.2 s.
   Millis leader_wait_timeout{1300};
-  /// Pause between the first two tries to reach the leader.
+  /// Pause between the first two attempts to reach the leader.
   Millis retry{50};
-  /// Pause before a leader that cannot reach the store is asked again.
+  /// Pause before a call is repeated at a leader that cannot reach the store.
   Millis store_retry{150};
-  /// What a stopping entry took is answered within this: the platform ends
-  /// the process 6 s after it asked for the stop.
+  /// An entry that shuts down answers its accepted calls within this time: the
+  /// platform ends the process 6 s after it requested the stop.
   Millis shutdown_reply_deadline{4400};
-  /// How long what is known of this entry's own way to the store is believed,
-  /// and how long a look at it may take.
+  /// How long the result of a check whether the store serves this entry is
+  /// reused.
   Millis store_check_max_age{500};
+  /// Timeout of such a check.
   Millis store_check_timeout{450};
-  /// Limit of one call to the leader.
+  /// Timeout of one call to the leader.
   Millis call_timeout{1000};
-  /// Final states remembered, so that they are told without the leader.
+  /// Number of final states cached here, so that queries for them need no call
+  /// to the leader.
   size_t max_final_states = 20000;
 };
 
-/// One entry instance: takes callers' requests, hands them to the leader, calls
-/// the adviser when the leader asks, and leads itself when it is its turn.
-/// Without threads or sockets. Control thread only.
+/// One entry instance: accepts callers' requests, forwards them to the leader,
+/// calls the adviser on behalf of the leader, and runs the coordinator while it
+/// is the leader itself. Has no threads or sockets of its own. Control thread
+/// only.
 class JobEntry final : public JobService, public coordinator::AdviceCaller {
  public:
   struct Dependencies {
@@ -62,12 +66,12 @@
   ~JobEntry() override;
 
   void Start();
-  /// Not ready any more; hands leadership over.
+  /// Makes the entry unready and resigns leadership.
   void BeginShutdown();
-  /// Takes no call for advice of the leader any more; those that were taken are
+  /// Rejects further advice calls of the leader; accepted ones are still
   /// answered.
   void StopAccepting() { accepting_stopped_ = true; }
-  /// Calls for advice that were taken and not yet answered.
+  /// Advice calls that were accepted and not yet answered.
   int64_t advice_in_flight() const { return advice_in_flight_; }
 
   Route Find(const std::string& host, const std::string& path) override;
@@ -81,7 +85,7 @@
            const std::vector<std::string>& upstreams, Millis timeout,
            Callback<ports::Advice> done) override;
 
-  /// Calls of other entries.
+  /// Handlers of calls of other entries.
   wire::HeartbeatReply OnHeartbeat(const wire::HeartbeatCall& call);
   wire::AnnounceReply OnAnnounce(const wire::AnnounceCall& call);
   void OnSubmit(const wire::SubmitJobCall& call,
@@ -98,7 +102,7 @@
   const leadership::Leadership& leadership() const { return leadership_; }
 
  private:
-  /// A call that is tried until the leader has answered it.
+  /// A call that is retried until the leader has answered it.
   template <typename Reply>
   struct Forwarded;
 
@@ -107,10 +111,11 @@
   void RefreshLanes();
   /// Pools that the configuration names; null while none is known.
   const std::set<std::string>* KnownPools() const;
-  void Remember(JobId id, JobState state);
-  /// How long ago the leader answered a greeting, in ms, for the log.
+  void RememberFinalState(JobId id, JobState state);
+  /// Time since the leader last answered a heartbeat, in ms, for the log.
   std::string LeaderHeartbeatAge() const;
-  /// Runs `done` when it is known whether the store serves this entry.
+  /// Checks whether the store serves this entry and passes the result to
+  /// `done`.
   void CheckStore(std::function<void(bool served)> done);
   template <typename Reply>
   void Forward(std::shared_ptr<Forwarded<Reply>> call);
@@ -122,10 +127,10 @@
   cellconfig::CellConfigFollower config_;
   leadership::Leadership leadership_;
   std::shared_ptr<coordinator::Coordinator> coordinator_;
-  bool closing_ = false;
+  bool shutting_down_ = false;
   bool accepting_stopped_ = false;
   int64_t advice_in_flight_ = 0;
-  /// When a stopping entry gives its last answers.
+  /// When an entry that shuts down gives its last answers.
   TimePoint shutdown_reply_deadline_ = TimePoint::max();
   bool store_serves_ = true;
   bool store_check_running_ = false;
--- a/src/jobentry/job_peer_server.cc
+++ b/src/jobentry/job_peer_server.cc
@@ -3,11 +3,12 @@
 namespace mimosarail::jobentry {
 namespace {
 
-/// Serves a call whose answer comes later.
+/// Registers a handler that answers asynchronously.
 template <typename Call, typename Reply>
-void Serve(rpc::Server& server, Executor& executor, rpc::Method method,
-           JobEntry& entry,
-           void (JobEntry::*handle)(const Call&, std::function<void(Reply)>)) {
+void ServeAsync(rpc::Server& server, Executor& executor, rpc::Method method,
+                JobEntry& entry,
+                void (JobEntry::*handle)(const Call&,
+                                         std::function<void(Reply)>)) {
   rpc::HandleTyped<Call, Reply>(
       server, executor, method,
       [&entry, handle](const Call& call, std::function<void(Reply)> reply) {
@@ -15,10 +16,10 @@
       });
 }
 
-/// Serves a call that is answered at once.
+/// Registers a handler that returns its answer.
 template <typename Call, typename Reply>
-void ServeNow(rpc::Server& server, Executor& executor, rpc::Method method,
-              JobEntry& entry, Reply (JobEntry::*handle)(const Call&)) {
+void ServeSync(rpc::Server& server, Executor& executor, rpc::Method method,
+               JobEntry& entry, Reply (JobEntry::*handle)(const Call&)) {
   rpc::HandleTyped<Call, Reply>(
       server, executor, method,
       [&entry, handle](const Call& call, std::function<void(Reply)> reply) {
@@ -30,13 +31,15 @@
 
 void ServeJobPeers(rpc::Server& server, Executor& executor, JobEntry& entry) {
   using rpc::Method;
-  ServeNow(server, executor, Method::kHeartbeat, entry, &JobEntry::OnHeartbeat);
-  ServeNow(server, executor, Method::kAnnounce, entry, &JobEntry::OnAnnounce);
-  Serve(server, executor, Method::kSubmitJob, entry, &JobEntry::OnSubmit);
-  Serve(server, executor, Method::kJobState, entry, &JobEntry::OnState);
-  Serve(server, executor, Method::kCancelJob, entry, &JobEntry::OnCancel);
-  Serve(server, executor, Method::kPendingJobs, entry, &JobEntry::OnPending);
-  Serve(server, executor, Method::kAdvise, entry, &JobEntry::OnAdvise);
+  ServeSync(server, executor, Method::kHeartbeat, entry,
+            &JobEntry::OnHeartbeat);
+  ServeSync(server, executor, Method::kAnnounce, entry, &JobEntry::OnAnnounce);
+  ServeAsync(server, executor, Method::kSubmitJob, entry, &JobEntry::OnSubmit);
+  ServeAsync(server, executor, Method::kJobState, entry, &JobEntry::OnState);
+  ServeAsync(server, executor, Method::kCancelJob, entry, &JobEntry::OnCancel);
+  ServeAsync(server, executor, Method::kPendingJobs, entry,
+             &JobEntry::OnPending);
+  ServeAsync(server, executor, Method::kAdvise, entry, &JobEntry::OnAdvise);
 }
 
 }  // namespace mimosarail::jobentry
--- a/src/jobentry/job_peer_server.h
+++ b/src/jobentry/job_peer_server.h
@@ -5,8 +5,8 @@
 
 namespace mimosarail::jobentry {
 
-/// Registers the calls of other entries; before Listen(). Everything given
-/// outlives the server.
+/// Registers the handlers of other entries' calls. Must be called before
+/// Listen(); `executor` and `entry` must outlive the server.
 void ServeJobPeers(rpc::Server& server, Executor& executor, JobEntry& entry);
 
 }  // namespace mimosarail::jobentry
--- a/src/jobentry/job_service.h
+++ b/src/jobentry/job_service.h
@@ -14,11 +14,11 @@
 
 enum class RouteKind { kNoConfig, kNoQueue, kFound };
 
-/// Where a caller's path leads.
+/// Result of looking up the queue of a caller's path.
 struct Route {
   RouteKind kind = RouteKind::kNoConfig;
   wire::QueuePolicy queue;
-  /// What follows the queue's prefix.
+  /// The part of the path after the queue's prefix.
   std::string path_suffix;
 };
 
@@ -26,18 +26,18 @@
   coordinator::JobVerdict verdict = coordinator::JobVerdict::kUnknown;
   JobState state = JobState::kQueued;
   int64_t pending = 0;
-  /// With kRefused: when to come back.
+  /// With kRefused: the pause before the caller should retry.
   Millis retry_after{0};
 };
 
 using JobDone = std::function<void(JobAnswer)>;
 
-/// What an entry offers to callers. Control thread only; `done` runs once, on
-/// the control thread, at the latest after `limit`.
+/// Operations that an entry offers to callers. Control thread only. `done` runs
+/// once, on the control thread, after `limit` at the latest.
 class JobService {
  public:
   virtual ~JobService() = default;
-  /// The queue with the longest prefix of the path at this host.
+  /// Finds the queue of this host with the longest prefix of the path.
   virtual Route Find(const std::string& host, const std::string& path) = 0;
   /// Precondition: CheckJob() found nothing.
   virtual void Submit(const wire::JobSpec& spec, Millis limit,
@@ -46,7 +46,7 @@
   virtual void Cancel(JobId id, Millis limit, JobDone done) = 0;
   virtual void Pending(const std::string& queue, Millis limit,
                        JobDone done) = 0;
-  /// Whether a balancer should send new callers here.
+  /// Whether a load balancer should send new callers here.
   virtual bool Ready() = 0;
 };
 
--- a/src/jobentry/waiting_calls.cc
+++ b/src/jobentry/waiting_calls.cc
@@ -4,10 +4,10 @@
 
 namespace mimosarail::jobentry {
 
-void WaitingCalls::Wait(Millis longest, std::function<void()> resume) {
+void WaitingCalls::Wait(Millis timeout, std::function<void()> resume) {
   const int64_t number = ++last_number_;
   waiting_.emplace(number, std::move(resume));
-  executor_.RunAfter(longest, [this, number] {
+  executor_.RunAfter(timeout, [this, number] {
     const auto call = waiting_.extract(number);
     if (!call.empty()) call.mapped()();
   });
--- a/src/jobentry/waiting_calls.h
+++ b/src/jobentry/waiting_calls.h
@@ -8,16 +8,16 @@
 
 namespace mimosarail::jobentry {
 
-/// Calls that wait here, at the callers' entry, instead of being repeated at a
-/// leader that can't take them yet. Control thread only; it outlives what its
-/// executor runs.
+/// Holds calls at the callers' entry while the leader can't accept them,
+/// instead of repeating them at the leader. Control thread only. Must outlive
+/// the tasks of its executor.
 class WaitingCalls {
  public:
   explicit WaitingCalls(Executor& executor) : executor_(executor) {}
 
-  /// Runs `resume` once: with the next ReleaseAll(), or after `longest`.
-  void Wait(Millis longest, std::function<void()> resume);
-  /// Resumes all that wait now, those that waited longest first.
+  /// Runs `resume` once: at the next ReleaseAll(), or after `timeout`.
+  void Wait(Millis timeout, std::function<void()> resume);
+  /// Resumes all waiting calls, in the order of their Wait().
   void ReleaseAll();
 
  private:
