--- a/src/shutdown/shutdown_plan.cc
+++ b/src/shutdown/shutdown_plan.cc
@@ -9,9 +9,10 @@
     return view.elapsed >= options.unready_period ? ShutdownStep::kStopAccepting
                                                   : ShutdownStep::kServe;
   }
-  // With the intake open a moment without open requests proves nothing: the
-  // next one comes before the process is gone, and its caller sees the
-  // connection close. After its end these counts only fall.
+  // While requests are accepted, a moment without open requests proves nothing:
+  // the next one may arrive before the process has exited, and its caller would
+  // see the connection close. Once accepting has stopped, these counts only
+  // fall.
   const bool all_answered = view.open_requests == 0 && view.connections == 0;
   return all_answered ? ShutdownStep::kEnd : ShutdownStep::kServe;
 }
--- a/src/shutdown/shutdown_plan.h
+++ b/src/shutdown/shutdown_plan.h
@@ -9,28 +9,30 @@
 namespace mimosarail::shutdown {
 
 struct ShutdownOptions {
-  /// How long callers still come after the balancer was told.
+  /// How long callers keep arriving after the entry has become unready for the
+  /// load balancer.
   Millis unready_period{2600};
-  /// Longest that a graceful shutdown takes.
+  /// Maximum duration of a graceful shutdown.
   Millis limit{5200};
 };
 
-/// What a stopping process sees of its callers.
+/// State of a process that is shutting down, as input for NextStep().
 struct ShutdownView {
-  /// Since the stop was asked for.
+  /// Time since the shutdown was requested.
   Millis elapsed{0};
-  /// Of callers and of the leader: read and not yet answered.
+  /// Requests of callers and of the leader that were read and not yet
+  /// answered.
   int64_t open_requests = 0;
-  /// Accepted and not yet closed.
+  /// Connections that were accepted and not yet closed.
   size_t connections = 0;
   /// Whether kStopAccepting was carried out.
   bool accepting_stopped = false;
 };
 
 enum class ShutdownStep {
-  /// Take requests and answer them.
+  /// Accept requests and answer them.
   kServe,
-  /// Take no further request; answer those that were taken.
+  /// Accept no further requests; answer those that were accepted.
   kStopAccepting,
   /// End the process.
   kEnd,
@@ -42,8 +44,9 @@
     EnumName{ShutdownStep::kEnd, "end"},
 }};
 
-/// What a stopping process does next: it serves until the balancer has noticed,
-/// then takes nothing more, answers what it took, and ends. Thread-safe.
+/// Returns the next step of a graceful shutdown: the process serves until the
+/// load balancer has noticed, then stops accepting requests, answers the
+/// accepted ones, and exits. Thread-safe.
 ShutdownStep NextStep(const ShutdownOptions& options, const ShutdownView& view);
 
 }  // namespace mimosarail::shutdown
