--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -330,7 +330,7 @@
 void JobEntry::CheckStore(std::function<void(bool served)> done) {
   const bool fresh =
       deps_.executor.Now() - store_checked_at_ < options_.store_check_max_age;
-  // A store known to be unavailable is checked retry, but no call waits for
+  // A store known to be unavailable is checked again, but no call waits for
   // the result.
   if (fresh || !store_serves_) done(store_serves_);
   if (fresh) return;
