--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -19,13 +19,13 @@
 
 struct Outcome {
   Millis ended{0};
-  /// Requests that were taken and not answered when the process ended.
+  /// Requests that were accepted and not answered when the process exited.
   size_t unanswered = 0;
 };
 
-/// A stopping process to which callers come at a steady rate, as when most
-/// entries of a failure domain are stopped together and the balancer sends to
-/// all of them.
+/// Simulates a process that shuts down while callers arrive at a steady rate,
+/// as when most entries of a failure domain are stopped together and the load
+/// balancer still sends requests to all of them.
 Outcome Stop(const ShutdownOptions& options, Millis answer_takes) {
   std::vector<Millis> answered_at;
   ShutdownView view;
@@ -48,23 +48,24 @@
   }
 }
 
-/// A server whose handler keeps the responders, and a thread that serves it.
-class HeldServer {
+/// A server with a thread of its own, whose handler keeps the requests until
+/// the test answers them.
+class DeferredServer {
  public:
-  HeldServer()
+  DeferredServer()
       : server_(io_, {}, [this](http::Request, http::Responder respond) {
           std::lock_guard lock(mutex_);
-          held_.push_back(std::move(respond));
+          pending_.push_back(std::move(respond));
         }) {
     port_ = server_.Listen("127.0.0.1:0").value();
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~HeldServer() {
+  ~DeferredServer() {
     io_.stop();
     thread_.join();
   }
-  HeldServer(const HeldServer&) = delete;
-  HeldServer& operator=(const HeldServer&) = delete;
+  DeferredServer(const DeferredServer&) = delete;
+  DeferredServer& operator=(const DeferredServer&) = delete;
 
   http::Server& server() { return server_; }
 
@@ -74,43 +75,44 @@
     return socket;
   }
 
-  /// The server's thread stands still for this long, from about now on.
+  /// Blocks the server's thread for `span`.
   void Stall(Millis span) {
     asio::post(io_, [span] { std::this_thread::sleep_for(span); });
   }
 
-  /// Blocks until as many requests are in the handler's hands.
-  void WaitForHeld(size_t count) {
-    while (held() < count) std::this_thread::sleep_for(Millis(1));
+  /// Blocks until the handler has `count` pending requests.
+  void WaitForPending(size_t count) {
+    while (pending() < count) std::this_thread::sleep_for(Millis(1));
   }
 
-  /// Whether that many requests come into the handler's hands within seconds.
-  bool ComesToHold(size_t count) {
+  /// Returns whether the handler gets `count` pending requests within some
+  /// seconds.
+  bool ReachesPending(size_t count) {
     constexpr int kTries = 3000;
-    for (int i = 0; i < kTries && held() < count; ++i) {
+    for (int i = 0; i < kTries && pending() < count; ++i) {
       std::this_thread::sleep_for(Millis(1));
     }
-    return held() >= count;
+    return pending() >= count;
   }
 
-  size_t held() {
+  size_t pending() {
     std::lock_guard lock(mutex_);
-    return held_.size();
+    return pending_.size();
   }
 
-  /// Loses the requests, as when what holds them goes.
+  /// Destroys the responders without an answer.
   void DropAll() {
     std::lock_guard lock(mutex_);
-    held_.clear();
+    pending_.clear();
   }
 
   void AnswerAll() {
-    std::vector<http::Responder> held;
+    std::vector<http::Responder> deferred;
     {
       std::lock_guard lock(mutex_);
-      held.swap(held_);
+      deferred.swap(pending_);
     }
-    for (auto& respond : held) respond({.body = "whole"});
+    for (auto& respond : deferred) respond({.body = "whole"});
   }
 
  private:
@@ -119,7 +121,7 @@
   asio::executor_work_guard<asio::io_context::executor_type> work_{
       io_.get_executor()};
   std::mutex mutex_;
-  std::vector<http::Responder> held_;
+  std::vector<http::Responder> pending_;
   http::Server server_;
   uint16_t port_ = 0;
   std::thread thread_;
@@ -129,7 +131,7 @@
   asio::write(socket, asio::buffer(text));
 }
 
-/// All that comes until the other side ends the connection.
+/// Returns all data received until the peer closes the connection.
 std::string ReadToEnd(tcp::socket& socket) {
   std::string out;
   std::error_code error;
@@ -137,13 +139,14 @@
   return out;
 }
 
-/// Whether a caller that comes now is turned away by the kernel. Tries for some
-/// seconds, since the server closes its listener on a thread of its own.
-bool ComesToRefuse(HeldServer& held) {
+/// Returns whether the kernel refuses new connections to the server. Retries
+/// for some seconds, since the server closes its listener on a thread of its
+/// own.
+bool EventuallyRefuses(DeferredServer& deferred) {
   constexpr int kTries = 3000;
   for (int i = 0; i < kTries; ++i) {
     std::error_code error;
-    tcp::socket socket = held.Connect(error);
+    tcp::socket socket = deferred.Connect(error);
     if (error) return true;
     std::this_thread::sleep_for(Millis(1));
   }
@@ -152,16 +155,18 @@
 
 }  // namespace
 
-/// Callers saw connections close without an answer at the end of a stop. Their
-/// failure domain was stopped machine by machine, so that the balancer went on
-/// sending to all of it. The process took requests until its time was up, never
-/// had a moment without an open one, and ended with those of the last moments.
+/// Guards against connections that close without an answer at the end of a
+/// shutdown. While a failure domain is stopped machine by machine, the load
+/// balancer keeps sending requests to all of it. A process that accepts
+/// requests until its time limit never has a moment without an open one, and
+/// exits with the last requests unanswered.
 BOOST_AUTO_TEST_CASE(StoppingServerAnswersAllAcceptedRequests) {
   for (const Millis answer : {Millis(5), Millis(60), Millis(550)}) {
     BOOST_TEST_CONTEXT("answers take " << answer.count() << " ms") {
       const Outcome outcome = Stop({}, answer);
       BOOST_TEST(outcome.unanswered == 0U);
-      // It is back the sooner: callers who are refused go elsewhere.
+      // The process must not exit much later than its last answer: callers
+      // refused meanwhile go to other entries, and it is back sooner.
       BOOST_TEST(outcome.ended.count() <=
                  (ShutdownOptions().unready_period + answer + 3 * kPollInterval)
                      .count());
@@ -169,112 +174,119 @@
   }
 }
 
-/// A process whose last calls hang ends all the same before it is killed.
+/// Guards against a shutdown that waits for calls that never return: the
+/// process must exit by itself before it is killed.
 BOOST_AUTO_TEST_CASE(ShutdownIsBoundedInTime) {
   const Outcome outcome = Stop({}, Millis(60000));
   BOOST_TEST(outcome.ended.count() == ShutdownOptions().limit.count());
 }
 
-/// A caller connects to an entry that is about to end, sends a whole request,
-/// and sees the connection close without an answer: the listener took
-/// connections until the process was gone, also when nobody was left to answer.
+/// Guards against a listener that accepts connections until the process exits.
+/// A caller that connects after the server has stopped accepting requests would
+/// send a complete request and see the connection close without an answer.
 BOOST_AUTO_TEST_CASE(ServerRefusesConnectionsAfterIntakeEnds) {
-  HeldServer held;
-  held.server().BeginShutdown();
-  held.server().StopAccepting();
-  BOOST_TEST(ComesToRefuse(held));
-  BOOST_TEST(held.server().open_requests() == 0);
+  DeferredServer deferred;
+  deferred.server().BeginShutdown();
+  deferred.server().StopAccepting();
+  BOOST_TEST(EventuallyRefuses(deferred));
+  BOOST_TEST(deferred.server().open_requests() == 0);
 }
 
-/// What was taken is answered whole, what has begun to come is taken, and a
-/// connection without a request is closed instead of waiting for one that
-/// nobody would answer.
+/// Guards against unanswered requests during a shutdown. Accepted requests are
+/// answered completely, and a partially received one is still accepted. A
+/// connection without a request is closed, since a later request on it would
+/// not be answered.
 BOOST_AUTO_TEST_CASE(AcceptedRequestsAreAnsweredOnShutdown) {
-  HeldServer held;
+  DeferredServer deferred;
   std::error_code error;
-  tcp::socket idle = held.Connect(error);
+  tcp::socket idle = deferred.Connect(error);
   BOOST_REQUIRE(!error);
-  tcp::socket open = held.Connect(error);
+  tcp::socket open = deferred.Connect(error);
   BOOST_REQUIRE(!error);
   Send(open, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
-  held.WaitForHeld(1);
-  // Served once, so that the server knows this connection when it stops.
-  tcp::socket partial = held.Connect(error);
+  deferred.WaitForPending(1);
+  // One request is already served here, so the server knows this connection
+  // when it stops accepting.
+  tcp::socket partial = deferred.Connect(error);
   BOOST_REQUIRE(!error);
   Send(partial, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /3 HT");
-  held.WaitForHeld(2);
-  held.server().StopAccepting();
-  BOOST_REQUIRE(ComesToRefuse(held));
+  deferred.WaitForPending(2);
+  deferred.server().StopAccepting();
+  BOOST_REQUIRE(EventuallyRefuses(deferred));
   BOOST_TEST(ReadToEnd(idle).empty());
   Send(partial, "TP/1.1\r\nHost: a\r\n\r\n");
-  held.AnswerAll();
-  held.WaitForHeld(1);
-  held.server().BeginShutdown();
-  held.AnswerAll();
+  deferred.AnswerAll();
+  deferred.WaitForPending(1);
+  deferred.server().BeginShutdown();
+  deferred.AnswerAll();
   BOOST_TEST(ReadToEnd(open).find("whole") != std::string::npos);
   const std::string both = ReadToEnd(partial);
   BOOST_TEST(both.find("whole") != both.rfind("whole"));
-  BOOST_TEST(held.server().open_requests() == 0);
+  BOOST_TEST(deferred.server().open_requests() == 0);
 }
 
-/// A caller sends its next request before it has the answer to the first, and
-/// sees the connection end after that one. The entry was stopped in between: it
-/// ended the connection with the first answer, read the second request, which
-/// had stood in the kernel's buffer, and threw it away.
+/// Guards against a pipelined request that is lost in a shutdown. A caller
+/// sends its second request before it has the answer to the first, and the
+/// entry is stopped in between. If the entry closes the connection with the
+/// first answer, it discards the second request, which is still in the kernel's
+/// buffer.
 BOOST_AUTO_TEST_CASE(BufferedRequestIsAnsweredOnShutdown) {
-  HeldServer held;
+  DeferredServer deferred;
   std::error_code error;
-  tcp::socket caller = held.Connect(error);
+  tcp::socket caller = deferred.Connect(error);
   BOOST_REQUIRE(!error);
   Send(caller, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
-  held.WaitForHeld(1);
+  deferred.WaitForPending(1);
   Send(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-  // Time to reach the buffer: nothing that a caller can see tells when.
+  // Time for the request to reach the buffer; a caller cannot observe when it
+  // does.
   std::this_thread::sleep_for(Millis(50));
-  held.server().BeginShutdown();
-  held.AnswerAll();
-  BOOST_REQUIRE(held.ComesToHold(1));
-  held.AnswerAll();
+  deferred.server().BeginShutdown();
+  deferred.AnswerAll();
+  BOOST_REQUIRE(deferred.ReachesPending(1));
+  deferred.AnswerAll();
   const std::string both = ReadToEnd(caller);
   BOOST_TEST(both.find("whole") != both.rfind("whole"));
 }
 
-/// A caller sends a request on an open connection, and sees it close without an
-/// answer. The entry was stopping and stood still for a moment. When it went
-/// on, the request was there and the time for it was over: it read the request
-/// and handed it on, and then closed the connection for want of one.
+/// Guards against a request that is lost when it arrives together with the
+/// timeout of its connection. The entry is shutting down and its thread is
+/// paused for a moment. When it resumes, the request has arrived and the
+/// timeout is due: the entry reads the request and passes it to the handler,
+/// and must not close the connection afterwards.
 BOOST_AUTO_TEST_CASE(RequestArrivingAtTimeoutIsAnswered) {
-  HeldServer held;
+  DeferredServer deferred;
   std::error_code error;
-  tcp::socket caller = held.Connect(error);
+  tcp::socket caller = deferred.Connect(error);
   BOOST_REQUIRE(!error);
   Send(caller, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
-  held.WaitForHeld(1);
-  held.AnswerAll();
+  deferred.WaitForPending(1);
+  deferred.AnswerAll();
   std::this_thread::sleep_for(Millis(50));
-  held.server().StopAccepting();
-  held.Stall(Millis(400));
+  deferred.server().StopAccepting();
+  deferred.Stall(Millis(400));
   std::this_thread::sleep_for(Millis(50));
   Send(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-  BOOST_REQUIRE(held.ComesToHold(1));
+  BOOST_REQUIRE(deferred.ReachesPending(1));
   std::this_thread::sleep_for(Millis(50));
-  held.server().BeginShutdown();
-  held.AnswerAll();
+  deferred.server().BeginShutdown();
+  deferred.AnswerAll();
   const std::string both = ReadToEnd(caller);
   BOOST_TEST(both.find("whole") != both.rfind("whole"));
 }
 
-/// A caller sees the connection close without an answer, and cannot know
-/// whether its request ran. What was to answer it had gone: the callbacks that
-/// waited for a lost office were dropped, and the connection with them.
-BOOST_AUTO_TEST_CASE(ADroppedRequestIsAnswered) {
-  HeldServer held;
+/// Guards against a connection that closes without an answer when its responder
+/// is destroyed, as happens to the callbacks of pending calls when leadership
+/// is lost. The caller must get an answer, since it cannot know whether its
+/// request has run.
+BOOST_AUTO_TEST_CASE(DroppedRequestIsAnswered) {
+  DeferredServer deferred;
   std::error_code error;
-  tcp::socket caller = held.Connect(error);
+  tcp::socket caller = deferred.Connect(error);
   BOOST_REQUIRE(!error);
   Send(caller, "GET /1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-  held.WaitForHeld(1);
-  held.DropAll();
+  deferred.WaitForPending(1);
+  deferred.DropAll();
   BOOST_TEST(ReadToEnd(caller).find("HTTP/1.1 504") == 0U);
 }
 
--- a/tests/takeover_load_test.cc
+++ b/tests/takeover_load_test.cc
@@ -12,53 +12,54 @@
 namespace mimosarail::jobsim {
 namespace {
 
-/// What a fleet must load after a take-over, and over what.
+/// The jobs that a new leader must load after a takeover, and the capacity that
+/// it has for that.
 struct Fleet {
-  /// Jobs in the table: one in three is open, the others have ended.
+  /// Jobs in the table; one in three is open, the others have ended.
   int jobs = 0;
   double link_bytes_per_s = 0;
-  /// What the processor takes for each message, and how many bytes it decodes.
-  std::chrono::microseconds message{0};
+  /// Processor time for each message, and bytes decoded per second.
+  std::chrono::microseconds message_time{0};
   double processor_bytes_per_s = 0;
-  /// Bytes of each job's text.
-  size_t text = 300;
+  /// Size of each job's payload.
+  size_t payload_bytes = 300;
   friend std::ostream& operator<<(std::ostream& out, const Fleet& fleet) {
     return out << fleet.jobs << " jobs, link " << fleet.link_bytes_per_s
-               << " B/s, " << fleet.message.count() << " us a message, "
+               << " B/s, " << fleet.message_time.count() << " us a message, "
                << fleet.processor_bytes_per_s << " B/s decoded, texts of "
-               << fleet.text << " B";
+               << fleet.payload_bytes << " B";
   }
 };
 
-constexpr double kThinLink = 250e3;   // 2 Mbit/s
-constexpr double kSmallLink = 2.5e6;  // 20 Mbit/s
-constexpr double kWideLink = 25e6;    // 200 Mbit/s
-constexpr std::chrono::microseconds kWeakMessage{500};
-constexpr std::chrono::microseconds kFitMessage{100};
-constexpr double kWeakDecoding = 2e6;
-constexpr double kFitDecoding = 20e6;
-/// A page of such jobs takes some 5 s over the thin link.
-constexpr size_t kLongText = 4000;
+constexpr double kSlowLink = 250e3;    // 2 Mbit/s
+constexpr double kMediumLink = 2.5e6;  // 20 Mbit/s
+constexpr double kFastLink = 25e6;     // 200 Mbit/s
+constexpr std::chrono::microseconds kSlowMessage{500};
+constexpr std::chrono::microseconds kFastMessage{100};
+constexpr double kSlowDecoding = 2e6;
+constexpr double kFastDecoding = 20e6;
+/// A page of jobs with such payloads takes about 5 s over the thin link.
+constexpr size_t kLargePayload = 4000;
 constexpr int kEntries = 24;
 constexpr Millis kStep{20};
 
 const std::vector<Fleet> kFleets{
-    {30, kThinLink, kWeakMessage, kWeakDecoding},
-    {30, kWideLink, kFitMessage, kFitDecoding},
-    {1200, kThinLink, kWeakMessage, kWeakDecoding},
-    {1200, kThinLink, kFitMessage, kFitDecoding},
-    {1200, kSmallLink, kWeakMessage, kWeakDecoding},
-    {1200, kWideLink, kFitMessage, kFitDecoding},
-    {5000, kThinLink, kWeakMessage, kWeakDecoding},
-    {5000, kSmallLink, kWeakMessage, kWeakDecoding},
-    {5000, kWideLink, kFitMessage, kFitDecoding},
-    {1200, kThinLink, kWeakMessage, kWeakDecoding, kLongText},
-    {1200, kSmallLink, kFitMessage, kFitDecoding, kLongText},
+    {30, kSlowLink, kSlowMessage, kSlowDecoding},
+    {30, kFastLink, kFastMessage, kFastDecoding},
+    {1200, kSlowLink, kSlowMessage, kSlowDecoding},
+    {1200, kSlowLink, kFastMessage, kFastDecoding},
+    {1200, kMediumLink, kSlowMessage, kSlowDecoding},
+    {1200, kFastLink, kFastMessage, kFastDecoding},
+    {5000, kSlowLink, kSlowMessage, kSlowDecoding},
+    {5000, kMediumLink, kSlowMessage, kSlowDecoding},
+    {5000, kFastLink, kFastMessage, kFastDecoding},
+    {1200, kSlowLink, kSlowMessage, kSlowDecoding, kLargePayload},
+    {1200, kMediumLink, kFastMessage, kFastDecoding, kLargePayload},
 };
 
-/// Puts jobs of an earlier leader into the table; bytes as the store sends
-/// them.
-size_t FillTable(JobCell& cell, int jobs, size_t text) {
+/// Puts jobs of an earlier leader into the table. Returns their size in the
+/// encoding of the store's replies.
+size_t FillTable(JobCell& cell, int jobs, size_t payload_bytes) {
   size_t bytes = 0;
   const auto put = [&](const std::string& key, const std::string& value) {
     cell.store().Put("jobs", key, value);
@@ -67,7 +68,7 @@
   for (int i = 0; i < jobs; ++i) {
     const JobId id = 0xfe00000 + static_cast<JobId>(i);
     wire::JobSpec spec = OneStepJob(id, 4, 1000);
-    spec.payload = std::string(text, 'x');
+    spec.payload = std::string(payload_bytes, 'x');
     const bool open = i % 3 == 0;
     wire::ProgressRecord progress;
     progress.state = static_cast<int32_t>(JobState::kComplete);
@@ -81,8 +82,8 @@
   return bytes;
 }
 
-/// Callers of every entry hand in jobs all the while; tells how long it takes
-/// until the first one is accepted, `limit` if longer.
+/// Submits jobs at every entry until the first one is accepted. Returns the
+/// time until then, or `limit` if it takes longer.
 Millis TimeToServe(JobCell& cell, Millis limit) {
   JobId next = 0xca00000;
   const JobId first = next;
@@ -105,27 +106,29 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// All entries lose power and come back together; the next leader has to load
-/// the jobs of the one before, over a thin link or with a weak processor, while
-/// callers of all entries wait for it. Callers saw nobody serve for the rest of
-/// the day: the calls repeated at a leader that was still loading took half of
-/// its link, its renewals came too late, and the next one loaded everything
-/// again. It must serve within four times what loading takes alone, and 3 s.
+/// Guards against a service that never recovers after all entries have lost
+/// power together. The new leader loads the stored jobs over a slow link or
+/// with a slow processor while callers of all entries wait. When these calls
+/// were repeated at the loading leader, they used half of its link: its lease
+/// renewals were late, and the next leader had to load everything again. The
+/// leader must serve within four times the time that loading takes alone,
+/// plus 3 s.
 BOOST_DATA_TEST_CASE(NewLeaderServesInTimeOnSlowLinks,
                      boost::unit_test::data::make(kFleets), fleet) {
   JobCell cell({.entries = kEntries,
                 .upstreams = 6,
                 .link = {.bytes_per_s = fleet.link_bytes_per_s},
                 .processor = {.bytes_per_s = fleet.processor_bytes_per_s,
-                              .per_message = fleet.message}});
-  const size_t bytes = FillTable(cell, fleet.jobs, fleet.text);
+                              .per_message = fleet.message_time}});
+  const size_t bytes = FillTable(cell, fleet.jobs, fleet.payload_bytes);
   for (const std::string& name : cell.names()) cell.Kill(name);
   cell.RunFor(Millis(1000));
   for (const std::string& name : cell.names()) cell.Restart(name);
-  const double alone = static_cast<double>(bytes) / fleet.link_bytes_per_s +
-                       static_cast<double>(bytes) / fleet.processor_bytes_per_s;
+  const double loading_s =
+      static_cast<double>(bytes) / fleet.link_bytes_per_s +
+      static_cast<double>(bytes) / fleet.processor_bytes_per_s;
   constexpr double kMillisPerSecond = 1000;
-  const Millis loading(static_cast<int64_t>(alone * kMillisPerSecond));
+  const Millis loading(static_cast<int64_t>(loading_s * kMillisPerSecond));
   const Millis bound = 4 * loading + Millis(3000);
   const Millis took = TimeToServe(cell, bound + Millis(5000));
   BOOST_TEST_MESSAGE("served after " << took.count() << " ms; loading alone "
@@ -135,10 +138,11 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// With 97 entries the leader sent 1.5 MB a second in answers to greetings, on
-/// a machine whose link carries 2.5 MB, and callers waited behind them: each
-/// answer listed all entries, so that all of them together grew with the square
-/// of the fleet. What one follower is sent must not grow with the others.
+/// Guards against heartbeat replies that overload the leader's link. With 97
+/// entries the leader sent 1.5 MB/s of heartbeat replies over a link of 2.5
+/// MB/s, and callers waited behind them: each reply listed all entries, so the
+/// total grew with the square of their number. The bytes sent to one follower
+/// must not grow with the number of followers.
 BOOST_AUTO_TEST_CASE(HeartbeatReplySizeIsIndependentOfFleetSize) {
   const auto sent_to_each = [](int entries) {
     JobCell cell({.entries = entries, .upstreams = 2});
--- a/tests/upstream_takeover_test.cc
+++ b/tests/upstream_takeover_test.cc
@@ -9,32 +9,33 @@
 namespace {
 
 constexpr Millis kStartupTime{2000};
-/// By then the leader has noticed that an upstream does not answer.
-constexpr Millis kNoticed{2500};
-/// A take-over after a kill, with the time in which a job starts.
-constexpr Millis kTakeOver{2500};
+/// Time within which the leader detects that an upstream does not answer.
+constexpr Millis kDetectionTime{2500};
+/// Duration of a takeover after a kill, including the start of a job.
+constexpr Millis kTakeoverTime{2500};
 
-/// How many tasks of the job run or have run to their end.
-int Begun(JobCell& cell, JobId id, int32_t tasks) {
-  int begun = 0;
+/// Returns how many tasks of the job are running or done.
+int StartedTasks(JobCell& cell, JobId id, int32_t tasks) {
+  int started = 0;
   for (int32_t i = 0; i < tasks; ++i) {
     const TaskId task{id, 0, 0, i};
     if (!cell.upstreams().UpstreamRunning(task).empty() ||
         cell.upstreams().DoneRuns(task) > 0) {
-      ++begun;
+      ++started;
     }
   }
-  return begun;
+  return started;
 }
 
 }  // namespace
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// An upstream is gone, which the leader has seen. Then the leader dies while
-/// half of a job's tasks still wait for room. The next leader can't know what
-/// the lost upstream runs and has to wait for its leases, 6 s; but none of
-/// these tasks can be there, and their caller waits.
+/// Guards against a takeover that delays tasks which a lost upstream cannot
+/// run. The leader has detected the loss of an upstream and dies while half of
+/// a job's tasks wait for free capacity. The next leader does not know what the
+/// lost upstream runs and has to wait 6 s for its leases. None of the waiting
+/// tasks can run there, so they must start without this delay.
 BOOST_AUTO_TEST_CASE(LostUpstreamDoesNotDelayUnstartedTasks) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -44,20 +45,20 @@
   const std::string lost = cell.upstreams().UpstreamRunning({1, 0, 0, 0});
   BOOST_REQUIRE(!lost.empty());
   cell.upstreams().faults(lost).unreachable = true;
-  cell.RunFor(kNoticed);
-  // Five upstreams are left, each with room for one of these at a time.
+  cell.RunFor(kDetectionTime);
+  // Five upstreams remain, each with capacity for one of these tasks.
   constexpr int32_t kTasks = 10;
   for (int32_t i = 0; i < kTasks; ++i) {
     cell.upstreams().behavior({2, 0, 0, i}).run_time = Millis(1000);
   }
   cell.Submit("entry-0", OneStepJob(2, kTasks, 8000));
   cell.RunFor(Millis(200));
-  BOOST_REQUIRE(Begun(cell, 2, kTasks) == kTasks / 2);
+  BOOST_REQUIRE(StartedTasks(cell, 2, kTasks) == kTasks / 2);
   cell.Kill(cell.Leader());
-  cell.RunFor(kTakeOver);
-  BOOST_TEST(Begun(cell, 2, kTasks) == kTasks);
-  // What runs behind the cut must not start anywhere else before its lease
-  // has surely run out.
+  cell.RunFor(kTakeoverTime);
+  BOOST_TEST(StartedTasks(cell, 2, kTasks) == kTasks);
+  // The task on the unreachable upstream must not start elsewhere before its
+  // lease has certainly expired.
   BOOST_TEST(cell.upstreams().starts() == 1 + kTasks);
   BOOST_TEST(cell.RunUntilFinal(2, Millis(5000)));
   cell.RunFor(Millis(8000));
@@ -65,8 +66,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An upstream was told to drain and is taken back into service. It is closed
-/// in the store meanwhile; work must go there again.
+/// Guards against an upstream that gets no work after its drain was cancelled.
+/// The drain closes the upstream in the store; tasks must start there again
+/// once the list no longer names it as draining.
 BOOST_AUTO_TEST_CASE(UpstreamTakesWorkAfterDrainIsCancelled) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kStartupTime);
@@ -84,15 +86,15 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An upstream did not answer for a while and is back. A job starts there; then
-/// the leader dies and the upstream is cut off. Were it still marked as closed
-/// in the store, the next leader would start the job's task a second time while
-/// the first run goes on.
+/// Guards against a second start of a task that is still running. An upstream
+/// was unreachable for a while and has recovered, and a job starts there. Then
+/// the leader dies and the upstream becomes unreachable again. If the store
+/// still had it as closed, the next leader would start the task elsewhere.
 BOOST_AUTO_TEST_CASE(RecoveredUpstreamIsAwaitedByNextLeader) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kStartupTime);
   cell.upstreams().faults("up-0").unreachable = true;
-  cell.RunFor(kNoticed);
+  cell.RunFor(kDetectionTime);
   cell.upstreams().faults("up-0").unreachable = false;
   cell.RunFor(Millis(1000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
@@ -101,7 +103,7 @@
   BOOST_REQUIRE(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
   cell.upstreams().faults("up-0").unreachable = true;
   cell.Kill(cell.Leader());
-  cell.RunFor(kTakeOver);
+  cell.RunFor(kTakeoverTime);
   cell.upstreams().faults("up-0").unreachable = false;
   cell.RunFor(Millis(3000));
   BOOST_TEST(cell.upstreams().starts() == 1);
@@ -109,13 +111,15 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The store is away when an upstream comes back. New work must wait until the
-/// store has taken the reopening, or a later leader would trust the old record.
+/// Guards against tasks that run on an upstream which the store has as closed.
+/// The store is unavailable when an upstream recovers. New tasks must wait
+/// until the reopening is stored; otherwise a later leader would act on the old
+/// record.
 BOOST_AUTO_TEST_CASE(NoTaskStartsBeforeUpstreamRecoveryIsStored) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kStartupTime);
   cell.upstreams().faults("up-0").unreachable = true;
-  cell.RunFor(kNoticed);
+  cell.RunFor(kDetectionTime);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(200));
   BOOST_REQUIRE(cell.accepted(1));
@@ -130,9 +134,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// All upstreams shrink to a quarter, and the leader dies. What they could take
-/// when they were first seen lies in the store; the next leader must not fill
-/// them by that.
+/// Guards against placement by outdated capacity. All upstreams shrink to a
+/// quarter of their capacity, and the leader dies. The store holds the capacity
+/// of their first registration, which the next leader must not use.
 BOOST_AUTO_TEST_CASE(NewLeaderUsesCurrentUpstreamCapacity) {
   constexpr int kUpstreams = 4;
   constexpr int32_t kShrunk = 2000;
@@ -145,7 +149,7 @@
     cell.upstreams().Resize(entry.id, kShrunk);
   }
   cell.Kill(cell.Leader());
-  cell.RunFor(kTakeOver);
+  cell.RunFor(kTakeoverTime);
   constexpr int32_t kTasks = 40;
   cell.Submit(cell.Leader(), OneStepJob(1, kTasks, 1000));
   BOOST_TEST(cell.RunUntilFinal(1, Millis(30000)));
