--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -195,7 +195,7 @@
   void ReadList();
   void OnList(const ports::UpstreamListUpdate& update, bool whole);
   void OnEntry(const ports::UpstreamEntry& entry);
-  void OnBadEntry(const ports::UpstreamEntry& entry);
+  void OnMalformedEntry(const ports::UpstreamEntry& entry);
   /// Whether the configuration or a job names the pool.
   bool IsPoolReferenced(const std::string& pool) const;
   /// Adopts the listed upstreams whose pool is named by now.
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -69,7 +69,7 @@
 void Coordinator::OnEntry(const ports::UpstreamEntry& entry) {
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
-  if (!entry.decode_error.empty()) return OnBadEntry(entry);
+  if (!entry.decode_error.empty()) return OnMalformedEntry(entry);
   if (ended_upstreams_.count(entry.id) > 0) return;
   if (!entry.listed) {
     unreferenced_upstreams_.erase(entry.id);
@@ -94,7 +94,7 @@
   unreferenced_upstreams_[entry.id] = entry;
 }
 
-void Coordinator::OnBadEntry(const ports::UpstreamEntry& entry) {
+void Coordinator::OnMalformedEntry(const ports::UpstreamEntry& entry) {
   deps_.bad_records.Report(faults::RecordSource::kUpstreamList, entry.id,
                            entry.decode_error);
   unreferenced_upstreams_.erase(entry.id);
