--- a/tests/takeover_load_test.cc
+++ b/tests/takeover_load_test.cc
@@ -38,7 +38,7 @@
 constexpr std::chrono::microseconds kFastMessage{100};
 constexpr double kSlowDecoding = 2e6;
 constexpr double kFastDecoding = 20e6;
-/// A page of jobs with such payloads takes about 5 s over the thin link.
+/// A page of jobs with such payloads takes about 5 s over the slow link.
 constexpr size_t kLargePayload = 4000;
 constexpr int kEntries = 24;
 constexpr Millis kStep{20};
