--- a/src/fleet/adaptive_timeout.cc
+++ b/src/fleet/adaptive_timeout.cc
@@ -7,37 +7,38 @@
 namespace mimosarail::fleet {
 namespace {
 
-/// Weights of a new sample and the factor of the deviation, from RFC 6298.
-constexpr double kUsualGain = 1.0 / 8;
+/// Weights of a new sample and factor of the deviation, from RFC 6298.
+constexpr double kMeanGain = 1.0 / 8;
 constexpr double kDeviationGain = 1.0 / 4;
-constexpr double kDeviations = 4;
-/// More doublings than from the least to the most limit that anybody sets.
-constexpr int kMaxMisses = 10;
+constexpr double kDeviationFactor = 4;
+/// Upper bound of the doublings: more than lie between the minimum and the
+/// maximum of any setting in use.
+constexpr int kMaxDoublings = 10;
 
 }  // namespace
 
-void AdaptiveTimeout::AddSample(Clock::duration took) {
-  const Seconds sample = took;
-  misses_ = 0;
+void AdaptiveTimeout::AddSample(Clock::duration reply_time) {
+  const Seconds sample = reply_time;
+  timeouts_ = 0;
   if (!std::exchange(known_, true)) {
-    usual_ = sample;
+    mean_ = sample;
     deviation_ = sample / 2;
     return;
   }
-  const Seconds off(std::abs((sample - usual_).count()));
-  deviation_ += kDeviationGain * (off - deviation_);
-  usual_ += kUsualGain * (sample - usual_);
+  const Seconds error(std::abs((sample - mean_).count()));
+  deviation_ += kDeviationGain * (error - deviation_);
+  mean_ += kMeanGain * (sample - mean_);
 }
 
 void AdaptiveTimeout::AddTimeout() {
-  misses_ = std::min(misses_ + 1, kMaxMisses);
+  timeouts_ = std::min(timeouts_ + 1, kMaxDoublings);
 }
 
 Millis AdaptiveTimeout::limit() const {
-  if (!known_) return most_;
+  if (!known_) return max_;
   const auto expected =
-      std::chrono::ceil<Millis>(usual_ + kDeviations * deviation_);
-  return std::min(std::max(expected, least_) * (1 << misses_), most_);
+      std::chrono::ceil<Millis>(mean_ + kDeviationFactor * deviation_);
+  return std::min(std::max(expected, min_) * (1 << timeouts_), max_);
 }
 
 }  // namespace mimosarail::fleet
--- a/src/fleet/adaptive_timeout.h
+++ b/src/fleet/adaptive_timeout.h
@@ -4,35 +4,36 @@
 
 namespace mimosarail::fleet {
 
-/// How long the answer to an order may take before the order counts as
-/// unanswered: the usual time and four times its usual deviation, as TCP sets
-/// its retransmission timer (RFC 6298). Not thread-safe.
+/// Timeout of the calls to one upstream: the mean reply time plus four times
+/// its mean deviation, as TCP computes its retransmission timer (RFC 6298). Not
+/// thread-safe.
 ///
-/// It guards against upstreams that leave orders unanswered and carry them out
-/// seconds later. The caller of an urgent job of 0.64 s has some 0.6 s to
-/// spare, which a fixed limit of 0.7 s used up. While 3.5 % of the orders went
-/// unanswered, 228 of 2,958 requests were served late and 1 too late, instead
-/// of 379 and 8.
+/// Some upstreams leave an order unanswered and carry it out seconds later. The
+/// caller of an urgent job of 0.64 s has some 0.6 s to spare, which a fixed
+/// timeout of 0.7 s exceeds. With 3.5 % of the orders unanswered, 228 of 2,958
+/// requests were served late and 1 too late; with the fixed timeout 379 and 8.
 class AdaptiveTimeout {
  public:
-  /// Preconditions: 0 < least <= most.
-  AdaptiveTimeout(Millis least, Millis most) : least_(least), most_(most) {}
+  /// Preconditions: 0 < min <= max.
+  AdaptiveTimeout(Millis min, Millis max) : min_(min), max_(max) {}
 
-  /// A call was answered after this long.
-  void AddSample(Clock::duration took);
-  /// A call was not answered within the limit. The limit doubles until one is:
-  /// an upstream that has become slow would otherwise never be heard in time.
+  /// Records that a call was answered after `reply_time`.
+  void AddSample(Clock::duration reply_time);
+  /// Records that a call timed out. Doubles the limit until a call is answered:
+  /// otherwise no answer of an upstream that has become slow would arrive in
+  /// time.
   void AddTimeout();
   Millis limit() const;
 
  private:
   using Seconds = std::chrono::duration<double>;
 
-  Millis least_;
-  Millis most_;
+  Millis min_;
+  Millis max_;
   bool known_ = false;
-  int misses_ = 0;
-  Seconds usual_{0};
+  /// Consecutive timeouts.
+  int timeouts_ = 0;
+  Seconds mean_{0};
   Seconds deviation_{0};
 };
 
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -9,25 +9,27 @@
 
 using ports::CallVerdict;
 
-/// The clock of an upstream may run 2 % slow; half a percent more for what the
-/// estimate of its time may miss.
-constexpr double kSlowestClock = 1.025;
+/// The clock of an upstream may run 2 % slow; half a percent more covers the
+/// error of the estimate of its time.
+constexpr double kClockDriftFactor = 1.025;
 constexpr Millis kLeaseSlack{50};
-/// Pause after a renewal without an answer.
-constexpr Millis kRetry{100};
-/// Renewals without an answer in a row after which nothing new goes there.
+/// Delay before the retry of a renewal that was not answered.
+constexpr Millis kRetryDelay{100};
+/// Consecutive renewals without an answer after which the upstream gets no new
+/// tasks.
 constexpr int kUnreachableAfter = 2;
-/// While ends are not safe yet (the store is slow or away) a renewal is
-/// answered at once, so leases are renewed this often without waiting for more
-/// ends. Each end is seen so much later at most. With a store that is 50 times
-/// slower, 25 of 14,459 urgent jobs came too late to be of use, with 500 ms 39.
-constexpr Millis kRenewWithoutStore{200};
+/// Renewal period while completions are not durable yet (the store is slow or
+/// unreachable). The upstream then answers a renewal at once instead of waiting
+/// for more completions, and a completion is seen up to this much later. With a
+/// store that is 50 times slower, 25 of 14,459 urgent jobs completed too late
+/// to be of use; with 500 ms it was 39.
+constexpr Millis kNotDurableRenewPeriod{200};
 
 }  // namespace
 
 Millis MaxLeaseDuration(Millis lease) {
   return Millis(static_cast<int64_t>(static_cast<double>(lease.count()) *
-                                     kSlowestClock)) +
+                                     kClockDriftFactor)) +
          kLeaseSlack;
 }
 
@@ -41,8 +43,8 @@
       adaptive_timeout_(options_.min_timeout, options_.max_timeout) {}
 
 void UpstreamLink::Open() {
-  // An earlier holder that was cut off from all else may have renewed leases
-  // here, as long as ours, until it lost its trust in itself.
+  // An earlier holder that was partitioned from everything else may have
+  // renewed leases here, as long as ours, until its leader lease expired.
   leases_end_ = executor_.Now() + options_.previous_holder_timeout +
                 MaxLeaseDuration(options_.lease);
   Renew(Millis(0));
@@ -51,22 +53,22 @@
 
 int64_t UpstreamLink::LeaseUntil() const {
   const auto since =
-      std::chrono::duration_cast<Millis>(executor_.Now() - clock_at_);
+      std::chrono::duration_cast<Millis>(executor_.Now() - clock_received_at_);
   return clock_ms_ + since.count() + options_.lease.count();
 }
 
-void UpstreamLink::NoteClock(int64_t clock_ms) {
-  // Dated when the answer came, not when the call went out: the upstream may
-  // have read its clock as late as that, a second later for a renewal that
-  // waited. Dated too early, leases would outlast the end that is counted on
-  // here, and a task could run at two places.
+void UpstreamLink::RecordClock(int64_t clock_ms) {
+  // Uses the arrival time of the reply, not the sending time of the call: the
+  // upstream may have read its clock just before it replied, which is a second
+  // after the call for a renewal that waited. With an earlier time, leases
+  // would outlast the end calculated here, and a task could run twice at once.
   if (clock_ms <= clock_ms_) return;
   clock_ms_ = clock_ms;
-  clock_at_ = executor_.Now();
+  clock_received_at_ = executor_.Now();
 }
 
 void UpstreamLink::RenewSoon(Millis delay) {
-  // One chain of renewals at a time: the last answer goes on with it.
+  // Only one chain of renewals: the last outstanding reply continues it.
   if (renewal_due_ || closed_ || outstanding_ > 0) return;
   renewal_due_ = true;
   executor_.RunAfter(delay, [weak = weak_from_this()] {
@@ -80,33 +82,35 @@
 
 void UpstreamLink::Renew(Millis wait) {
   if (closed_) return;
-  if (!events_.MayGiveOrders()) return RenewSoon(kRetry);
+  if (!events_.MayGiveOrders()) return RenewSoon(kRetryDelay);
   ++outstanding_;
   const TimePoint sent = executor_.Now();
-  // What was asked for bounds what may run there, also when the answer is
-  // lost. An upstream that stopped answering is only asked what runs there:
-  // with a lease in each of these calls its tasks would never count as ended.
+  // The requested lease bounds how long tasks may run there, even if the reply
+  // is lost. A renewal to an unresponsive upstream only queries what runs
+  // there: with a lease in each of these calls, its tasks would never count as
+  // ended.
   const bool extend = clock_ms_ > 0 && failures_ < kUnreachableAfter;
   if (extend) {
     leases_end_ =
         std::max(leases_end_, sent + MaxLeaseDuration(options_.lease));
   }
-  const bool unsafe_ends = ends_durable_ < ends_reported_;
-  const Millis waits = unsafe_ends ? Millis(0) : wait;
+  const bool has_volatile_ends = ends_durable_ < ends_reported_;
+  const Millis reply_wait = has_volatile_ends ? Millis(0) : wait;
   const int64_t fence = fence_;
   const int64_t number = ++renewals_;
   tasks_.Renew(options_.target,
                {.fence = fence,
                 .acked_ends = ends_durable_,
                 .lease_until_ms = extend ? LeaseUntil() : 0,
-                .wait = waits},
-               adaptive_timeout_.limit() + waits,
-               [weak = weak_from_this(), number, fence, sent, waits,
+                .wait = reply_wait},
+               adaptive_timeout_.limit() + reply_wait,
+               [weak = weak_from_this(), number, fence, sent, reply_wait,
                 acked_ends = ends_durable_](const ports::RenewReply& reply) {
                  const auto self = weak.lock();
                  if (!self || self->closed_) return;
-                 // One that waited for an end says nothing of a round trip.
-                 if (waits == Millis(0)) {
+                 // The reply to a renewal that waited for a completion does
+                 // not measure the round trip.
+                 if (reply_wait == Millis(0)) {
                    self->RecordReply(sent, reply.call.verdict);
                  }
                  self->OnRenewReply(number, fence, acked_ends, reply);
@@ -133,37 +137,37 @@
     default:
       return OnRenewFailed(reply.call);
   }
-  // An answer that a newer one has overtaken lists what has ended since: taken
-  // for the truth, it would hold room that no later end frees. Which is newer
-  // the upstream's clock tells, whatever the order of the calls: one may have
-  // waited there while a later one was answered.
-  const bool overtaken =
+  // A reply that is older than one already processed lists runs that have ended
+  // since: applied, it would reserve capacity that no later completion frees.
+  // The upstream's clock tells which reply is newer, not the order of the
+  // calls: a call may have waited there while a later one was answered.
+  const bool outdated =
       reply.call.clock_ms < clock_ms_ ||
       (reply.call.clock_ms == clock_ms_ && number < newest_answered_);
-  if (overtaken) return RenewSoon(options_.gap);
+  if (outdated) return RenewSoon(options_.gap);
   newest_answered_ = std::max(newest_answered_, number);
-  // After this answer the lease can be named again, and is at once.
+  // This reply makes it possible to set a lease again; it is sent at once.
   const bool lease_due = clock_ms_ == 0 || failures_ >= kUnreachableAfter;
   failures_ = 0;
   ends_acknowledged_ = std::max(ends_acknowledged_, acked_ends);
-  NoteClock(reply.call.clock_ms);
+  RecordClock(reply.call.clock_ms);
   all_runs_ended_ = false;
-  // With a part of the ends only, a run that is in neither list may have ended:
-  // taken for never started, it would run a second time.
+  // With an incomplete list of completions, a run that is in neither list may
+  // have ended: treated as never started, it would run a second time.
   if (!reply.more_ends) inventory_received_ = true;
   ResolveStarts(fence, reply);
-  std::vector<ports::EndedTask> fresh;
+  std::vector<ports::EndedTask> new_ends;
   for (const ports::EndedTask& end : reply.ended) {
-    if (end.number > ends_reported_) fresh.push_back(end);
+    if (end.number > ends_reported_) new_ends.push_back(end);
   }
-  if (!fresh.empty()) ends_reported_ = fresh.back().number;
-  events_.OnReport(options_.index, reply.running, fresh);
+  if (!new_ends.empty()) ends_reported_ = new_ends.back().number;
+  events_.OnReport(options_.index, reply.running, new_ends);
   if (closed_) return;
   SetReachable(true);
   if (lease_due) return Renew(Millis(0));
-  const bool unsafe_ends = ends_durable_ < ends_reported_;
-  // With ends that are not safe yet the answer would come at once again.
-  RenewSoon(unsafe_ends ? kRenewWithoutStore : options_.gap);
+  const bool has_volatile_ends = ends_durable_ < ends_reported_;
+  // While completions are not durable, the upstream answers without waiting.
+  RenewSoon(has_volatile_ends ? kNotDurableRenewPeriod : options_.gap);
 }
 
 void UpstreamLink::OnRenewFailed(const ports::CallReply& reply) {
@@ -173,7 +177,7 @@
                    {{"upstream", options_.target.id}, {"cause", reply.detail}});
   }
   if (failures_ >= kUnreachableAfter) SetReachable(false);
-  RenewSoon(failures_ == 1 ? Millis(0) : kRetry);
+  RenewSoon(failures_ == 1 ? Millis(0) : kRetryDelay);
 }
 
 void UpstreamLink::SetReachable(bool reachable) {
@@ -203,7 +207,7 @@
   if (number <= ends_durable_) return;
   ends_durable_ = number;
   if (ends_durable_ < ends_reported_ || closed_) return;
-  // The renewal that waited for this goes out now.
+  // Sends the renewal that was delayed until the completions were durable.
   renewal_due_ = false;
   RenewSoon(options_.gap);
 }
@@ -249,8 +253,8 @@
   if (reply.verdict != CallVerdict::kUnknown) {
     return events_.OnStartReply(order, reply);
   }
-  // It may act seconds later. Under a higher token it cannot any more, and
-  // what runs then is the truth.
+  // The start may take effect seconds later. A higher fencing token prevents
+  // that, and the inventory reported under it resolves the outcome.
   logging::Event(logging::Level::kWarning, "start without answer",
                  {{"upstream", options_.target.id},
                   {"task", TaskIdText(order.task)},
@@ -269,31 +273,31 @@
 void UpstreamLink::ResolveStarts(int64_t fence,
                                  const ports::RenewReply& reply) {
   for (auto at = unresolved_starts_.begin(); at != unresolved_starts_.end();) {
-    const UnresolvedStart& doubt = at->second;
-    if (doubt.fence >= fence) {
+    const UnresolvedStart& start = at->second;
+    if (start.fence >= fence) {
       ++at;
       continue;
     }
-    const auto same = [&](const auto& run) {
-      return run.task == doubt.order.task && run.attempt == doubt.order.attempt;
+    const auto matches = [&](const auto& run) {
+      return run.task == start.order.task && run.attempt == start.order.attempt;
     };
-    const bool there =
-        std::any_of(reply.running.begin(), reply.running.end(), same) ||
-        std::any_of(reply.ended.begin(), reply.ended.end(), same);
-    if (!there && reply.more_ends) {
-      // Its end may be among those that aren't listed yet.
+    const bool started =
+        std::any_of(reply.running.begin(), reply.running.end(), matches) ||
+        std::any_of(reply.ended.begin(), reply.ended.end(), matches);
+    if (!started && reply.more_ends) {
+      // Its completion may be among those that are not listed yet.
       ++at;
       continue;
     }
-    const scheduling::StartOrder order = doubt.order;
+    const scheduling::StartOrder order = start.order;
     at = unresolved_starts_.erase(at);
-    logging::Event(logging::Level::kInfo, "doubtful start settled",
+    logging::Event(logging::Level::kInfo, "start in doubt resolved",
                    {{"upstream", options_.target.id},
                     {"task", TaskIdText(order.task)},
-                    {"started", there ? "yes" : "no"}});
+                    {"started", started ? "yes" : "no"}});
     events_.OnStartReply(
-        order, {.verdict = there ? CallVerdict::kDone : CallVerdict::kNotSent,
-                .detail = "settled under a higher fence"});
+        order, {.verdict = started ? CallVerdict::kDone : CallVerdict::kNotSent,
+                .detail = "resolved under a higher fencing token"});
   }
 }
 
--- a/src/fleet/upstream_link.h
+++ b/src/fleet/upstream_link.h
@@ -18,63 +18,66 @@
 struct UpstreamLinkOptions {
   UpstreamIndex index = kNoUpstream;
   ports::UpstreamTarget target;
-  /// First fencing token of this holder; it has the next kFenceSpan of them.
+  /// First fencing token of this holder, which owns kFenceSpan tokens from
+  /// there on.
   int64_t first_fence = 0;
-  /// How long what runs there goes on without a renewal. Shorter frees the
-  /// tasks of a lost upstream sooner, longer survives longer gaps of control.
+  /// How long tasks at the upstream keep running without a renewal. A shorter
+  /// lease frees the tasks of a lost upstream sooner, a longer one survives
+  /// longer interruptions of control.
   Millis lease{4000};
-  /// How long an earlier holder may go on renewing unseen.
+  /// How long an earlier holder may keep renewing leases undetected.
   Millis previous_holder_timeout{2000};
-  /// How long a renewal waits for an end.
+  /// How long a renewal waits at the upstream for a completion.
   Millis wait{1000};
-  /// Least time between two renewals, so that ends that come in a burst share
-  /// one.
+  /// Minimum time between two renewals, so that completions that arrive in a
+  /// burst share one.
   Millis gap{25};
-  /// Least and most time that a call which the upstream answers at once gets;
-  /// between them it follows what the answers took. The least keeps a leader
-  /// that is busy for two of its 50 ms ticks from doubting what it has sent;
-  /// the most is what a machine that has turned several times slower needs.
+  /// Bounds of the timeout of a call that the upstream answers at once; within
+  /// them the timeout adapts to the reply times. The minimum keeps a leader
+  /// that is busy for two of its 50 ms ticks from treating its own calls as in
+  /// doubt; the maximum suits a machine that has become several times slower.
   Millis min_timeout{100};
   Millis max_timeout{700};
 };
 
-/// Tokens that one holder may use at one upstream: one more for each start
-/// whose answer was lost.
+/// Number of fencing tokens that one holder may use at one upstream. Each start
+/// without a reply consumes one.
 inline constexpr int64_t kFenceSpan = 1000000;
 
-/// The longest that a lease runs by our clock.
+/// Returns the longest time that a lease can last on the local clock.
 Millis MaxLeaseDuration(Millis lease);
 
-/// Told what one upstream says. Control thread only.
+/// Receives the reports of one upstream. Control thread only.
 class UpstreamEvents {
  public:
   virtual ~UpstreamEvents() = default;
-  /// Whether orders may be given now.
+  /// Whether orders may be sent now.
   virtual bool MayGiveOrders() = 0;
-  /// What runs there and what ended. The first one is the whole inventory.
+  /// Reports the running tasks and the new completions. The first report is
+  /// the complete inventory.
   virtual void OnReport(UpstreamIndex upstream,
                         const std::vector<ports::RunningTask>& running,
                         const std::vector<ports::EndedTask>& ended) = 0;
   virtual void OnReachable(UpstreamIndex upstream, bool reachable) = 0;
-  /// Nothing that was started there runs any more. Unless it is for its leases
-  /// the upstream will never come back under this id.
+  /// No task that was started there runs any more. Unless the reason is
+  /// expired leases, the upstream never comes back under this id.
   virtual void OnAllRunsEnded(UpstreamIndex upstream,
                               scheduling::UpstreamLoss why) = 0;
   virtual void OnStartReply(const scheduling::StartOrder& order,
                             const ports::CallReply& reply) = 0;
-  /// A stop was not sent or not answered; the run may go on.
+  /// A stop was not sent or not answered; the run may continue.
   virtual void OnStopFailed(UpstreamIndex upstream, const TaskId& task,
                             int64_t attempt) = 0;
-  /// Somebody used a higher fencing token there.
+  /// Another holder used a higher fencing token there.
   virtual void OnFenced(UpstreamIndex upstream) = 0;
 };
 
-/// The holder's side of one upstream: renews its leases, carries orders, and
-/// finds out what became of those without an answer. Control thread only.
+/// The holder's connection to one upstream: renews its leases, sends orders,
+/// and resolves the outcome of starts without a reply. Control thread only.
 class UpstreamLink : public std::enable_shared_from_this<UpstreamLink> {
  public:
-  /// Everything given outlives the link's last callback; after Close() there
-  /// is none.
+  /// The referenced objects must outlive the link's last callback; there is
+  /// none after Close().
   UpstreamLink(Executor& executor, ports::TaskPort& tasks,
                UpstreamEvents& events, UpstreamLinkOptions options);
 
@@ -83,17 +86,18 @@
 
   void Start(const scheduling::StartOrder& order);
   void Stop(const TaskId& task, int64_t attempt);
-  /// Ends up to this number are safe: the upstream may forget them.
+  /// Completions up to `number` are durable: the upstream may discard them.
   void AcknowledgeEnds(int64_t number);
 
-  /// The highest token that it has used.
+  /// The highest fencing token in use.
   int64_t fence() const { return fence_; }
-  /// It does not answer, and nothing can run there any more.
+  /// The upstream does not answer, and no task can run there any more.
   bool all_runs_ended() const { return all_runs_ended_; }
-  /// What runs there is known, or can't be anything any more.
+  /// The set of runs at the upstream is known, or is known to be empty.
   bool reconciled() const { return inventory_received_ || all_runs_ended_; }
-  /// The upstream has confirmed that it may forget every end that was reported.
-  /// Before that an end is lost if the upstream ends, as if it had never been.
+  /// The upstream has confirmed the acknowledgement of every reported
+  /// completion. A completion that is not acknowledged is lost if the upstream
+  /// ends, as if it had never happened.
   bool all_ends_acknowledged() const {
     return ends_acknowledged_ >= ends_reported_;
   }
@@ -101,7 +105,7 @@
  private:
   struct UnresolvedStart {
     scheduling::StartOrder order;
-    /// Token under which it was sent.
+    /// Fencing token under which it was sent.
     int64_t fence;
   };
 
@@ -112,14 +116,15 @@
   void OnRenewFailed(const ports::CallReply& reply);
   void OnStartDone(const scheduling::StartOrder& order, int64_t fence,
                    ports::CallReply reply);
-  /// Learns from what became of a call that is answered at once.
+  /// Feeds the outcome of a call that is answered at once to the adaptive
+  /// timeout.
   void RecordReply(TimePoint sent, ports::CallVerdict verdict);
   void RaiseFence();
   void ResolveStarts(int64_t fence, const ports::RenewReply& reply);
   void SetReachable(bool reachable);
   void CheckLeases();
   int64_t LeaseUntil() const;
-  void NoteClock(int64_t clock_ms);
+  void RecordClock(int64_t clock_ms);
 
   Executor& executor_;
   ports::TaskPort& tasks_;
@@ -131,17 +136,17 @@
   bool inventory_received_ = false;
   bool reachable_ = false;
   bool all_runs_ended_ = false;
-  /// Renewals sent, and the newest of them that was answered.
+  /// Number of renewals sent, and number of the newest one answered.
   int64_t renewals_ = 0;
   int64_t newest_answered_ = 0;
-  /// Renewals without an answer yet; more than one when the fence was raised.
+  /// Renewals in flight; more than one after the fence was raised.
   int outstanding_ = 0;
   bool renewal_due_ = false;
   int failures_ = 0;
-  /// The upstream's clock and when it was read here.
+  /// The upstream's clock, and the local time at which it was received.
   int64_t clock_ms_ = 0;
-  TimePoint clock_at_{};
-  /// Nothing granted so far can run past this, on our clock.
+  TimePoint clock_received_at_{};
+  /// No lease granted so far lasts beyond this, on the local clock.
   TimePoint leases_end_{};
   int64_t ends_reported_ = 0;
   int64_t ends_durable_ = 0;
