--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -15,40 +15,42 @@
 using ports::WaveStatus;
 
 constexpr Millis kTick{100};
-/// The API answers in some 20 ms, at its slowest fifty times later.
+/// The API answers in some 20 ms, at its slowest in fifty times that.
 constexpr Millis kCallTimeout{2000};
-/// Least time between two readings of the list while something is awaited;
-/// each reading is paid for.
+/// Minimum time between two readings of the list while a change is expected;
+/// each reading has a cost.
 constexpr Millis kAwaitedListPeriod{500};
-/// And while a host's upstream is unknown, cut off or down: some 3 to 7 s.
+/// The same while a host's upstream is unknown, partitioned or down, which
+/// lasts some 3 to 7 s.
 constexpr Millis kChangedListPeriod{1000};
-/// Readings while nothing is awaited only find hosts that left or came up.
+/// Readings while no change is expected only find hosts that left or came up.
 constexpr Millis kIdleListPeriod{3000};
-/// A host that is busy, or an API that refuses, is tried again after this, and
-/// twice as long each time up to the longest.
-constexpr Millis kFirstPause{250};
-constexpr Millis kLongestPause{4000};
-constexpr Millis kBusyPause{1000};
-/// A host has left for good when so many whole readings in a row lack it: pages
-/// are no snapshot, and one may pass a host by.
-constexpr int kMissingForGood = 2;
+/// Backoff after a refused or unanswered call; doubles up to the maximum.
+constexpr Millis kMinBackoff{250};
+constexpr Millis kMaxBackoff{4000};
+/// Delay before a busy host is ordered again.
+constexpr Millis kBusyRetryDelay{1000};
+/// Consecutive complete readings without a host after which it counts as
+/// permanently removed. The pages are not a snapshot, so that one reading may
+/// miss a host.
+constexpr int kRemovedAfterReadings = 2;
 constexpr double kMsPerSecond = 1000;
 
 std::string Text(size_t value) { return std::to_string(value); }
 
 std::string Joined(const std::vector<std::string>& names,
-                   const char* between = " ") {
+                   const char* separator = " ") {
   std::string out;
   for (const std::string& name : names) {
-    out += (out.empty() ? "" : between) + name;
+    out += (out.empty() ? "" : separator) + name;
   }
   return out;
 }
 
-/// Time between two calls of which so many a second are allowed.
+/// Returns the time between two calls at a rate of `per_s` calls per second.
 Millis Spacing(double per_s) {
-  constexpr double kFewest = 0.1;
-  return Millis(static_cast<int64_t>(kMsPerSecond / std::max(kFewest, per_s)));
+  constexpr double kMinRate = 0.1;
+  return Millis(static_cast<int64_t>(kMsPerSecond / std::max(kMinRate, per_s)));
 }
 
 }  // namespace
@@ -60,25 +62,25 @@
   if (!IsHostKey(record.key)) {
     const auto wave = DecodeWave(record);
     if (!wave) return false;
-    Wave& kept = waves_[wave->wave];
-    kept.announced = true;
-    kept.complete = wave->status == WaveStatus::kComplete;
-    kept.since_unix_ms = wave->since_unix_ms;
+    Wave& loaded = waves_[wave->wave];
+    loaded.announced = true;
+    loaded.complete = wave->status == WaveStatus::kComplete;
+    loaded.since_unix_ms = wave->since_unix_ms;
     return true;
   }
-  const auto kept = DecodeHost(record);
-  if (!kept) return false;
-  Host& host = waves_[kept->wave].hosts[kept->host];
+  const auto stored = DecodeHost(record);
+  if (!stored) return false;
+  Host& host = waves_[stored->wave].hosts[stored->host];
   const TimePoint now = deps_.executor.Now();
-  host.upstream = kept->upstream;
+  host.upstream = stored->upstream;
   host.recorded = true;
-  host.progress = kept->begun ? HostMaintenancePhase::kInProgress
-                              : HostMaintenancePhase::kRequested;
+  host.progress = stored->begun ? HostMaintenancePhase::kInProgress
+                                : HostMaintenancePhase::kRequested;
   host.begun_at = now;
-  // The order of the earlier leader may be on its way still.
+  // The order of the earlier leader may still be in flight.
   host.unanswered = now;
-  // Every host waits, not only this one in this wave: another wave may hold
-  // the same host, and two leaders would take turns at it.
+  // Delays the orders to all hosts, not only to this one in this wave: another
+  // wave may include the same host, and two leaders would order it alternately.
   next_order_ = now + options_.previous_holder_timeout;
   return true;
 }
@@ -92,11 +94,11 @@
 
 void WaveManager::Tick() {
   if (closed_) return;
-  TakeWaves();
-  // Without the right to order, what is withheld stays so: an order may be on
-  // its way.
+  AdoptNewWaves();
+  // While no orders may be sent, cordoned upstreams stay cordoned: an order may
+  // be in flight.
   if (!fenced_ && deps_.workload.MayOrder()) {
-    if (AnyOpen()) ReadListIfDue();
+    if (HasOpenWave()) ReadListIfDue();
     std::set<std::string> cordoned;
     for (auto& [number, wave] : waves_) {
       if (!wave.complete) ApplyDecision(wave, cordoned);
@@ -114,7 +116,7 @@
   deps_.workload.SetCordoned(upstreams);
 }
 
-void WaveManager::TakeWaves() {
+void WaveManager::AdoptNewWaves() {
   for (const auto& [number, request] : deps_.waves()) {
     Wave& wave = waves_[number];
     if (wave.complete || wave.known) continue;
@@ -135,7 +137,7 @@
   }
 }
 
-bool WaveManager::AnyOpen() const {
+bool WaveManager::HasOpenWave() const {
   return std::any_of(waves_.begin(), waves_.end(), [&](const auto& entry) {
     const Wave& wave = entry.second;
     return wave.known && !wave.complete;
@@ -149,12 +151,14 @@
   if (now - read_at_ < kAwaitedListPeriod) return false;
   for (const auto& [number, wave] : waves_) {
     for (const auto& [name, host] : wave.hosts) {
-      // Back at the earliest after the upkeep; a look before it tells nothing.
+      // The host is back after the maintenance at the earliest; an earlier
+      // reading is useless.
       const bool may_be_back =
           host.progress == HostMaintenancePhase::kInProgress &&
           now >= host.begun_at + options_.maintenance_duration;
       if (!wave.complete && may_be_back) return true;
-      // The upstream it was is gone or cut off; it may be another by now.
+      // The upstream of the host has ended or is unreachable; the host may run
+      // another upstream by now.
       const Listed* listed = FindListed(name);
       const bool changed = host.progress == HostMaintenancePhase::kPending &&
                            listed != nullptr && listed->missing == 0 &&
@@ -189,7 +193,7 @@
                        {{"cause", page.error().message}});
         self->reading_ = false;
         self->BackOff();
-        self->next_read_ = self->deps_.executor.Now() + self->pause_;
+        self->next_read_ = self->deps_.executor.Now() + self->backoff_;
       });
 }
 
@@ -209,19 +213,19 @@
 
 void WaveManager::OnList(const Reading& reading) {
   reading_ = false;
-  pause_ = Millis(0);
+  backoff_ = Millis(0);
   read_at_ = deps_.executor.Now();
   next_read_ = read_at_ + Spacing(options_.lists_per_s);
-  const auto took =
+  const auto duration =
       std::chrono::duration_cast<Millis>(read_at_ - reading.begun);
   logging::Event(Level::kDebug, "host list read",
                  {{"hosts", Text(reading.hosts.size())},
-                  {"took_ms", Text(int64_t{took.count()})}});
+                  {"took_ms", Text(int64_t{duration.count()})}});
   for (auto& [name, listed] : listed_) ++listed.missing;
   for (const auto& [name, entry] : reading.hosts) {
     listed_[name] = {.entry = entry};
   }
-  // A host that was never listed counts its missing readings as well.
+  // Counts the missing readings of a host that was never listed as well.
   for (auto& [number, wave] : waves_) {
     for (const auto& [name, host] : wave.hosts) {
       listed_.try_emplace(name, Listed{.entry = {.host = name}, .missing = 1});
@@ -234,17 +238,18 @@
 void WaveManager::RecordReturned(Wave& wave, TimePoint read_from) {
   for (auto& [name, host] : wave.hosts) {
     if (host.progress != HostMaintenancePhase::kInProgress) continue;
-    // Only a reading that set out after the answer to the order shows the host
-    // as it is since; an older one shows it up from before.
+    // Only a reading that began after the reply to the order shows the state of
+    // the host since then; an older one may show it up from before.
     if (read_from <= host.begun_at) continue;
     RecordUpstreamEnded(name, host);
     const Listed* listed = FindListed(name);
-    const bool gone = listed == nullptr || listed->missing >= kMissingForGood;
-    const HostState state = gone ? HostState::kDown : listed->entry.state;
-    const bool time_over =
+    const bool removed =
+        listed == nullptr || listed->missing >= kRemovedAfterReadings;
+    const HostState state = removed ? HostState::kDown : listed->entry.state;
+    const bool duration_passed =
         read_from > host.begun_at + options_.maintenance_duration;
     const bool back = state == HostState::kUp ||
-                      (time_over && state != HostState::kMaintenance &&
+                      (duration_passed && state != HostState::kMaintenance &&
                        state != HostState::kUnknown);
     if (!back) continue;
     host.progress = HostMaintenancePhase::kCompleted;
@@ -253,14 +258,15 @@
                    {{"wave", Text(wave.request.wave)},
                     {"host", name},
                     {"state", std::string(ports::kHostStateNames.Name(state))},
-                    {"listed", gone ? "no" : "yes"}});
+                    {"listed", removed ? "no" : "yes"}});
   }
 }
 
 void WaveManager::RecordUpstreamEnded(const std::string& name, Host& host) {
-  // The answer to the order is no proof: it is the same for an upkeep of long
-  // ago, after which the host is another upstream that runs on. Told without
-  // proof, a live upstream was dropped for good, with all that ran there.
+  // The reply to the order is no proof: it is the same for an earlier
+  // maintenance, after which the host runs another upstream that is live.
+  // Reported without proof, a live upstream would be dropped permanently, with
+  // all its tasks.
   const Listed* listed = FindListed(name);
   if (host.upstream_ended || host.upstream.empty() || listed == nullptr) return;
   if (listed->missing > 0) return;
@@ -270,7 +276,7 @@
                        entry.upstream != host.upstream;
   if (!another && entry.state != HostState::kMaintenance) return;
   host.upstream_ended = true;
-  // A later leader need not wait until its leases have run out.
+  // A later leader need not wait until the leases of the upstream have expired.
   deps_.workload.OnUpstreamEnded(host.upstream);
 }
 
@@ -284,8 +290,8 @@
   const TimePoint now = deps_.executor.Now();
   const Listed* listed = FindListed(name);
   HostView out{.host = name, .progress = host.progress};
-  out.listed = listed != nullptr && listed->missing < kMissingForGood;
-  // One that the last reading lacks is left alone until the next one tells.
+  out.listed = listed != nullptr && listed->missing < kRemovedAfterReadings;
+  // A host that the last reading lacks is not acted on until the next reading.
   const bool seen = listed != nullptr && listed->missing == 0;
   out.state = seen ? listed->entry.state : HostState::kUnknown;
   out.on_hold = host.in_flight || now < host.retry_at;
@@ -294,9 +300,9 @@
     out.drained_for =
         std::chrono::duration_cast<Millis>(now - *host.draining_since);
   }
-  // Up without an upstream is a host that stands by: nothing runs there.
-  const bool stands_by = seen && listed->entry.upstream.empty();
-  if (seen && !stands_by) {
+  // A host that is up without an upstream is a standby: no task runs there.
+  const bool standby = seen && listed->entry.upstream.empty();
+  if (seen && !standby) {
     out.work = deps_.workload.WorkOn(listed->entry.upstream);
   }
   return out;
@@ -319,12 +325,12 @@
 }
 
 void WaveManager::ApplyDecision(Wave& wave, std::set<std::string>& cordoned) {
-  // What an earlier leader ordered may go at any moment: nothing new there,
-  // already before the list is known.
+  // The maintenance that an earlier leader ordered may begin at any moment:
+  // cordons those hosts even before the list is known.
   for (const auto& [name, host] : wave.hosts) {
-    const bool out = host.progress == HostMaintenancePhase::kRequested ||
-                     host.progress == HostMaintenancePhase::kInProgress;
-    if (out && !host.upstream.empty()) cordoned.insert(host.upstream);
+    const bool ordered = host.progress == HostMaintenancePhase::kRequested ||
+                         host.progress == HostMaintenancePhase::kInProgress;
+    if (ordered && !host.upstream.empty()) cordoned.insert(host.upstream);
   }
   if (!list_known_ || !wave.known) return;
   ForgetLostOrders(wave);
@@ -341,11 +347,12 @@
   for (auto& [name, host] : wave.hosts) {
     if (host.progress != HostMaintenancePhase::kRequested || host.in_flight)
       continue;
-    const bool may_act =
+    const bool may_take_effect =
         host.unanswered && now <= *host.unanswered + options_.max_order_delay;
-    // One that was never sent goes on holding its place only while it can be.
+    // An order that was never sent keeps its slot only while it can be sent.
     const HostState state = ViewOf(name, host).state;
-    if (may_act || (!host.unanswered && state == HostState::kUp)) continue;
+    if (may_take_effect || (!host.unanswered && state == HostState::kUp))
+      continue;
     logging::Event(
         Level::kWarning, "order without effect",
         {{"wave", Text(wave.request.wave)},
@@ -359,9 +366,9 @@
   Host& host = waves_.at(wave).hosts.at(name);
   host.unanswered.reset();
   host.in_flight = true;
-  // Its place is free when its record is gone, not before: a later leader that
-  // found it beside that of the next host would take both for ordered, order
-  // both again, and let one too many be away.
+  // The slot becomes free only when the record is removed. A later leader that
+  // found it beside the record of the next host would treat both as ordered,
+  // order both again, and let one host too many be away.
   deps_.journal->Remove(KeyOf({.wave = wave, .host = name}));
   deps_.journal->WhenStored([weak = weak_from_this(), wave, name](bool stored) {
     const auto self = weak.lock();
@@ -387,7 +394,7 @@
     if (!host.draining_since) host.draining_since = deps_.executor.Now();
     cordoned.insert(listed->entry.upstream);
   }
-  // Withheld first, so that what is stopped does not look for room there.
+  // Cordons first, so that the stopped tasks are not placed there again.
   SetCordoned(cordoned);
   const std::set<std::string> evict(decision.evict.begin(),
                                     decision.evict.end());
@@ -403,8 +410,8 @@
   const std::string summary =
       Joined(decision.drain) + "|" + Joined(decision.start_maintenance) + "|" +
       Text(decision.away) + "|" + Text(decision.pending);
-  if (summary == wave.logged) return;
-  wave.logged = summary;
+  if (summary == wave.logged_summary) return;
+  wave.logged_summary = summary;
   logging::Event(
       Level::kInfo, "wave decided",
       {{"wave", Text(view.wave)},
@@ -434,15 +441,15 @@
   next_order_ = now + Spacing(options_.orders_per_s);
   Host& host = wave.hosts.at(name);
   const Listed* listed = FindListed(name);
-  const bool again = host.progress == HostMaintenancePhase::kRequested;
+  const bool repeated = host.progress == HostMaintenancePhase::kRequested;
   host.progress = HostMaintenancePhase::kRequested;
   host.in_flight = true;
   if (listed != nullptr) host.upstream = listed->entry.upstream;
   const int64_t number = wave.request.wave;
-  if (again) return Send(number, name);
+  if (repeated) return Send(number, name);
   host.recorded = true;
-  // A later leader must know of the order before it can act: else it would
-  // take the host for untouched, and let one too many be away.
+  // A later leader must know of the order before it can take effect: otherwise
+  // it would treat the host as pending, and let one host too many be away.
   const ports::KeyedRecord record = Encode(RecordOf(wave, name));
   deps_.journal->Put(record.key, record.value);
   deps_.journal->WhenStored(
@@ -455,10 +462,10 @@
 void WaveManager::Send(int64_t wave, const std::string& name) {
   Host& host = waves_.at(wave).hosts.at(name);
   const HostWork work = deps_.workload.WorkOn(host.upstream);
-  // The store may have taken seconds: what was decided then must still hold.
-  const bool holds = !fenced_ && deps_.workload.MayOrder() &&
+  // The store may have taken seconds: checks that the decision is still valid.
+  const bool valid = !fenced_ && deps_.workload.MayOrder() &&
                      (host.upstream.empty() || work.known) && work.tasks == 0;
-  if (!holds) {
+  if (!valid) {
     host.in_flight = false;
     return;
   }
@@ -500,7 +507,7 @@
        {"detail", reply.detail}});
   switch (reply.verdict) {
     case HostVerdict::kDone: {
-      pause_ = Millis(0);
+      backoff_ = Millis(0);
       host.progress = HostMaintenancePhase::kInProgress;
       host.begun_at = now;
       host.unanswered.reset();
@@ -508,12 +515,12 @@
       return deps_.journal->Put(record.key, record.value);
     }
     case HostVerdict::kFenced:
-      // Another leader has ordered: the same token is never used again.
+      // Another leader has sent orders: this token is never used again.
       fenced_ = true;
-      return deps_.on_leadership_lost("a higher fence at host " + name);
+      return deps_.on_leadership_lost("a higher fencing token at host " + name);
     case HostVerdict::kBusy:
-      host.retry_at = now + kBusyPause;
-      // Nothing was done by this order; one before it may still act.
+      host.retry_at = now + kBusyRetryDelay;
+      // This order had no effect; an earlier one may still take effect.
       if (!host.unanswered) Release(wave, name);
       return;
     case HostVerdict::kNotInWave:
@@ -528,12 +535,12 @@
       host.unanswered = now;
       break;
   }
-  next_order_ = std::max(next_order_, now + pause_);
+  next_order_ = std::max(next_order_, now + backoff_);
 }
 
 void WaveManager::BackOff() {
-  pause_ =
-      pause_ == Millis(0) ? kFirstPause : std::min(kLongestPause, 2 * pause_);
+  backoff_ =
+      backoff_ == Millis(0) ? kMinBackoff : std::min(kMaxBackoff, 2 * backoff_);
 }
 
 journal::Journal& WaveManager::StatusWriter() {
@@ -552,17 +559,17 @@
 
 void WaveManager::Announce(Wave& wave) {
   wave.announced = true;
-  const ports::KeyedRecord told =
+  const ports::KeyedRecord status =
       deps_.wave_status.EncodeStatus(wave.request.wave, WaveStatus::kRunning);
-  StatusWriter().Put(told.key, told.value);
-  const ports::KeyedRecord kept =
+  StatusWriter().Put(status.key, status.value);
+  const ports::KeyedRecord record =
       Encode(WaveRecord{.wave = wave.request.wave,
                         .status = WaveStatus::kRunning,
                         .since_unix_ms = wave.since_unix_ms});
-  StatusWriter().WhenStored([weak = weak_from_this(), kept](bool stored) {
+  StatusWriter().WhenStored([weak = weak_from_this(), record](bool stored) {
     const auto self = weak.lock();
     if (stored && self && !self->closed_) {
-      self->deps_.journal->Put(kept.key, kept.value);
+      self->deps_.journal->Put(record.key, record.value);
     }
   });
 }
@@ -573,21 +580,21 @@
   logging::Event(
       Level::kInfo, "wave complete",
       {{"wave", Text(wave.request.wave)}, {"hosts", Text(wave.hosts.size())}});
-  const ports::KeyedRecord told =
+  const ports::KeyedRecord status =
       deps_.wave_status.EncodeStatus(wave.request.wave, WaveStatus::kComplete);
-  StatusWriter().Put(told.key, told.value);
+  StatusWriter().Put(status.key, status.value);
   StatusWriter().WhenStored(
       [weak = weak_from_this(), number = wave.request.wave](bool stored) {
         const auto self = weak.lock();
         if (!stored || !self || self->closed_) return;
-        // Only now: an earlier record would let a later leader believe that
-        // operators know.
+        // Stored only now: with an earlier record, a later leader would assume
+        // that the status has been reported to operators.
         const Wave& done = self->waves_.at(number);
-        const ports::KeyedRecord kept =
+        const ports::KeyedRecord record =
             Encode(WaveRecord{.wave = number,
                               .status = WaveStatus::kComplete,
                               .since_unix_ms = done.since_unix_ms});
-        self->deps_.journal->Put(kept.key, kept.value);
+        self->deps_.journal->Put(record.key, record.value);
         for (const auto& [name, host] : done.hosts) {
           if (!host.recorded) continue;
           self->deps_.journal->Remove(KeyOf({.wave = number, .host = name}));
--- a/src/maintenance/wave_manager.h
+++ b/src/maintenance/wave_manager.h
@@ -17,70 +17,73 @@
 
 namespace mimosarail::maintenance {
 
-/// What the scheduler runs on hosts, by the upstreams that they are now.
+/// The scheduler's work on hosts, identified by their current upstreams.
 /// Control thread only.
 class HostWorkload {
  public:
   virtual ~HostWorkload() = default;
-  /// Nothing runs on an upstream that is not known.
+  /// Returns no work for an upstream that is not known.
   virtual HostWork WorkOn(const std::string& upstream) = 0;
   /// Free cores, in thousandths, on upstreams that take new work.
   virtual int64_t FreeMillicores() = 0;
-  /// From now on exactly these get no new work.
+  /// Cordons exactly these upstreams: they get no new work from now on.
   virtual void SetCordoned(const std::set<std::string>& upstreams) = 0;
-  /// Stops what may go on elsewhere, or with `all` what may not as well; to be
-  /// called until the upstream is empty.
+  /// Stops the tasks that may continue elsewhere, with `all` the others as
+  /// well. To be called until the upstream is empty.
   virtual void EvictTasks(const std::string& upstream, bool all) = 0;
-  /// The upstream ended with all that ran there, and never comes back.
+  /// The upstream ended with all its tasks, and never comes back.
   virtual void OnUpstreamEnded(const std::string& upstream) = 0;
-  /// Whether orders may be given now.
+  /// Whether orders may be sent now.
   virtual bool MayOrder() = 0;
 };
 
 struct WaveManagerOptions {
-  /// Name of this entry, and the number of its office: the fencing token.
+  /// Name of this entry, and its term of leadership: the fencing token.
   std::string holder;
   int64_t term = 0;
-  /// How long a host is away for its upkeep.
+  /// How long a host is away for its maintenance.
   Millis maintenance_duration{2000};
-  /// Calls a second that the platform takes from all entries together.
+  /// Calls per second that the platform accepts from all entries together.
   double lists_per_s = 10;
   double orders_per_s = 10;
-  /// Two holders that order one host within this count as taking turns: a new
-  /// leader that finds orders of an earlier one gives none before it.
+  /// Two holders that order one host within this time count as alternating. A
+  /// new leader that finds orders of an earlier one sends none before it has
+  /// passed.
   Millis previous_holder_timeout{3000};
-  /// An order without an answer may act this much later; beyond it, it is
-  /// taken for lost. The platform's orders were seen up to 12 s late.
+  /// An order without an answer may take effect this much later; after that it
+  /// counts as lost. Orders have taken effect at the platform up to 12 s late.
   Millis max_order_delay{15000};
 };
 
 /// Carries out maintenance waves for one term of a leader: reads the list of
-/// hosts, drains and sends them as DecideWave() says, keeps what it ordered in
-/// the leader's journal before each order, and tells operators how far a wave
-/// is. Without an open wave it makes no call at all. Control thread only.
+/// hosts, drains them and orders their maintenance as DecideWave() decides,
+/// records each order in the leader's journal before it is sent, and reports
+/// the status of a wave to operators. Makes no call at all without an open
+/// wave. Control thread only.
 class WaveManager final : public std::enable_shared_from_this<WaveManager> {
  public:
   using Waves = std::map<int64_t, ports::WaveRequest>;
 
-  /// All outlive the keeper's last callback; after Close() there is none.
+  /// The referenced objects must outlive the manager's last callback; there is
+  /// none after Close().
   struct Dependencies {
     Executor& executor;
     ports::RecordStorePort& store;
     ports::HostPort& hosts;
     ports::WaveStatusPort& wave_status;
-    /// The leader's own, which fences earlier leaders.
+    /// The leader's own journal, which fences earlier leaders.
     std::shared_ptr<journal::Journal> journal;
     HostWorkload& workload;
     metrics::Registry& metrics;
-    /// The waves that operators ask for, as known now.
+    /// Returns the waves that operators have requested, as known now.
     std::function<const Waves&()> waves;
-    /// Another leader was found.
+    /// Called when another leader is detected.
     std::function<void(const std::string& cause)> on_leadership_lost;
   };
 
   WaveManager(Dependencies deps, WaveManagerOptions options);
 
-  /// Takes over what an earlier leader kept; false if it does not decode.
+  /// Loads a record that an earlier leader stored; false if it does not decode.
   /// Precondition: not started.
   bool Load(const ports::KeyedRecord& record);
   void Start();
@@ -90,35 +93,36 @@
   struct Host {
     HostMaintenancePhase progress = HostMaintenancePhase::kPending;
     bool in_flight = false;
-    /// When an order without an answer was last given up; nothing if no order
-    /// can act later.
+    /// When the last order without an answer timed out; unset if no order can
+    /// take effect later.
     std::optional<TimePoint> unanswered;
-    /// Nothing is sent before this.
+    /// No order is sent to the host before this.
     TimePoint retry_at{};
     TimePoint begun_at{};
-    /// The upstream that it was when it was ordered.
+    /// The upstream that ran on the host at the time of the order.
     std::string upstream;
-    /// The journal holds a record of it.
+    /// The journal holds a record of the host.
     bool recorded = false;
-    /// The upstream that it was when it was ordered has surely ended.
+    /// `upstream` is proven to have ended.
     bool upstream_ended = false;
     std::optional<TimePoint> draining_since;
   };
   struct Wave {
     ports::WaveRequest request;
-    /// The request has been seen; what was kept of it may be loaded earlier.
+    /// The request has been seen; stored records of the wave may be loaded
+    /// earlier.
     bool known = false;
     bool announced = false;
     bool complete = false;
     int64_t since_unix_ms = 0;
     std::map<std::string, Host> hosts;
-    /// The last decision, so that only changes are logged.
-    std::string logged;
+    /// Summary of the last decision, so that only changes are logged.
+    std::string logged_summary;
   };
-  /// A host as the last whole reading of the list told it.
+  /// A host according to the last complete reading of the list.
   struct Listed {
     ports::HostEntry entry;
-    /// Readings in a row that did not hold it.
+    /// Consecutive readings that did not contain the host.
     int missing = 0;
   };
   struct Reading {
@@ -127,8 +131,8 @@
   };
 
   void Tick();
-  void TakeWaves();
-  bool AnyOpen() const;
+  void AdoptNewWaves();
+  bool HasOpenWave() const;
   void ReadListIfDue();
   bool ListDue() const;
   void ReadPage(const std::string& after, std::shared_ptr<Reading> reading);
@@ -160,7 +164,7 @@
   Dependencies deps_;
   WaveManagerOptions options_;
   bool closed_ = false;
-  /// A higher fencing token was seen: nothing is ordered any more.
+  /// A higher fencing token was seen: no more orders are sent.
   bool fenced_ = false;
   std::map<int64_t, Wave> waves_;
   std::map<std::string, Listed> listed_;
@@ -169,7 +173,7 @@
   TimePoint read_at_{};
   TimePoint next_read_{};
   TimePoint next_order_{};
-  Millis pause_{0};
+  Millis backoff_{0};
   std::set<std::string> cordoned_;
   std::shared_ptr<journal::Journal> status_;
 };
--- a/src/maintenance/wave_records.cc
+++ b/src/maintenance/wave_records.cc
@@ -5,10 +5,10 @@
 namespace mimosarail::maintenance {
 namespace {
 
-constexpr char kHostMark = '/';
-constexpr char kFieldMark = ' ';
-constexpr const char* kOrderedWord = "ordered";
-constexpr const char* kBegunWord = "begun";
+constexpr char kHostSeparator = '/';
+constexpr char kFieldSeparator = ' ';
+constexpr const char* kOrderedText = "ordered";
+constexpr const char* kBegunText = "begun";
 
 std::optional<int64_t> ParseNumber(const std::string& text) {
   int64_t out = 0;
@@ -18,9 +18,10 @@
   return out;
 }
 
-/// Text before and after the first mark; all of it is before if there is none.
-std::pair<std::string, std::string> Split(const std::string& text, char mark) {
-  const size_t at = text.find(mark);
+/// Splits at the first separator; without one, the second part is empty.
+std::pair<std::string, std::string> Split(const std::string& text,
+                                          char separator) {
+  const size_t at = text.find(separator);
   if (at == std::string::npos) return {text, ""};
   return {text.substr(0, at), text.substr(at + 1)};
 }
@@ -30,41 +31,42 @@
 }  // namespace
 
 std::string KeyOf(const HostRecord& record) {
-  return WaveKey(record.wave) + kHostMark + record.host;
+  return WaveKey(record.wave) + kHostSeparator + record.host;
 }
 
 bool IsHostKey(const std::string& key) {
-  return key.find(kHostMark) != std::string::npos;
+  return key.find(kHostSeparator) != std::string::npos;
 }
 
 ports::KeyedRecord Encode(const WaveRecord& record) {
   return {WaveKey(record.wave),
           std::string(ports::kWaveStatusNames.Name(record.status)) +
-              kFieldMark + std::to_string(record.since_unix_ms)};
+              kFieldSeparator + std::to_string(record.since_unix_ms)};
 }
 
 ports::KeyedRecord Encode(const HostRecord& record) {
-  return {KeyOf(record), std::string(record.begun ? kBegunWord : kOrderedWord) +
-                             kFieldMark + record.upstream};
+  return {KeyOf(record), std::string(record.begun ? kBegunText : kOrderedText) +
+                             kFieldSeparator + record.upstream};
 }
 
 std::optional<WaveRecord> DecodeWave(const ports::KeyedRecord& record) {
   if (record.key.empty() || record.key[0] != kWavePrefix) return std::nullopt;
   const auto wave = ParseNumber(record.key.substr(1));
-  const auto [status, since] = Split(record.value, kFieldMark);
-  const auto told = ports::kWaveStatusNames.Find(status);
+  const auto [status, since] = Split(record.value, kFieldSeparator);
+  const auto parsed_status = ports::kWaveStatusNames.Find(status);
   const auto since_ms = ParseNumber(since);
-  if (!wave || !told || !since_ms) return std::nullopt;
-  return WaveRecord{.wave = *wave, .status = *told, .since_unix_ms = *since_ms};
+  if (!wave || !parsed_status || !since_ms) return std::nullopt;
+  return WaveRecord{
+      .wave = *wave, .status = *parsed_status, .since_unix_ms = *since_ms};
 }
 
 std::optional<HostRecord> DecodeHost(const ports::KeyedRecord& record) {
   if (record.key.empty() || record.key[0] != kWavePrefix) return std::nullopt;
-  const auto [number, host] = Split(record.key.substr(1), kHostMark);
+  const auto [number, host] = Split(record.key.substr(1), kHostSeparator);
   const auto wave = ParseNumber(number);
-  const auto [word, upstream] = Split(record.value, kFieldMark);
-  const bool begun = word == kBegunWord;
-  if (!wave || host.empty() || (!begun && word != kOrderedWord)) {
+  const auto [phase, upstream] = Split(record.value, kFieldSeparator);
+  const bool begun = phase == kBegunText;
+  if (!wave || host.empty() || (!begun && phase != kOrderedText)) {
     return std::nullopt;
   }
   return HostRecord{
