--- a/src/jobs/gen/jobs_types.h
+++ b/src/jobs/gen/jobs_types.h
@@ -90,7 +90,7 @@
 } _StepSpec__isset;
 
 /**
- * One step of a job: equal tasks that may start together. Sizes are per task.
+ * One step of a job: identical tasks that may start together. Sizes are per task.
  */
 class StepSpec : public virtual ::apache::thrift::TBase {
  public:
@@ -134,31 +134,33 @@
   std::vector<int32_t>  after;
   bool checkpoints;
   /**
-   * All tasks start together and end together.
+   * All tasks start and end together.
    */
   bool gang;
   /**
-   * Slower when its tasks stand in more than one rack.
+   * Runs slower when its tasks are spread over more than one rack.
    */
   bool one_rack;
   std::string label;
   std::string data_rack;
   /**
-   * Most tasks of the step on one upstream; 0 for no bound.
+   * Maximum number of tasks of the step on one upstream; 0 for no limit.
    */
   int32_t max_per_upstream;
   bool speculative;
   /**
-   * Runs until the job is cancelled; started again however it ends.
+   * Long-running: runs until the job is cancelled, and is started again
+   * whatever the result of a run.
    */
   bool lasting;
   std::string image;
   /**
-   * Bound of the tail of response times, in ms; 0 for none.
+   * Target of the tail latency, in ms; 0 for none.
    */
   int64_t target_ms;
   /**
-   * Runs in what others leave over; its cores take no room.
+   * Runs on cores that other tasks leave idle; its own cores are not
+   * reserved.
    */
   bool filler;
   int32_t max_unavailable;
@@ -272,7 +274,7 @@
 } _QueuePolicy__isset;
 
 /**
- * What a queue said when the job was accepted.
+ * Policy of the job's queue at the time the job was accepted.
  */
 class QueuePolicy : public virtual ::apache::thrift::TBase {
  public:
@@ -301,11 +303,11 @@
    */
   std::string pool;
   /**
-   * 0 goes first.
+   * 0 is the highest priority.
    */
   int32_t priority;
   /**
-   * Runs of a task that may fail before the job fails.
+   * Number of failed runs of a task after which the job fails.
    */
   int32_t max_attempts;
   /**
@@ -314,16 +316,16 @@
   double slack_factor;
   int64_t target_ms;
   /**
-   * An adviser says which upstreams may run a step.
+   * An adviser decides which upstreams may run a step.
    */
   bool advised;
   /**
-   * Time of one call for advice: base + each x upstreams, in ms.
+   * Estimated duration of one advice call: base + each x upstreams, in ms.
    */
   double advice_base_ms;
   double advice_each_ms;
   /**
-   * How long a ticket is good for, in ms.
+   * How long a ticket is valid, in ms.
    */
   int64_t ticket_valid_ms;
 
@@ -423,16 +425,16 @@
   std::vector<StepSpec>  steps;
   QueuePolicy queue;
   /**
-   * Runs of all steps; 0 for one run as soon as possible.
+   * Number of runs of all steps; 0 for one run as soon as possible.
    */
   int32_t occurrences;
   /**
-   * When the first one is due, in ms since 1970.
+   * When the first occurrence is due, in ms since 1970.
    */
   int64_t first_due_ms;
   int64_t interval_ms;
   /**
-   * Wall clock of the leader that took it; orders work, decides nothing else.
+   * Wall clock of the leader that accepted the job; used only to order work.
    */
   int64_t accepted_unix_ms;
 
@@ -500,7 +502,7 @@
 } _TaskRecord__isset;
 
 /**
- * What is known of one task beside "done".
+ * State of one task that is not done.
  */
 class TaskRecord : public virtual ::apache::thrift::TBase {
  public:
@@ -520,14 +522,15 @@
    */
   int32_t task;
   /**
-   * Attempts that were counted as failures: an end may be told twice, and
-   * those of two upstreams in any order.
+   * Attempts that were counted as failures. They are listed because a
+   * completion may be reported twice, and those of two upstreams in any
+   * order.
    */
   std::vector<int64_t>  failed_attempts;
   std::string checkpoint;
   /**
-   * Attempts with which their upstream crashed: in their first moments, and
-   * others.
+   * Attempts during which their upstream crashed: those that had only just
+   * begun, and others.
    */
   std::vector<int64_t>  early_crashes;
   std::vector<int64_t>  other_crashes;
@@ -582,7 +585,7 @@
 } _ProgressRecord__isset;
 
 /**
- * All that must survive of a job's progress; rewritten whole.
+ * The durable state of a job's progress; always rewritten as a whole.
  */
 class ProgressRecord : public virtual ::apache::thrift::TBase {
  public:
@@ -599,7 +602,7 @@
   virtual ~ProgressRecord() noexcept;
   int32_t state;
   /**
-   * One bit a task, set when it is done.
+   * One bit per task, set when the task is done.
    */
   std::string done;
   std::vector<TaskRecord>  tasks;
@@ -646,7 +649,7 @@
 } _RunRecord__isset;
 
 /**
- * A run that an upstream was given before it fell silent.
+ * A run that was started at an upstream before it stopped responding.
  */
 class RunRecord : public virtual ::apache::thrift::TBase {
  public:
@@ -665,7 +668,7 @@
   std::string task;
   int64_t attempt;
   /**
-   * It had only just begun.
+   * The run had only just begun.
    */
   bool early;
 
@@ -720,7 +723,7 @@
 } _UpstreamRecord__isset;
 
 /**
- * An upstream that may run tasks; kept until nothing can run there.
+ * An upstream that may run tasks; stored until no task can run there.
  */
 class UpstreamRecord : public virtual ::apache::thrift::TBase {
  public:
@@ -752,15 +755,16 @@
   int32_t memory_mb;
   int32_t accelerators;
   /**
-   * Nothing new starts there until a later record says otherwise.
+   * No new task starts there until a later record reopens the upstream.
    */
   bool closed;
   /**
-   * While closed: the only jobs that may run something there.
+   * While closed: the only jobs that may still have tasks there.
    */
   std::vector<int64_t>  jobs;
   /**
-   * While closed for its silence: what it may have crashed with.
+   * While closed because it is unresponsive: the runs during which it may have
+   * crashed.
    */
   std::vector<RunRecord>  runs;
 
@@ -860,11 +864,11 @@
   std::string name;
   std::string address;
   /**
-   * Processor share of its machine in percent of a core.
+   * CPU share on its machine, in percent of a core.
    */
   int32_t fitness;
   /**
-   * In a list of changes: it does not greet the leader any more.
+   * In a list of changes: the member no longer sends heartbeats.
    */
   bool gone;
 
@@ -915,7 +919,7 @@
 } _HeartbeatCall__isset;
 
 /**
- * An entry greets the one that it takes for the leader.
+ * Heartbeat of an entry to the entry that it believes to be the leader.
  */
 class HeartbeatCall : public virtual ::apache::thrift::TBase {
  public:
@@ -935,8 +939,8 @@
   int64_t term;
   int64_t config_version;
   /**
-   * Number of the last change of the leader's members that the caller knows
-   * of, in this term.
+   * Number of the last change of the leader's member list that the caller
+   * knows, in this term.
    */
   int64_t members_known;
 
@@ -1015,12 +1019,12 @@
   int64_t term;
   Member leader;
   /**
-   * The leader's last write to the store succeeded lately.
+   * The leader has recently written to the store successfully.
    */
   bool store_reachable;
   /**
-   * Changes of the leader's members after the one that the caller knows of;
-   * all of them, over some greetings.
+   * Changes of the leader's member list after the one that the caller knows;
+   * a long list is split over several heartbeats.
    */
   std::vector<Member>  members;
   /**
@@ -1029,15 +1033,15 @@
   int64_t config_version;
   std::string config;
   /**
-   * How long a follower has not heard of its leader, in ms.
+   * How long the leader has not responded to the replying follower, in ms.
    */
   int64_t leader_unresponsive_ms;
   /**
-   * The leader still takes over what is stored, and takes no calls.
+   * The leader is still loading the stored state, and accepts no calls.
    */
   bool loading;
   /**
-   * Number of the last of these changes.
+   * Number of the last change in `members`.
    */
   int64_t members_known;
 
@@ -1114,7 +1118,7 @@
 } _AnnounceCall__isset;
 
 /**
- * A new leader makes itself known.
+ * A new leader announces itself, or a leader resigns.
  */
 class AnnounceCall : public virtual ::apache::thrift::TBase {
  public:
@@ -1135,20 +1139,20 @@
   int64_t term;
   Member leader;
   /**
-   * The leader resigns: somebody else should take over at once.
+   * The leader resigns: another entry should take over at once.
    */
   bool resigned;
   /**
-   * It still takes over what is stored, and takes no calls.
+   * The leader is still loading the stored state, and accepts no calls.
    */
   bool loading;
   /**
-   * It has served for a while: should it fall silent, the next leader needs
-   * no more than the usual patience.
+   * The leader has served for some time: if it stops responding, the normal
+   * election timeout applies.
    */
   bool stable;
   /**
-   * Terms right before this one, one after the other, that ended unsettled.
+   * Number of consecutive terms right before this one that ended unstable.
    */
   int32_t unstable_terms;
 
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -9,11 +9,11 @@
 
 constexpr size_t kBitsPerByte = 8;
 
-/// Upstreams that one call for advice is counted with.
+/// Number of upstreams assumed in the estimated duration of one advice call.
 constexpr double kAdviceUpstreams = 30;
-/// Failures kept of a task that lasts, to which no limit applies: enough to
-/// know an end that is listed again.
-constexpr size_t kLastingFailuresKept = 8;
+/// Number of failed attempts kept for a long-running task, to which no limit of
+/// failures applies: enough to recognize a completion that is listed again.
+constexpr size_t kLongRunningFailuresKept = 8;
 
 }  // namespace
 
@@ -64,7 +64,7 @@
          id.step < steps() && id.index < step(id.step).tasks;
 }
 
-size_t Job::Flat(const TaskId& id) const {
+size_t Job::FlatIndex(const TaskId& id) const {
   return static_cast<size_t>(id.occurrence) * tasks_per_occurrence_ +
          first_task_[static_cast<size_t>(id.step)] +
          static_cast<size_t>(id.index);
@@ -83,7 +83,7 @@
 
 void Job::SetPhase(const TaskId& id, TaskPhase phase) {
   Task& task = this->task(id);
-  StepCounts& run = step_counts_[RunAt(id.occurrence, id.step)];
+  StepCounts& run = step_counts_[StepIndex(id.occurrence, id.step)];
   const auto count = [&](TaskPhase of, int32_t by) {
     if (of == TaskPhase::kWaiting) {
       run.waiting += by;
@@ -101,15 +101,15 @@
 }
 
 bool Job::CountFailure(const TaskId& id, int64_t attempt) {
-  // A gang counts as one: its first task keeps the count for all.
-  const TaskId keeper{id.job, id.occurrence, id.step,
-                      step(id.step).gang ? 0 : id.index};
-  auto& counted = task(keeper).failed_attempts;
+  // A gang counts as one: its first task holds the count for all.
+  const TaskId counting{id.job, id.occurrence, id.step,
+                        step(id.step).gang ? 0 : id.index};
+  auto& counted = task(counting).failed_attempts;
   if (std::find(counted.begin(), counted.end(), attempt) != counted.end()) {
     return false;
   }
   counted.push_back(attempt);
-  if (step(id.step).lasting && counted.size() > kLastingFailuresKept) {
+  if (step(id.step).lasting && counted.size() > kLongRunningFailuresKept) {
     counted.erase(counted.begin());
   }
   return true;
@@ -159,7 +159,7 @@
 wire::ProgressRecord Job::Progress() const {
   wire::ProgressRecord out;
   out.state = static_cast<int32_t>(state_);
-  // A final state says it all.
+  // A final state needs no further data.
   if (final()) return out;
   out.done.assign((tasks_.size() + kBitsPerByte - 1) / kBitsPerByte, '\0');
   for (size_t i = 0; i < tasks_.size(); ++i) {
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -16,15 +16,15 @@
 
 enum class TaskPhase : uint8_t {
   kWaiting,
-  kStarting,  ///< Sent; whether it runs is not known yet.
+  kStarting,  ///< The start is in flight; whether the task runs is unknown.
   kRunning,
-  kStopping,  ///< Told to stop; its room stays taken until its end is listed.
+  kStopping,  ///< Stop ordered; its capacity is reserved until it ends.
   kDone,
 };
 
-/// Attempts of a task with which their upstreams crashed, each counted once.
+/// Attempts of a task during which their upstreams crashed, each counted once.
 struct CrashCounts {
-  /// Those that had only just begun: the task is suspected to be the cause.
+  /// Attempts that had only just begun: the task is suspected to be the cause.
   std::vector<int64_t> early;
   std::vector<int64_t> other;
 
@@ -34,29 +34,29 @@
 
 struct Task {
   TaskPhase phase = TaskPhase::kWaiting;
-  /// Number of the present or the last start.
+  /// Number of the current or the last start.
   int64_t attempt = 0;
   /// Attempts that failed and count, in any order.
   std::vector<int64_t> failed_attempts;
   CrashCounts crashes;
   UpstreamIndex upstream = kNoUpstream;
-  /// Where it failed last; a second try goes elsewhere.
+  /// Upstream of the last failure; the next attempt goes elsewhere.
   UpstreamIndex failed_at = kNoUpstream;
   int32_t percent = 0;
-  /// When the percent last moved.
+  /// When `percent` last changed.
   TimePoint progressed_at{};
-  /// First report of the present run with its percent, from which its pace is
-  /// told; unset before it.
+  /// Time of the first report of the current run; with `rate_base_percent` the
+  /// base of the estimated rate of progress. Unset before that report.
   TimePoint rate_since{};
   int32_t rate_base_percent = 0;
-  /// When its own part of the present run is expected to be over.
+  /// When the task's own part of the current run is expected to end.
   TimePoint expected_end{};
   std::string checkpoint;
 
   int32_t failures() const {
     return static_cast<int32_t>(failed_attempts.size());
   }
-  /// Highest number that a start of it is known to have had.
+  /// Highest attempt number that is known to have been used.
   int64_t LastAttempt() const;
   bool active() const {
     return phase == TaskPhase::kStarting || phase == TaskPhase::kRunning ||
@@ -64,15 +64,15 @@
   }
 };
 
-/// Counts of one step of one occurrence.
+/// Task counts of one step of one occurrence.
 struct StepCounts {
   int32_t waiting = 0;
   int32_t active = 0;
   int32_t done = 0;
 };
 
-/// One accepted job: its tasks, and the rules that follow from its own shape.
-/// Knows nothing of upstreams or time. Not thread-safe.
+/// One accepted job: its tasks, and the rules that follow from its steps.
+/// Independent of upstreams and time. Not thread-safe.
 class Job {
  public:
   /// Precondition: CheckJob() found nothing.
@@ -95,27 +95,27 @@
 
   bool Has(const TaskId& id) const;
   /// Precondition: Has(id).
-  Task& task(const TaskId& id) { return tasks_[Flat(id)]; }
-  const Task& task(const TaskId& id) const { return tasks_[Flat(id)]; }
+  Task& task(const TaskId& id) { return tasks_[FlatIndex(id)]; }
+  const Task& task(const TaskId& id) const { return tasks_[FlatIndex(id)]; }
   const StepCounts& step_counts(int32_t occurrence, int32_t step) const {
-    return step_counts_[RunAt(occurrence, step)];
+    return step_counts_[StepIndex(occurrence, step)];
   }
-  /// Tasks of the job that hold room now.
+  /// Number of tasks of the job that have capacity reserved now.
   int32_t active() const { return active_; }
 
-  /// All steps that come before are done.
+  /// Whether all steps that this one depends on are done.
   bool StepReady(int32_t occurrence, int32_t step) const;
   bool StepDone(int32_t occurrence, int32_t step) const;
 
-  /// Moves a task to another phase and keeps the counts.
+  /// Moves a task to another phase and updates the counts.
   void SetPhase(const TaskId& id, TaskPhase phase);
-  /// One run of a gang or of a task failed; false if that attempt had been
-  /// counted before. Precondition: attempt > 0.
+  /// Counts a failed run of a task or of its gang; false if that attempt was
+  /// already counted. Precondition: attempt > 0.
   bool CountFailure(const TaskId& id, int64_t attempt);
-  /// An upstream crashed with this run of a task; false if that attempt had
-  /// been counted before. Precondition: attempt > 0.
+  /// Counts a crash of the upstream during this run of a task; false if that
+  /// attempt was already counted. Precondition: attempt > 0.
   bool CountCrash(const TaskId& id, int64_t attempt, bool early);
-  /// Failed runs of the task, or of its whole gang.
+  /// Number of failed runs of the task, or of its whole gang.
   int32_t Failures(const TaskId& id) const;
   /// Highest attempt of any task of the step.
   int64_t LastAttempt(const StepId& id) const;
@@ -128,18 +128,18 @@
   /// Estimated time from the start of a step to the end of the longest chain
   /// after it, advice included.
   Millis CriticalPathFrom(int32_t step) const;
-  /// The time in which a caller wants the whole job.
+  /// Target duration of the whole job.
   Millis Objective() const;
 
   wire::ProgressRecord Progress() const;
   void Restore(const wire::ProgressRecord& record);
 
  private:
-  size_t RunAt(int32_t occurrence, int32_t step) const {
+  size_t StepIndex(int32_t occurrence, int32_t step) const {
     return static_cast<size_t>(occurrence) * spec_.steps.size() +
            static_cast<size_t>(step);
   }
-  size_t Flat(const TaskId& id) const;
+  size_t FlatIndex(const TaskId& id) const;
   Millis StepTime(const wire::StepSpec& step) const;
 
   wire::JobSpec spec_;
@@ -153,7 +153,7 @@
   size_t tasks_per_occurrence_ = 0;
   std::vector<Task> tasks_;
   std::vector<StepCounts> step_counts_;
-  /// Longest chain from each step on.
+  /// Duration of the longest chain that begins with each step.
   std::vector<Millis> critical_path_;
 };
 
--- a/src/jobs/job_state.cc
+++ b/src/jobs/job_state.cc
@@ -12,11 +12,11 @@
   findings.Add(place, "must be 0 to " + std::to_string(kMaxJobSpanMs));
 }
 
-/// Compares so that a value that is no number fails too.
-void CheckUpTo(const std::string& place, double value, double most,
+/// The comparison rejects NaN as well.
+void CheckUpTo(const std::string& place, double value, double max,
                Findings& findings) {
-  if (value >= 0 && value <= most) return;
-  findings.Add(place, "must be 0 to " + std::to_string(most));
+  if (value >= 0 && value <= max) return;
+  findings.Add(place, "must be 0 to " + std::to_string(max));
 }
 
 void CheckStep(const wire::StepSpec& step, size_t at, Findings& findings) {
@@ -96,11 +96,12 @@
 
 void CheckProgress(const wire::ProgressRecord& record, Findings& findings) {
   if (!IsJobState(record.state)) {
-    findings.Add("state", std::to_string(record.state) + " is no state");
+    findings.Add("state", std::to_string(record.state) + " is not a job state");
   }
   for (const wire::TaskRecord& task : record.tasks) {
     if (task.task < 0 || task.task >= kMaxJobTasks) {
-      findings.Add("tasks", "no task " + std::to_string(task.task));
+      findings.Add("tasks", "task index " + std::to_string(task.task) +
+                                " is out of range");
     }
     for (const auto* attempts :
          {&task.failed_attempts, &task.early_crashes, &task.other_crashes}) {
@@ -114,7 +115,8 @@
 
 void CheckProgressOf(const wire::JobSpec& spec,
                      const wire::ProgressRecord& record, Findings& findings) {
-  // A final state says it all, and a job that was never written has none.
+  // The record of a job in a final state has neither field, and a job whose
+  // progress was never stored has no record.
   if (record.done.empty() && record.tasks.empty()) return;
   constexpr int64_t kBitsPerByte = 8;
   int64_t tasks = 0;
@@ -126,7 +128,8 @@
   }
   for (const wire::TaskRecord& task : record.tasks) {
     if (task.task >= tasks) {
-      findings.Add("tasks", "no task " + std::to_string(task.task));
+      findings.Add("tasks", "task index " + std::to_string(task.task) +
+                                " is out of range");
     }
   }
 }
--- a/src/jobs/job_state.h
+++ b/src/jobs/job_state.h
@@ -20,7 +20,7 @@
     EnumName{JobState::kCancelled, "cancelled"},
 }};
 
-/// Whether a number from a message or a record is a state.
+/// Whether a number from a message or a record is a valid state.
 constexpr bool IsJobState(int32_t number) {
   return number >= static_cast<int32_t>(JobState::kQueued) &&
          number <= static_cast<int32_t>(JobState::kCancelled);
@@ -30,32 +30,35 @@
   return state != JobState::kQueued && state != JobState::kRunning;
 }
 
-/// Bounds of a job; a larger one is refused with its place.
+/// Limits of a job. A job that exceeds one is refused, with an error that names
+/// the field.
 inline constexpr int32_t kMaxStepTasks = 10000;
 inline constexpr int32_t kMaxJobTasks = 100000;
 inline constexpr size_t kMaxPayloadBytes = 4000;
 inline constexpr size_t kMaxJobSteps = 1000;
-/// Largest size of a task in each dimension: 10,000 cores, 9.5 TB. 200 of them
-/// held at one upstream stay within the 32 bits of an amount.
+/// Largest size of a task in each dimension: 10,000 cores, 9.5 TB. The sum of
+/// 200 such tasks at one upstream fits into the 32 bits of an amount.
 inline constexpr int32_t kMaxTaskSize = 10000000;
-/// Longest estimate, target or interval, in ms: 30 days. The chain of a
-/// thousand steps stays within the clock's nanoseconds.
+/// Longest estimate, target or interval, in ms: 30 days. The sum over a chain
+/// of a thousand steps fits into the nanoseconds of the clock.
 inline constexpr int64_t kMaxJobSpanMs = int64_t{30} * 24 * 3600 * 1000;
 /// Latest time of day that a job may name, in ms since 1970: the year 9999.
 inline constexpr int64_t kMaxUnixMs = 253402300799999;
-/// Most that a queue stretches a job's chain by.
+/// Largest factor by which a queue may multiply the duration of a job's chain.
 inline constexpr double kMaxJobSlack = 1000;
-/// Longest call for advice that a queue may name, in ms.
+/// Longest advice call that a queue may configure, in ms.
 inline constexpr double kMaxJobAdviceMs = 60000;
 
-/// Adds what makes a job impossible as written. Safe from any thread.
+/// Adds findings for an invalid job. Safe from any thread.
 void CheckJob(const wire::JobSpec& spec, Findings& findings);
-/// Adds what keeps a stored job, whose queue's policy lies in its record, from
-/// being run as it is: CheckJob()'s and the policy's. Safe from any thread.
+/// Adds findings for an invalid stored job, whose record includes the policy of
+/// its queue: those of CheckJob() and those of the policy. Safe from any
+/// thread.
 void CheckStoredJob(const wire::JobSpec& spec, Findings& findings);
-/// Adds what no progress of any job says. Safe from any thread.
+/// Adds findings for a progress record that is invalid for any job. Safe from
+/// any thread.
 void CheckProgress(const wire::ProgressRecord& record, Findings& findings);
-/// Adds what the progress says of tasks that the job does not have. Safe from
+/// Adds findings for progress of tasks that the job does not have. Safe from
 /// any thread. Precondition: CheckStoredJob() found nothing.
 void CheckProgressOf(const wire::JobSpec& spec,
                      const wire::ProgressRecord& record, Findings& findings);
--- a/src/jobs/task_id.cc
+++ b/src/jobs/task_id.cc
@@ -9,7 +9,8 @@
 constexpr size_t kJobIdDigits = 16;
 constexpr int kHex = 16;
 
-/// Reads a number up to `stop` (or the end) and removes both from `text`.
+/// Reads a number up to the next '.', or up to the end if it is the `last` one,
+/// and removes both from `text`.
 std::optional<int32_t> TakeNumber(std::string_view& text, bool last) {
   int32_t value = 0;
   const char* const end = text.data() + text.size();
--- a/src/jobs/task_id.h
+++ b/src/jobs/task_id.h
@@ -22,7 +22,7 @@
   JobId job = 0;
   int32_t occurrence = 0;
   int32_t step = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): the linter's view of a default
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on =default
   friend auto operator<=>(const StepId&, const StepId&) = default;
 };
 
@@ -33,7 +33,7 @@
   int32_t step = 0;
   int32_t index = 0;
   StepId step_id() const { return {job, occurrence, step}; }
-  // NOLINTNEXTLINE(modernize-use-nullptr): the linter's view of a default
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on =default
   friend auto operator<=>(const TaskId&, const TaskId&) = default;
 };
 
