--- a/src/jobs/gen/jobs_types.h
+++ b/src/jobs/gen/jobs_types.h
@@ -434,7 +434,7 @@
   int64_t first_due_ms;
   int64_t interval_ms;
   /**
-   * Wall clock of the leader that accepted the job; used only to order work.
+   * Wall clock of the leader at acceptance; used only to order work.
    */
   int64_t accepted_unix_ms;
 
--- a/src/jobs/jobs.thrift
+++ b/src/jobs/jobs.thrift
@@ -63,7 +63,7 @@
   /** When the first occurrence is due, in ms since 1970. */
   6: i64 first_due_ms
   7: i64 interval_ms
-  /** Wall clock of the leader that accepted the job; used only to order work. */
+  /** Wall clock of the leader at acceptance; used only to order work. */
   8: i64 accepted_unix_ms
 }
 
