--- a/src/ports/cell_config_port.h
+++ b/src/ports/cell_config_port.h
@@ -13,7 +13,7 @@
 
 namespace mimosarail::ports {
 
-/// How callers reach a queue, and how its jobs are treated.
+/// The address of a queue for callers, and the policy of its jobs.
 struct QueueConfig {
   wire::QueuePolicy policy;
   std::string host;
@@ -24,21 +24,21 @@
 struct CellConfig {
   int64_t version = 0;
   std::vector<QueueConfig> queues;
-  /// Every pool that the configuration names, with a queue or without.
+  /// All pools that the configuration names, with or without a queue.
   std::set<std::string> pools;
   /// Largest body of a caller's request, in bytes.
   int64_t max_body_bytes = 0;
 };
 
-/// What one look at the configuration found.
+/// The result of one read of the configuration.
 struct ConfigUpdate {
-  /// Where to look on from.
+  /// Position from which the next read continues.
   int64_t cursor = 0;
-  /// New documents as stored, oldest first. Of several that came at once the
-  /// newest that decodes counts.
+  /// New documents as stored, oldest first. The newest one that decodes
+  /// applies.
   std::vector<std::string> documents;
-  /// Maintenance waves that stand beside it in the same log, so that following
-  /// them costs no call of its own.
+  /// Maintenance waves from the same log, so that following them needs no
+  /// separate call.
   std::vector<WaveRequest> waves{};
 };
 
@@ -47,13 +47,13 @@
 class CellConfigPort {
  public:
   virtual ~CellConfigPort() = default;
-  /// The newest document and the cursor after it.
+  /// Reads the newest document and the cursor after it.
   virtual void ReadNewest(Millis timeout, Callback<ConfigUpdate> done) = 0;
   /// Waits up to `wait` for a change after `cursor`. Errc::kInvalid when the
   /// cursor is too old: read the newest instead.
   virtual void ReadChange(int64_t cursor, Millis wait, Millis timeout,
                           Callback<ConfigUpdate> done) = 0;
-  /// Decodes a document; errors name the place.
+  /// Decodes a document; errors name the field.
   virtual Result<CellConfig> Decode(const std::string& document) const = 0;
 };
 
--- a/src/ports/gen/platform_types.h
+++ b/src/ports/gen/platform_types.h
@@ -150,7 +150,7 @@
 } _Resources__isset;
 
 /**
- * An amount of what an upstream has or a task needs.
+ * Resources that an upstream offers or a task needs.
  */
 class Resources : public virtual ::apache::thrift::TBase {
  public:
@@ -317,7 +317,7 @@
 } _ListCall__isset;
 
 /**
- * Names the version that the reader has; an unchanged list is not sent again.
+ * Contains the reader's version; an unchanged list is not sent again.
  */
 class ListCall : public virtual ::apache::thrift::TBase {
  public:
@@ -431,7 +431,7 @@
 } _TaskSpec__isset;
 
 /**
- * What a controller asks an upstream to run; `context` is opaque to it.
+ * A task for an upstream; `context` is opaque to the upstream.
  */
 class TaskSpec : public virtual ::apache::thrift::TBase {
  public:
@@ -559,7 +559,7 @@
   std::string answer;
   int64_t ran_ms;
   /**
-   * Rises with every end at this upstream; 0 while it runs.
+   * Increases with every completion at this upstream; 0 while the task runs.
    */
   int64_t sequence;
 
@@ -887,7 +887,7 @@
 
 /**
  * Renews every lease of the upstream, releases ended tasks, and waits for
- * ends whose sequence is above `seen`.
+ * completions whose sequence is above `seen`.
  */
 class RenewCall : public virtual ::apache::thrift::TBase {
  public:
--- a/src/ports/host_port.h
+++ b/src/ports/host_port.h
@@ -15,10 +15,10 @@
 
 enum class HostState {
   kUp,
-  kMoving,       ///< On its way to another pool.
-  kMaintenance,  ///< Away for its upkeep.
+  kMoving,       ///< Moving to another pool.
+  kMaintenance,  ///< Away for its maintenance.
   kDown,         ///< Crashed or switched off.
-  kUnknown,      ///< The list says something that is not known here.
+  kUnknown,      ///< The listed state is not one of the above.
 };
 
 inline constexpr EnumTable kHostStateNames{std::array{
@@ -29,12 +29,12 @@
     EnumName{HostState::kUnknown, "unclear"},
 }};
 
-/// One host. An upstream is one life of it: the host stays, upstreams change.
+/// One host. It gets a new upstream, with a new id, each time it starts.
 struct HostEntry {
   std::string host;
   std::string pool;
   HostState state = HostState::kUnknown;
-  /// Id of the upstream that it is now; empty while there is none.
+  /// Id of the current upstream; empty while there is none.
   std::string upstream;
 };
 
@@ -45,13 +45,13 @@
 };
 
 enum class HostVerdict {
-  kDone,       ///< Begun now, or at an earlier call for the same wave.
+  kDone,       ///< Begun now, or by an earlier call for the same wave.
   kFenced,     ///< A higher fencing token was used for this host.
-  kBusy,       ///< Not up, or leaving; nothing was done.
-  kNotInWave,  ///< The wave does not hold this host.
+  kBusy,       ///< The host is not up, or is leaving; nothing was done.
+  kNotInWave,  ///< The wave does not include this host.
   kNoSuchHost,
-  kRefused,  ///< Too many calls, or the API is not well; nothing was done.
-  kUnknown,  ///< May have taken effect, or may yet.
+  kRefused,  ///< Rate limit, or the API is unavailable; nothing was done.
+  kUnknown,  ///< May have taken effect, or may take effect later.
 };
 
 inline constexpr EnumTable kHostVerdictNames{std::array{
@@ -72,27 +72,27 @@
 struct MaintenanceOrder {
   std::string host;
   int64_t wave = 0;
-  /// Name of the entry that orders.
+  /// Name of the entry that sends the order.
   std::string holder;
   int64_t fence = 0;
 };
 
-/// The platform's API of hosts. Callbacks run on the control thread. Control
+/// The platform's host API. Callbacks run on the control thread. Control
 /// thread only.
 class HostPort {
  public:
   virtual ~HostPort() = default;
-  /// One page of the list; `after` is empty for the first.
+  /// Reads one page of the list; `after` is empty for the first page.
   virtual void ListHosts(const std::string& after, Millis timeout,
                          Callback<HostPage> done) = 0;
-  /// Ends all that runs on the host at once; a new upstream joins later.
-  /// Ordered again for the same wave it does nothing and says kDone.
+  /// Ends all work on the host at once; a new upstream joins later. A repeated
+  /// order for the same wave has no effect and is answered with kDone.
   virtual void BeginMaintenance(const MaintenanceOrder& order, Millis timeout,
                                 std::function<void(HostReply)> done) = 0;
 };
 
-/// What operators ask for: each of the hosts has its upkeep within `duration`,
-/// with no more than `max_unavailable` away for it at the same time.
+/// An operator's request: maintenance of each of the hosts within `duration`,
+/// with no more than `max_unavailable` of them away at the same time.
 struct WaveRequest {
   int64_t wave = 0;
   std::vector<std::string> hosts;
@@ -107,8 +107,8 @@
     EnumName{WaveStatus::kComplete, "complete"},
 }};
 
-/// Where operators read how far a wave is: a table of the record store.
-/// Control thread only.
+/// The status of waves for operators, in a table of the record store. Control
+/// thread only.
 class WaveStatusPort {
  public:
   virtual ~WaveStatusPort() = default;
--- a/src/ports/instance_list_port.h
+++ b/src/ports/instance_list_port.h
@@ -10,7 +10,7 @@
 class InstanceListPort {
  public:
   virtual ~InstanceListPort() = default;
-  /// The list, or `unchanged` if it still has the version that is known here
+  /// Fetches the list, or `unchanged` if its version is still `known_version`
   /// (0 for none).
   virtual void Fetch(int64_t known_version, Callback<wire::ListReply> done) = 0;
 };
--- a/src/ports/log_port.h
+++ b/src/ports/log_port.h
@@ -12,7 +12,7 @@
   virtual ~LogPort() = default;
   virtual void Append(const wire::AppendCall& call,
                       Callback<wire::AppendReply> done) = 0;
-  /// Reads from an offset, waiting up to `wait_ms` for a first record.
+  /// Reads from an offset; waits up to `wait_ms` for the first record.
   virtual void Read(const wire::ReadCall& call,
                     Callback<wire::ReadReply> done) = 0;
 };
--- a/src/ports/platform.thrift
+++ b/src/ports/platform.thrift
@@ -1,6 +1,6 @@
 namespace cpp mimosarail.wire
 
-/** An amount of what an upstream has or a task needs. */
+/** Resources that an upstream offers or a task needs. */
 struct Resources {
   1: i32 millicores
   2: i32 memory_mb
@@ -22,11 +22,11 @@
   8: ListedState state
 }
 
-/** Names the version that the reader has; an unchanged list is not sent again. */
+/** Contains the reader's version; an unchanged list is not sent again. */
 struct ListCall { 1: i64 known_version }
 struct ListReply { 1: list<ListedInstance> instances 2: i64 version 3: bool unchanged }
 
-/** What a controller asks an upstream to run; `context` is opaque to it. */
+/** A task for an upstream; `context` is opaque to the upstream. */
 struct TaskSpec {
   1: string task_id
   2: string request_id
@@ -48,7 +48,7 @@
   4: string answer_digest
   5: binary answer
   6: i64 ran_ms
-  /** Rises with every end at this upstream; 0 while it runs. */
+  /** Increases with every completion at this upstream; 0 while the task runs. */
   7: i64 sequence
 }
 
@@ -66,7 +66,7 @@
 struct StartCall { 1: string upstream 2: i64 term 3: i64 lease_ms 4: TaskSpec task }
 struct StartReply { 1: CallStatus status 2: i64 term }
 /** Renews every lease of the upstream, releases ended tasks, and waits for
- *  ends whose sequence is above `seen`. */
+ *  completions whose sequence is above `seen`. */
 struct RenewCall {
   1: string upstream
   2: i64 term
--- a/src/ports/record_store_port.h
+++ b/src/ports/record_store_port.h
@@ -15,13 +15,13 @@
 struct KeyedRecord {
   std::string key;
   std::string value;
-  /// Why nobody can read the record; empty for one that can be read. Key and
-  /// value are then what is known of them.
+  /// Why the record is malformed; empty for a valid record. Key and value of a
+  /// malformed record are set as far as they are known.
   std::string decode_error{};
 };
 
-/// Identity under which a writer appends: an append of a lower epoch than one
-/// seen is refused for good, and a repeated sequence number has no effect.
+/// Identity under which a writer appends. An append with a lower epoch than one
+/// already seen is always refused; a repeated sequence number has no effect.
 struct WriterIdentity {
   std::string name;
   int64_t epoch = 0;
@@ -32,7 +32,7 @@
   std::string table;
   std::vector<KeyedRecord> records;
   std::optional<WriterIdentity> writer;
-  /// Only if the table ends exactly here.
+  /// Appends only if the table ends exactly at this offset.
   std::optional<int64_t> expected_end_offset;
 };
 
@@ -59,28 +59,28 @@
   int64_t end_offset = 0;
 };
 
-/// What one read of the log behind a table found.
+/// The result of one read of the log behind a table.
 struct TailReply {
-  /// Records before this offset are gone; above the wanted one, some were
-  /// missed.
+  /// Records before this offset have been removed; if it is above the requested
+  /// offset, some records were missed.
   int64_t start_offset = 0;
   int64_t end_offset = 0;
   std::vector<KeyedRecord> records;
 };
 
-/// Tables in the platform's store, in which the newest record of a key counts.
+/// Tables in the platform's store, in which the newest record of a key applies.
 /// Callbacks run on the control thread. Control thread only.
 class RecordStorePort {
  public:
   virtual ~RecordStorePort() = default;
   virtual void Append(const AppendCall& call, Millis timeout,
                       std::function<void(AppendReply)> done) = 0;
-  /// The newest records, in order of their keys, after the key `after`.
-  /// `timeout` is the longest silence: a page that is coming in is waited for,
-  /// however long it takes.
+  /// Reads the newest records, in order of their keys, after the key `after`.
+  /// `timeout` bounds the time without incoming data: a page that is being
+  /// received is waited for, however long it takes.
   virtual void ReadNewest(const std::string& table, const std::string& after,
                           Millis timeout, Callback<NewestPage> done) = 0;
-  /// Records from an offset on; waits up to `wait` for a first one.
+  /// Reads records from an offset on; waits up to `wait` for the first one.
   virtual void ReadTail(const std::string& table, int64_t from, Millis wait,
                         Millis timeout, Callback<TailReply> done) = 0;
 };
--- a/src/ports/rpc_platform.h
+++ b/src/ports/rpc_platform.h
@@ -15,8 +15,9 @@
   Millis call_timeout{1000};
 };
 
-/// The three platform interfaces over framed RPC, as the stand-ins speak it.
-/// Control thread only; the client, executor and options outlive it.
+/// Implements the three platform interfaces over framed RPC, the protocol of
+/// the simulated platform services. Control thread only; the client and the
+/// executor must outlive it.
 class RpcPlatform final : public UpstreamPort,
                           public LogPort,
                           public InstanceListPort {
--- a/src/ports/stream_reader.cc
+++ b/src/ports/stream_reader.cc
@@ -22,7 +22,7 @@
   call.stream = options_.stream;
   call.start = position_;
   call.max_records = options_.max_records;
-  // The first read must not wait: an empty stream is news at a start.
+  // The first read must not wait: an empty stream has to be reported at once.
   call.wait_ms = ever_caught_up_ ? options_.read_wait.count() : 0;
   ++reads_;
   log_.Read(call,
--- a/src/ports/stream_reader.h
+++ b/src/ports/stream_reader.h
@@ -16,24 +16,24 @@
   int32_t max_records = 500;
 };
 
-/// Follows one stream of the log from its first retained record, and keeps
-/// trying through outages. Control thread only.
+/// Follows one stream of the log from its first retained record, and retries
+/// during outages. Control thread only.
 class StreamReader {
  public:
-  /// `consume` gets each reply; its first_retained is above the offset that
-  /// was asked for when records were trimmed unread. `executor` and `log`
-  /// outlive the reader.
+  /// `consume` receives each reply; its first_retained is above the requested
+  /// offset if records were trimmed before they were read. `executor` and `log`
+  /// must outlive the reader.
   StreamReader(Executor& executor, LogPort& log, StreamReaderOptions options,
                std::function<void(const wire::ReadReply&)> consume);
 
   void Start();
-  /// Goes on from `offset` with the next read.
+  /// Continues from `offset` with the next read.
   void Seek(int64_t offset) { position_ = offset; }
   /// Whether the last read was answered.
   bool up() const { return up_; }
   bool ever_caught_up() const { return ever_caught_up_; }
   int64_t position() const { return position_; }
-  /// Reads sent so far; for the control cost.
+  /// Number of reads sent so far; part of the control cost.
   int64_t reads() const { return reads_; }
 
  private:
--- a/src/ports/task_port.h
+++ b/src/ports/task_port.h
@@ -13,7 +13,8 @@
 
 namespace mimosarail::ports {
 
-/// The life of an upstream that a call is meant for.
+/// The upstream that a call is meant for. The id is unique to one life of the
+/// upstream; a restarted one has a new id.
 struct UpstreamTarget {
   std::string address;
   std::string id;
@@ -22,15 +23,15 @@
 enum class CallVerdict {
   kDone,
   kFenced,        ///< A higher fencing token was seen there.
-  kStale,         ///< That attempt, or a later one, was there already.
-  kLeaseExpired,  ///< The lease in the call had run out on arrival.
-  kNoCapacity,    ///< The upstream guards its capacity, and it is full.
+  kStale,         ///< That attempt, or a later one, was already started there.
+  kLeaseExpired,  ///< The lease in the call had expired on arrival.
+  kNoCapacity,    ///< The upstream enforces its capacity, and is full.
   kBadTicket,     ///< No ticket, or one that is too old.
   kUnhealthy,     ///< Refused; nothing was done.
-  kReplaced,      ///< Another life of the upstream answers at the address.
-  kMalformed,     ///< The upstream does not take the call as it is.
-  kNotSent,       ///< Never left this process.
-  kUnknown,       ///< May have taken effect, or may yet.
+  kReplaced,      ///< The upstream has ended; another answers at its address.
+  kMalformed,     ///< The upstream rejected the call as malformed.
+  kNotSent,       ///< The call never left this process.
+  kUnknown,       ///< May have taken effect, or may take effect later.
 };
 
 inline constexpr EnumTable kCallVerdictNames{std::array{
@@ -51,7 +52,7 @@
   TaskId task;
   int64_t attempt = 0;
   std::string payload;
-  /// On the upstream's clock, in ms; for everything that runs there.
+  /// End of the lease of all tasks there, on the upstream's clock, in ms.
   int64_t lease_until_ms = 0;
   int64_t fence = 0;
   std::string checkpoint;
@@ -60,7 +61,7 @@
 
 struct CallReply {
   CallVerdict verdict = CallVerdict::kUnknown;
-  /// The upstream's clock, in ms; 0 if it was not told.
+  /// The upstream's clock, in ms; 0 if it was not reported.
   int64_t clock_ms = 0;
   std::string detail;
 };
@@ -91,7 +92,7 @@
 };
 
 struct EndedTask {
-  /// Counts the ends of one life of the upstream, from 1.
+  /// Sequence number among the completions at one life of the upstream, from 1.
   int64_t number = 0;
   TaskId task;
   int64_t attempt = 0;
@@ -101,10 +102,11 @@
 
 struct RenewCall {
   int64_t fence = 0;
-  /// Ends up to this number are safe and may be forgotten.
+  /// Completions up to this number are durable, and the upstream may discard
+  /// them.
   int64_t acked_ends = 0;
   int64_t lease_until_ms = 0;
-  /// How long the answer may wait for an end.
+  /// How long the reply may wait for a completion.
   Millis wait{0};
 };
 
@@ -112,13 +114,13 @@
   CallReply call;
   std::vector<RunningTask> running;
   std::vector<EndedTask> ended;
-  /// There may be more ends than are listed. A run that is in neither list may
-  /// have ended then, too.
+  /// There may be more completions than are listed. A run that is in neither
+  /// list may then have ended as well.
   bool more_ends = false;
 };
 
-/// Orders to upstreams. Callbacks run on the control thread. Control thread
-/// only.
+/// Sends orders to upstreams. Callbacks run on the control thread. Control
+/// thread only.
 class TaskPort {
  public:
   virtual ~TaskPort() = default;
@@ -127,7 +129,8 @@
   virtual void Stop(const UpstreamTarget& target, const TaskId& task,
                     int64_t attempt, int64_t fence, Millis timeout,
                     std::function<void(CallReply)> done) = 0;
-  /// Renews the lease of all that runs there, and tells what runs and ended.
+  /// Renews the lease of all tasks there, and returns the running tasks and the
+  /// completions.
   virtual void Renew(const UpstreamTarget& target, const RenewCall& call,
                      Millis timeout, std::function<void(RenewReply)> done) = 0;
 };
--- a/src/ports/upstream_list_port.h
+++ b/src/ports/upstream_list_port.h
@@ -15,25 +15,25 @@
   int32_t accelerators = 0;
 };
 
-/// One life of an upstream, as it registered itself.
+/// One life of an upstream, from its start to its end, as it registered itself.
 struct UpstreamEntry {
   std::string id;
-  /// False when it has left the list; then only the id is set.
+  /// False if the upstream has left the list; then only `id` is set.
   bool listed = true;
-  /// Why the entry names no upstream to use; empty for one that does. Then only
-  /// the id is set, and `listed`.
+  /// Why the entry is malformed; empty for a valid one. For a malformed entry
+  /// only `id` and `listed` are set.
   std::string decode_error{};
   std::string pool;
   std::string address;
   std::string failure_domain;
   std::string rack;
-  /// Its kind and its rack.
+  /// The kind and the rack of the upstream.
   std::vector<std::string> labels;
   UpstreamSize capacity;
   bool draining = false;
-  /// Slower than usual for this much longer after its start, in ms.
+  /// Remaining time for which the upstream is slower after its start, in ms.
   int64_t warmup_left_ms = 0;
-  /// While it drains: least time that is left, in ms; 0 if not told.
+  /// While draining: minimum time until it leaves, in ms; 0 if not reported.
   int64_t leaves_in_ms = 0;
 };
 
@@ -47,10 +47,10 @@
 class UpstreamListPort {
  public:
   virtual ~UpstreamListPort() = default;
-  /// Every upstream that is listed now.
+  /// Reads all upstreams that are listed now.
   virtual void ReadAll(Millis timeout, Callback<UpstreamListUpdate> done) = 0;
-  /// What changed after `cursor`. Errc::kInvalid when the cursor is too old,
-  /// Errc::kMalformed when nobody can read on from it.
+  /// Reads the changes after `cursor`. Errc::kInvalid if the cursor is too old,
+  /// Errc::kMalformed if the list can't be read from it onwards.
   virtual void ReadChanges(int64_t cursor, Millis timeout,
                            Callback<UpstreamListUpdate> done) = 0;
 };
--- a/src/ports/upstream_port.h
+++ b/src/ports/upstream_port.h
@@ -7,14 +7,15 @@
 
 namespace mimosarail::ports {
 
-/// What the platform lets a controller do with an upstream. docs/PLATFORM.md
-/// numbers what is assumed of each call. Every callback runs on the control
-/// thread; an error says nothing about the effect, except Errc::kUnavailable,
-/// which says that nothing was sent. Not thread-safe: control thread only.
+/// A controller's operations on an upstream. docs/PLATFORM.md lists the
+/// assumptions about each call. Every callback runs on the control thread.
+/// After an error the effect of the call is unknown, except after
+/// Errc::kUnavailable: the call was not sent. Not thread-safe: control thread
+/// only.
 class UpstreamPort {
  public:
   virtual ~UpstreamPort() = default;
-  /// Takes control with a term above every earlier one, and reads the
+  /// Takes control with a term above every earlier one, and returns the
   /// inventory.
   virtual void Attach(const std::string& address, const wire::AttachCall& call,
                       Callback<wire::AttachReply> done) = 0;
@@ -29,10 +30,10 @@
   virtual void Inventory(const std::string& address,
                          const wire::InventoryCall& call,
                          Callback<wire::InventoryReply> done) = 0;
-  /// What tasks really use; lags by the reply's age.
+  /// Reads the actual resource usage of the tasks, as old as `age_ms`.
   virtual void Usage(const std::string& address, const wire::UsageCall& call,
                      Callback<wire::UsageReply> done) = 0;
-  /// The whole answer of an ended task that is not yet released.
+  /// Reads the complete answer of an ended task that is not released yet.
   virtual void Collect(const std::string& address,
                        const wire::CollectCall& call,
                        Callback<wire::CollectReply> done) = 0;
