--- a/tests/decoders_test.cc
+++ b/tests/decoders_test.cc
@@ -124,7 +124,7 @@
         std::string("\xff\xfe"), std::string("a\0b", 3), std::string("\x7f")}) {
     BOOST_TEST(!DecodeUpstream(id, kGoodUpstream).ok(), id);
   }
-  BOOST_TEST(!EncodeAsk({1, 0, 0}, {"\xff"}).empty());
+  BOOST_TEST(!EncodeAdviceRequest({1, 0, 0}, {"\xff"}).empty());
   BOOST_TEST(!EncodeStart({.payload = "\xff"}).empty());
 }
 
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -292,7 +292,8 @@
 void CheckUpstreamId(const std::string& bytes) {
   const auto entry = platform::DecodeUpstream(bytes, "");
   if (!entry.ok()) return;
-  const Json ask = Json::parse(platform::EncodeAsk({1, 0, 0}, {bytes}));
+  const Json ask =
+      Json::parse(platform::EncodeAdviceRequest({1, 0, 0}, {bytes}));
   BOOST_TEST((ask["workers"][0] == bytes));
   BOOST_TEST((bytes.find_first_of("\r\n") == std::string::npos));
 }
