--- a/src/app/daemon.cc
+++ b/src/app/daemon.cc
@@ -65,7 +65,7 @@
   return out;
 }
 
-/// Everything of one running daemon, in the order of construction.
+/// Owns the components of a running daemon, in order of construction.
 struct Daemon {
   explicit Daemon(const Settings& s, int64_t incarnation)
       : client(traffic),
@@ -165,8 +165,9 @@
   signals.async_wait([&](std::error_code error, int) {
     if (error) return;
     daemon.instance.BeginShutdown([&daemon] {
-      // Callers whose answers are ready get them before the process goes; the
-      // control thread must go on serving their handlers meanwhile.
+      // Callers whose answers are ready receive them before the process exits.
+      // The control thread must keep running their handlers meanwhile, so the
+      // HTTP server is stopped from another thread.
       std::thread([&daemon] {
         daemon.http.Stop();
         daemon.control.stop();
--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -34,27 +34,29 @@
     EnumName{Level::kError, "error"},
 }};
 
-/// One connection carries renewals that wait, the others orders.
+/// One connection carries long-polling renewals, the others carry orders.
 constexpr size_t kUpstreamConnections = 4;
 constexpr size_t kStoreConnections = 8;
-/// A page of 1 MB takes 6 s over 2 Mbit/s, which it shares.
-constexpr Millis kLongestPage{20000};
+/// Longest time to receive an answer of the store: a page of 1 MB takes 6 s
+/// over a link of 2 Mbit/s, which it shares with other traffic.
+constexpr Millis kMaxPageTime{20000};
 constexpr size_t kAdviserConnections = 4;
-/// One for the list and one for an order at the same time.
+/// One connection for the list and one for an order at the same time.
 constexpr size_t kHostsConnections = 2;
-/// Settings with a fraction are kept in hundredths.
+/// Fractional settings are stored in hundredths.
 constexpr double kHundredths = 100;
 constexpr int64_t kMsPerCenti = 10;
-/// Answers travel for up to this long before the process ends.
-constexpr Millis kLastAnswers{700};
-/// How often a shutdown looks whether all is answered.
-constexpr Millis kShutdownLook{50};
-/// How often the log tells what the link carried.
+/// Time reserved for the last answers to reach callers before the process ends.
+constexpr Millis kLastAnswerTime{700};
+/// How often a shutdown checks whether all requests are answered.
+constexpr Millis kShutdownCheckPeriod{50};
+/// How often the traffic on the link is logged.
 constexpr Millis kTrafficPeriod{2000};
-/// Most kinds of message in such a line: those that fill a link are few.
-constexpr size_t kTrafficKinds = 14;
-/// How often the settings file is read again; it may change without a signal.
-constexpr Millis kSettingsLook{2000};
+/// Maximum number of message kinds in a traffic line: only a few kinds account
+/// for most of the traffic.
+constexpr size_t kMaxTrafficKinds = 14;
+/// How often the settings file is read again; it may change without a SIGHUP.
+constexpr Millis kSettingsCheckPeriod{2000};
 
 jobentry::JobEntryOptions MakeOptions(const JobSettings& s) {
   jobentry::JobEntryOptions out;
@@ -79,15 +81,15 @@
   out.coordinator.holder_lease = Millis(s.holder_lease_ms);
   out.coordinator.max_jobs = static_cast<size_t>(s.max_jobs);
   out.leader_wait_timeout = Millis(s.patience_ms);
-  out.shutdown_reply_deadline = Millis(s.shutdown_ms) - kLastAnswers;
+  out.shutdown_reply_deadline = Millis(s.shutdown_ms) - kLastAnswerTime;
   return out;
 }
 
-/// Everything of one running daemon, in the order of construction.
+/// Owns the components of a running daemon, in order of construction.
 struct JobDaemon {
   explicit JobDaemon(const JobSettings& s)
       : store_http(traffic, {.max_connections = kStoreConnections,
-                             .longest_answer = kLongestPage,
+                             .longest_answer = kMaxPageTime,
                              .traffic = &link,
                              .traffic_kind = platform::StoreTrafficKind}),
         upstream_http(traffic, {.max_connections = kUpstreamConnections,
@@ -114,11 +116,11 @@
                .hosts = s.hosts_address.empty() ? nullptr : &hosts,
                .wave_status = &store},
               MakeOptions(s)),
-        front(traffic, executor, entry,
-              {.address = s.front_address,
-               .ready_address = s.ready_address,
-               .max_connections = static_cast<size_t>(s.max_connections),
-               .traffic = &link}),
+        job_server(traffic, executor, entry,
+                   {.address = s.front_address,
+                    .ready_address = s.ready_address,
+                    .max_connections = static_cast<size_t>(s.max_connections),
+                    .traffic = &link}),
         metrics_server(
             traffic, {.traffic = &link, .traffic_kind = "metrics"},
             [this](const http::Request&, const http::Responder& respond) {
@@ -145,11 +147,11 @@
     metrics.Set({.name = "connections_opened", .labels = {{"to", "upstreams"}}},
                 static_cast<double>(upstream_http.connections_opened()));
     metrics.Set({.name = "open_requests"},
-                static_cast<double>(front.open_requests()));
+                static_cast<double>(job_server.open_requests()));
     metrics::ExportTraffic(link, metrics);
   }
 
-  /// What the link carried since the last line of this; control thread.
+  /// Logs the traffic since the previous traffic line. Control thread only.
   void LogTraffic() {
     const std::vector<metrics::Traffic::Row> rows = link.TakeRecent();
     if (rows.empty()) return;
@@ -159,7 +161,7 @@
           logging::Text(metrics::TrafficBytes(rows, metrics::Direction::kIn))},
          {"bytes_out",
           logging::Text(metrics::TrafficBytes(rows, metrics::Direction::kOut))},
-         {"most", metrics::DescribeTraffic(rows, kTrafficKinds)}});
+         {"most", metrics::DescribeTraffic(rows, kMaxTrafficKinds)}});
   }
 
   asio::io_context control{1};
@@ -179,47 +181,47 @@
   leadership::JobPeers peers;
   rpc::Server peer_server;
   jobentry::JobEntry entry;
-  platform::JobHttpServer front;
+  platform::JobHttpServer job_server;
   http::Server metrics_server;
 };
 
 bool Listen(JobDaemon& daemon, const JobSettings& s) {
   jobentry::ServeJobPeers(daemon.peer_server, daemon.executor, daemon.entry);
-  const auto tell = [](const Error& error) {
+  const auto report = [](const Error& error) {
     logging::Event(Level::kError, "cannot listen", {{"cause", error.message}});
     std::fprintf(stderr, "mimosaraild: %s\n", error.message.c_str());
     return false;
   };
   const auto peers = daemon.peer_server.Listen(s.peer_address);
-  if (!peers.ok()) return tell(peers.error());
-  const auto front = daemon.front.Start();
-  if (!front.ok()) return tell(front.error());
+  if (!peers.ok()) return report(peers.error());
+  const auto job_server = daemon.job_server.Start();
+  if (!job_server.ok()) return report(job_server.error());
   if (s.metrics_address.empty()) return true;
   const auto metrics = daemon.metrics_server.Listen(s.metrics_address);
-  return metrics.ok() || tell(metrics.error());
+  return metrics.ok() || report(metrics.error());
 }
 
-/// Carries out the plan of the shutdown, step by step.
-class Stop {
+/// Carries out the steps of the shutdown plan.
+class ShutdownSequence {
  public:
-  Stop(JobDaemon& daemon, shutdown::ShutdownOptions options)
+  ShutdownSequence(JobDaemon& daemon, shutdown::ShutdownOptions options)
       : daemon_(daemon), options_(options) {}
 
   void Begin() {
-    since_ = daemon_.executor.Now();
-    Tell("stopping");
+    began_ = daemon_.executor.Now();
+    LogProgress("stopping");
     daemon_.entry.BeginShutdown();
-    daemon_.front.BeginShutdown();
-    Look();
+    daemon_.job_server.BeginShutdown();
+    Advance();
   }
 
  private:
-  void Look() {
+  void Advance() {
     const shutdown::ShutdownView view{
-        .elapsed = Waited(),
-        .open_requests =
-            daemon_.front.open_requests() + daemon_.entry.advice_in_flight(),
-        .connections = daemon_.front.connections(),
+        .elapsed = Elapsed(),
+        .open_requests = daemon_.job_server.open_requests() +
+                         daemon_.entry.advice_in_flight(),
+        .connections = daemon_.job_server.connections(),
         .accepting_stopped = accepting_stopped_};
     switch (shutdown::NextStep(options_, view)) {
       case shutdown::ShutdownStep::kServe:
@@ -228,38 +230,38 @@
         StopAccepting();
         break;
       case shutdown::ShutdownStep::kEnd:
-        daemon_.front.LogOpenRequests();
-        Tell("ending");
+        daemon_.job_server.LogOpenRequests();
+        LogProgress("ending");
         return daemon_.control.stop();
     }
-    daemon_.executor.RunAfter(kShutdownLook, [this] { Look(); });
+    daemon_.executor.RunAfter(kShutdownCheckPeriod, [this] { Advance(); });
   }
 
   void StopAccepting() {
-    if (std::exchange(intake_ending_, true)) return;
-    Tell("intake ends");
+    if (std::exchange(stop_requested_, true)) return;
+    LogProgress("intake ends");
     daemon_.entry.StopAccepting();
-    daemon_.front.StopAccepting([this] {
+    daemon_.job_server.StopAccepting([this] {
       daemon_.executor.Post([this] { accepting_stopped_ = true; });
     });
   }
 
-  void Tell(const char* what) {
+  void LogProgress(const char* what) {
     logging::Event(
         Level::kInfo, what,
-        {{"waited_ms", std::to_string(Waited().count())},
-         {"open_requests", std::to_string(daemon_.front.open_requests())},
-         {"connections", std::to_string(daemon_.front.connections())}});
+        {{"waited_ms", std::to_string(Elapsed().count())},
+         {"open_requests", std::to_string(daemon_.job_server.open_requests())},
+         {"connections", std::to_string(daemon_.job_server.connections())}});
   }
 
-  Millis Waited() const {
-    return std::chrono::duration_cast<Millis>(daemon_.executor.Now() - since_);
+  Millis Elapsed() const {
+    return std::chrono::duration_cast<Millis>(daemon_.executor.Now() - began_);
   }
 
   JobDaemon& daemon_;
   shutdown::ShutdownOptions options_;
-  TimePoint since_{};
-  bool intake_ending_ = false;
+  TimePoint began_{};
+  bool stop_requested_ = false;
   bool accepting_stopped_ = false;
 };
 
@@ -269,19 +271,19 @@
   return text.str();
 }
 
-/// Tells of changed settings; what they name takes effect with the next start.
+/// Logs changes of the settings file. They take effect at the next start.
 class SettingsWatch {
  public:
   explicit SettingsWatch(std::string path)
       : path_(std::move(path)), text_(ReadText(path_)) {}
 
-  void Look(const char* cause) {
+  void Check(const char* cause) {
     std::string text = ReadText(path_);
     if (text.empty() || text == text_) return;
     text_ = std::move(text);
     Findings findings;
-    const bool good = settings::ParseJobSettings(text_, findings).has_value();
-    logging::Event(good ? Level::kInfo : Level::kError, "settings changed",
+    const bool valid = settings::ParseJobSettings(text_, findings).has_value();
+    logging::Event(valid ? Level::kInfo : Level::kError, "settings changed",
                    {{"cause", cause},
                     {"in_force", "with the next start"},
                     {"findings", findings.ToString()}});
@@ -295,7 +297,7 @@
 void WatchHangup(asio::signal_set& hangup, SettingsWatch& watch) {
   hangup.async_wait([&](std::error_code error, int) {
     if (error) return;
-    watch.Look("SIGHUP");
+    watch.Check("SIGHUP");
     WatchHangup(hangup, watch);
   });
 }
@@ -307,11 +309,12 @@
   std::signal(SIGPIPE, SIG_IGN);
   logging::Start(settings.name,
                  kLogLevels.Find(settings.log_level).value_or(Level::kInfo));
-  // Never destroyed. Handlers that never ran own connections of one context and
-  // timers of the other: with calls open at the end, whichever context went
-  // first left the rest dangling, and the process crashed in free().
-  static JobDaemon* const kept = new JobDaemon(settings);
-  JobDaemon& daemon = *kept;
+  // Never destroyed. Pending handlers own connections of one io_context and
+  // timers of the other. If calls are open at exit, destroying either context
+  // first leaves the handlers of the other with dangling references, and the
+  // process crashes in free().
+  static JobDaemon* const never_destroyed = new JobDaemon(settings);
+  JobDaemon& daemon = *never_destroyed;
   if (!Listen(daemon, settings)) return 1;
   logging::Event(Level::kInfo, "started",
                  {{"front", settings.front_address},
@@ -322,15 +325,17 @@
   const auto traffic_work = asio::make_work_guard(daemon.traffic);
   std::thread traffic([&daemon] { daemon.traffic.run(); });
   asio::signal_set signals(daemon.control, SIGTERM, SIGINT);
-  Stop stop(daemon, {.unready_period = Millis(settings.unready_ms),
-                     .limit = Millis(settings.shutdown_ms)});
+  ShutdownSequence sequence(daemon,
+                            {.unready_period = Millis(settings.unready_ms),
+                             .limit = Millis(settings.shutdown_ms)});
   signals.async_wait([&](std::error_code error, int) {
-    if (!error) stop.Begin();
+    if (!error) sequence.Begin();
   });
   SettingsWatch watch(settings_path);
   asio::signal_set hangup(daemon.control, SIGHUP);
   WatchHangup(hangup, watch);
-  RunEvery(daemon.executor, kSettingsLook, [&watch] { watch.Look("look"); });
+  RunEvery(daemon.executor, kSettingsCheckPeriod,
+           [&watch] { watch.Check("look"); });
   RunEvery(daemon.executor, kTrafficPeriod, [&daemon] { daemon.LogTraffic(); });
   daemon.entry.Start();
   daemon.control.run();
--- a/src/app/job_daemon.h
+++ b/src/app/job_daemon.h
@@ -6,9 +6,9 @@
 
 namespace mimosarail::app {
 
-/// Runs one entry instance on the users' platform until SIGTERM; returns the
-/// exit code. `settings_path` is read again on SIGHUP and when it changes.
-/// Call once, from the main thread.
+/// Runs one entry instance on the users' platform until SIGTERM or SIGINT;
+/// returns the exit code. `settings_path` is read again on SIGHUP and
+/// periodically; changes are logged. Call once, from the main thread.
 int RunJobDaemon(const settings::JobSettings& settings,
                  const std::string& settings_path);
 
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -30,11 +30,12 @@
   return true;
 }
 
-/// Checks, prints or hands on settings of one kind, as the flags say.
+/// Prints or checks the parsed settings as the flags request, or else runs the
+/// daemon with them.
 template <typename Settings>
-int Use(const std::optional<Settings>& parsed,
-        const mimosarail::Findings& findings,
-        const std::function<int(const Settings&)>& run) {
+int RunWith(const std::optional<Settings>& parsed,
+            const mimosarail::Findings& findings,
+            const std::function<int(const Settings&)>& run) {
   if (!parsed) {
     std::fprintf(stderr, "%s: %zu findings\n%s", FLAGS_settings.c_str(),
                  findings.list().size(), findings.ToString().c_str());
@@ -79,11 +80,11 @@
   mimosarail::Findings findings;
   if (!jobs) {
     const auto parsed = settings::Parse(text, findings);
-    return Use<settings::Settings>(parsed, findings,
-                                   mimosarail::app::RunDaemon);
+    return RunWith<settings::Settings>(parsed, findings,
+                                       mimosarail::app::RunDaemon);
   }
   const auto parsed = settings::ParseJobSettings(text, findings);
-  return Use<settings::JobSettings>(
+  return RunWith<settings::JobSettings>(
       parsed, findings, [](const settings::JobSettings& job_settings) {
         return mimosarail::app::RunJobDaemon(job_settings, FLAGS_settings);
       });
