--- a/src/tool/api_client.h
+++ b/src/tool/api_client.h
@@ -8,7 +8,7 @@
 
 namespace mimosarail::tool {
 
-/// What an entry instance answered.
+/// Reply of an entry instance.
 struct ApiReply {
   int status = 0;
   json::Json body;
--- a/src/tool/commands.cc
+++ b/src/tool/commands.cc
@@ -25,7 +25,7 @@
 constexpr int kHttpNotFound = 404;
 constexpr int kHttpUnknown = 500;
 
-using Words = std::vector<std::string>;
+using Args = std::vector<std::string>;
 
 std::optional<std::string> ReadFile(const std::string& path) {
   std::ostringstream text;
@@ -63,7 +63,8 @@
   return ExitCode::kRefused;
 }
 
-/// Shows "name: value" lines, or the JSON as it came.
+/// Prints one line with name and value for each member, or the JSON as
+/// received.
 void Show(const Json& body, const Options& options) {
   if (options.json || !body.is_object()) {
     std::printf("%s\n", body.dump(2).c_str());
@@ -142,23 +143,23 @@
   return ExitCode::kUsage;
 }
 
-ExitCode RulesCheck(const Words& words, const Options& options) {
-  if (words.size() < 3) return UsageError("rules check needs a file");
-  const auto text = ReadFile(words[2]);
+ExitCode RulesCheck(const Args& args, const Options& options) {
+  if (args.size() < 3) return UsageError("rules check needs a file");
+  const auto text = ReadFile(args[2]);
   if (!text) return ExitCode::kUsage;
   Findings findings;
   const auto rules = rules::RuleSet::Parse(*text, findings);
   if (!rules) {
-    PrintFindings(words[2], findings);
+    PrintFindings(args[2], findings);
     return ExitCode::kRefused;
   }
-  std::printf("%s: %zu rules, no findings\n", words[2].c_str(),
+  std::printf("%s: %zu rules, no findings\n", args[2].c_str(),
               rules->rules().size());
   if (options.against.empty()) return ExitCode::kOk;
   return ExplainAgainst(*rules, options.against);
 }
 
-/// The revision that an entry instance has in force.
+/// Fetches the revision of the rules that is in force at an entry instance.
 std::optional<Json> FetchRules(const Options& options) {
   ApiClient client(options.server);
   const auto reply = client.Get("/v1/rules");
@@ -169,10 +170,10 @@
   return reply.value().body;
 }
 
-ExitCode RulesPublish(const Words& words, const Options& options) {
-  if (words.size() < 3) return UsageError("rules publish needs a file");
+ExitCode RulesPublish(const Args& args, const Options& options) {
+  if (args.size() < 3) return UsageError("rules publish needs a file");
   if (options.author.empty()) return UsageError("rules publish needs --author");
-  const auto text = ReadFile(words[2]);
+  const auto text = ReadFile(args[2]);
   if (!text) return ExitCode::kUsage;
   if (options.base < 0) {
     return UsageError(
@@ -200,9 +201,9 @@
   return ExitCode::kOk;
 }
 
-ExitCode RulesDiff(const Words& words, const Options& options) {
-  if (words.size() < 3) return UsageError("rules diff needs a file");
-  const auto text = ReadFile(words[2]);
+ExitCode RulesDiff(const Args& args, const Options& options) {
+  if (args.size() < 3) return UsageError("rules diff needs a file");
+  const auto text = ReadFile(args[2]);
   if (!text) return ExitCode::kUsage;
   const auto rules = FetchRules(options);
   if (!rules) return ExitCode::kUnreachable;
@@ -219,25 +220,25 @@
       {"offset", "revision", "base", "author", "verdict", "id", "difference"});
 }
 
-ExitCode Rules(const Words& words, const Options& options) {
-  const std::string verb = words.size() > 1 ? words[1] : "";
-  if (verb == "check") return RulesCheck(words, options);
-  if (verb == "publish") return RulesPublish(words, options);
+ExitCode Rules(const Args& args, const Options& options) {
+  const std::string verb = args.size() > 1 ? args[1] : "";
+  if (verb == "check") return RulesCheck(args, options);
+  if (verb == "publish") return RulesPublish(args, options);
   if (verb == "show") return RulesShow(options);
   if (verb == "history") return Audit(options);
-  if (verb == "diff") return RulesDiff(words, options);
+  if (verb == "diff") return RulesDiff(args, options);
   return UsageError("rules takes check, publish, show, history or diff");
 }
 
 // ---- requests
 
-ExitCode Submit(const Words& words, const Options& options) {
-  if (words.size() < 2) return UsageError("submit needs a file, or -");
-  const auto text = ReadFile(words[1]);
+ExitCode Submit(const Args& args, const Options& options) {
+  if (args.size() < 2) return UsageError("submit needs a file, or -");
+  const auto text = ReadFile(args[1]);
   if (!text) return ExitCode::kUsage;
   Findings findings;
   if (!callers::ParseRequest(*text, findings)) {
-    PrintFindings(words[1], findings);
+    PrintFindings(args[1], findings);
     return ExitCode::kUsage;
   }
   const auto parsed = json::ParseText(*text, findings);
@@ -248,25 +249,25 @@
       options);
 }
 
-ExitCode Status(const Words& words, const Options& options) {
-  if (words.size() < 2) return UsageError(words[0] + " needs an id");
-  if (!callers::ValidKey(words[1])) return UsageError("not an id: " + words[1]);
+ExitCode Status(const Args& args, const Options& options) {
+  if (args.size() < 2) return UsageError(args[0] + " needs an id");
+  if (!callers::ValidKey(args[1])) return UsageError("not an id: " + args[1]);
   ApiClient client(options.server);
-  return ShowReply(client.Get("/v1/requests/" + words[1] +
+  return ShowReply(client.Get("/v1/requests/" + args[1] +
                               "?wait_ms=" + std::to_string(options.wait_ms)),
                    options);
 }
 
-ExitCode Cancel(const Words& words, const Options& options) {
+ExitCode Cancel(const Args& args, const Options& options) {
   ApiClient client(options.server);
-  if (words.size() == 2) {
-    if (!callers::ValidKey(words[1])) {
-      return UsageError("not an id: " + words[1]);
+  if (args.size() == 2) {
+    if (!callers::ValidKey(args[1])) {
+      return UsageError("not an id: " + args[1]);
     }
-    return ShowReply(client.Delete("/v1/requests/" + words[1]), options);
+    return ShowReply(client.Delete("/v1/requests/" + args[1]), options);
   }
   Json body = Json::object();
-  if (words.size() > 2) body["ids"] = Words(words.begin() + 1, words.end());
+  if (args.size() > 2) body["ids"] = Args(args.begin() + 1, args.end());
   if (!options.team.empty()) body["team"] = options.team;
   if (!options.work.empty()) body["work"] = options.work;
   if (body.empty()) return UsageError("cancel needs ids, --team or --work");
@@ -292,10 +293,10 @@
                   {"id", "state", "rule", "team", "work", "waited_ms", "why"});
 }
 
-struct Spend {
+struct CostSum {
   double cost = 0;
   int64_t requests = 0;
-  double each() const {
+  double cost_per_request() const {
     return requests == 0 ? 0 : cost / static_cast<double>(requests);
   }
 };
@@ -307,25 +308,27 @@
   }
   const std::string one = options.compare.substr(0, comma);
   const std::string two = options.compare.substr(comma + 1);
-  std::map<std::string, std::map<std::string, Spend>> by_rule;
+  std::map<std::string, std::map<std::string, CostSum>> by_rule;
   for (const Json& line : lines) {
     const std::string revision = Plain(line["revision"]);
     if (revision != one && revision != two) continue;
-    Spend& spend = by_rule[Plain(line["rule"])][revision];
-    spend.cost += line["cost"].get<double>();
-    spend.requests += line["requests"].get<int64_t>();
+    CostSum& sum = by_rule[Plain(line["rule"])][revision];
+    sum.cost += line["cost"].get<double>();
+    sum.requests += line["requests"].get<int64_t>();
   }
   Json rows = Json::array();
   for (auto& [rule, by_revision] : by_rule) {
-    const Spend& a = by_revision[one];
-    const Spend& b = by_revision[two];
+    const CostSum& a = by_revision[one];
+    const CostSum& b = by_revision[two];
     rows.push_back(
         {{"rule", rule},
          {"requests " + one, a.requests},
-         {"cost each " + one, a.each()},
+         {"cost each " + one, a.cost_per_request()},
          {"requests " + two, b.requests},
-         {"cost each " + two, b.each()},
-         {"ratio", a.each() > 0 ? Json(b.each() / a.each()) : Json()}});
+         {"cost each " + two, b.cost_per_request()},
+         {"ratio", a.cost_per_request() > 0
+                       ? Json(b.cost_per_request() / a.cost_per_request())
+                       : Json()}});
   }
   if (options.json) {
     std::printf("%s\n", rows.dump(2).c_str());
@@ -376,11 +379,11 @@
          "answer, 4 outcome unknown, 5 not ended yet.";
 }
 
-ExitCode Run(const std::vector<std::string>& words, const Options& options) {
-  if (words.empty()) return UsageError("no command");
-  using Handler = std::function<ExitCode(const Words&, const Options&)>;
+ExitCode Run(const std::vector<std::string>& args, const Options& options) {
+  if (args.empty()) return UsageError("no command");
+  using Handler = std::function<ExitCode(const Args&, const Options&)>;
   const auto plain = [](ExitCode (*show)(const Options&)) -> Handler {
-    return [show](const Words&, const Options& o) { return show(o); };
+    return [show](const Args&, const Options& o) { return show(o); };
   };
   const std::map<std::string, Handler> commands{
       {"rules", Rules},
@@ -394,15 +397,15 @@
       {"audit", plain(Audit)},
       {"cost", plain(Cost)},
       {"job",
-       [](const Words& all, const Options& o) {
-         return RunJob(Words(all.begin() + 1, all.end()), o);
+       [](const Args& all, const Options& o) {
+         return RunJob(Args(all.begin() + 1, all.end()), o);
        }},
   };
-  const auto found = commands.find(words[0]);
+  const auto found = commands.find(args[0]);
   if (found == commands.end()) {
-    return UsageError("unknown command " + words[0]);
+    return UsageError("unknown command " + args[0]);
   }
-  return found->second(words, options);
+  return found->second(args, options);
 }
 
 }  // namespace mimosarail::tool
--- a/src/tool/commands.h
+++ b/src/tool/commands.h
@@ -9,8 +9,8 @@
 /// Exit codes of the tool; see docs/operators/CLI.md.
 enum class ExitCode {
   kOk = 0,
-  kRefused = 1,      ///< The system said no: refused, not run, lost a race.
-  kUsage = 2,        ///< The call's words or a file are wrong.
+  kRefused = 1,      ///< The request was refused, not run, or lost a race.
+  kUsage = 2,        ///< The arguments or an input file are invalid.
   kUnreachable = 3,  ///< No answer from the entry instance.
   kUnknown = 4,      ///< The outcome is unknown or not confirmed.
   kPending = 5,      ///< Not ended yet.
@@ -26,14 +26,14 @@
   std::string team;
   std::string work;
   std::string compare;
-  /// Where an entry takes the calls of its peers; for `job`.
+  /// "ip:port" at which an entry serves its peers; used by `job`.
   std::string peer;
 };
 
-/// Help for people who see the tool for the first time.
+/// Returns the help text.
 const char* Usage();
 
-/// Runs one command; `words` are the arguments that are not flags.
-ExitCode Run(const std::vector<std::string>& words, const Options& options);
+/// Runs one command; `args` are the arguments that are not flags.
+ExitCode Run(const std::vector<std::string>& args, const Options& options);
 
 }  // namespace mimosarail::tool
--- a/src/tool/job_commands.cc
+++ b/src/tool/job_commands.cc
@@ -21,14 +21,14 @@
 
 constexpr Millis kCallTimeout{3000};
 
-/// Calls one entry and waits.
-class Caller {
+/// Makes blocking calls to entries.
+class BlockingClient {
  public:
-  Caller()
+  BlockingClient()
       : client_(io_),
         work_(asio::make_work_guard(io_)),
         thread_([this] { io_.run(); }) {}
-  ~Caller() {
+  ~BlockingClient() {
     io_.stop();
     thread_.join();
   }
@@ -73,30 +73,30 @@
   return ExitCode::kUnreachable;
 }
 
-/// Where the leader is, as the entry at `peer` knows it.
-Result<wire::HeartbeatReply> AskLeader(Caller& caller,
+/// Asks the entry at `peer` for the leader that it knows.
+Result<wire::HeartbeatReply> AskLeader(BlockingClient& client,
                                        const std::string& peer) {
-  wire::HeartbeatCall hello;
-  // A greeting without an address only asks.
-  hello.config_version = INT64_MAX;
-  return caller.Call<wire::HeartbeatReply>(peer, rpc::Method::kHeartbeat,
-                                           hello);
+  wire::HeartbeatCall heartbeat;
+  // A heartbeat without a sender address is only a query.
+  heartbeat.config_version = INT64_MAX;
+  return client.Call<wire::HeartbeatReply>(peer, rpc::Method::kHeartbeat,
+                                           heartbeat);
 }
 
 template <typename Reply, typename Message>
 ExitCode CallLeader(const Options& options, rpc::Method method,
                     const Message& message,
                     std::string (*describe)(const Reply& reply)) {
-  Caller caller;
-  const auto hello = AskLeader(caller, options.peer);
-  if (!hello.ok()) return Unreachable(options.peer, hello.error());
-  const std::string leader = hello.value().leader.address;
+  BlockingClient client;
+  const auto heartbeat = AskLeader(client, options.peer);
+  if (!heartbeat.ok()) return Unreachable(options.peer, heartbeat.error());
+  const std::string leader = heartbeat.value().leader.address;
   if (leader.empty()) {
     std::fprintf(stderr, "mimosarail: no leader is known at %s\n",
                  options.peer.c_str());
     return ExitCode::kUnknown;
   }
-  const auto reply = caller.Call<Reply>(leader, method, message);
+  const auto reply = client.Call<Reply>(leader, method, message);
   if (!reply.ok()) return Unreachable(leader, reply.error());
   const auto verdict = static_cast<JobVerdict>(reply.value().verdict);
   std::string line(coordinator::kJobVerdictNames.Name(verdict));
@@ -128,11 +128,12 @@
 }
 
 ExitCode Leader(const Options& options) {
-  Caller caller;
-  const auto hello = AskLeader(caller, options.peer);
-  if (!hello.ok()) return Unreachable(options.peer, hello.error());
-  std::puts(("term " + std::to_string(hello.value().term) + ", leader " +
-             hello.value().leader.name + " at " + hello.value().leader.address)
+  BlockingClient client;
+  const auto heartbeat = AskLeader(client, options.peer);
+  if (!heartbeat.ok()) return Unreachable(options.peer, heartbeat.error());
+  std::puts(("term " + std::to_string(heartbeat.value().term) + ", leader " +
+             heartbeat.value().leader.name + " at " +
+             heartbeat.value().leader.address)
                 .c_str());
   return ExitCode::kOk;
 }
@@ -144,23 +145,23 @@
 
 }  // namespace
 
-ExitCode RunJob(const std::vector<std::string>& words, const Options& options) {
+ExitCode RunJob(const std::vector<std::string>& args, const Options& options) {
   if (options.peer.empty()) return Usage("job needs --peer IP:PORT");
-  if (words.size() == 1 && words[0] == "leader") return Leader(options);
-  if (words.size() != 2) return Usage("job takes a verb and its argument");
-  if (words[0] == "submit") return Submit(words[1], options);
-  if (words[0] == "pending") {
+  if (args.size() == 1 && args[0] == "leader") return Leader(options);
+  if (args.size() != 2) return Usage("job takes a verb and its argument");
+  if (args[0] == "submit") return Submit(args[1], options);
+  if (args[0] == "pending") {
     wire::PendingJobsCall call;
-    call.queue = words[1];
+    call.queue = args[1];
     return CallLeader<wire::PendingJobsReply>(
         options, rpc::Method::kPendingJobs, call,
         [](const wire::PendingJobsReply& reply) {
           return std::to_string(reply.pending) + " pending";
         });
   }
-  const auto id = ParseJobId(words[1]);
+  const auto id = ParseJobId(args[1]);
   if (!id) return Usage("a job's id is 16 lower-case hex digits");
-  if (words[0] == "state") {
+  if (args[0] == "state") {
     wire::JobStateCall call;
     call.id = static_cast<int64_t>(*id);
     return CallLeader<wire::JobStateReply>(
@@ -170,7 +171,7 @@
           return std::string(kJobStateNames.Name(state));
         });
   }
-  if (words[0] == "cancel") {
+  if (args[0] == "cancel") {
     wire::CancelJobCall call;
     call.id = static_cast<int64_t>(*id);
     return CallLeader<wire::CancelJobReply>(options, rpc::Method::kCancelJob,
--- a/src/tool/job_commands.h
+++ b/src/tool/job_commands.h
@@ -7,9 +7,9 @@
 
 namespace mimosarail::tool {
 
-/// `job submit FILE | state ID | cancel ID | pending QUEUE | leader`, asked of
-/// the entry at `options.peer`; follows to the leader. `words` start after
-/// "job".
-ExitCode RunJob(const std::vector<std::string>& words, const Options& options);
+/// Runs `job submit FILE | state ID | cancel ID | pending QUEUE | leader`. Asks
+/// the entry at `options.peer` for the leader and sends the command there.
+/// `args` are the arguments after "job".
+ExitCode RunJob(const std::vector<std::string>& args, const Options& options);
 
 }  // namespace mimosarail::tool
--- a/src/tool/job_file.cc
+++ b/src/tool/job_file.cc
@@ -31,7 +31,8 @@
   reader.Read("lasting", step.lasting);
   if (const json::Json* after = reader.Array("after")) {
     for (const json::Json& before : *after) {
-      // Compared as a fraction: 2^32 and above must not be cut to 32 bits.
+      // Compared as a double: values from 2^32 must not be truncated to 32
+      // bits.
       if (!before.is_number_integer() || before.get<double>() < 0 ||
           before.get<double>() > kMaxStepTasks) {
         reader.Add("after", "must be a list of step numbers");
--- a/src/tool/job_file.h
+++ b/src/tool/job_file.h
@@ -8,9 +8,9 @@
 
 namespace mimosarail::tool {
 
-/// Reads a job from JSON with comments, in the product's own words. All faults
-/// go to `findings` with line and column; then the result is empty. Safe from
-/// any thread.
+/// Parses a job from JSON with comments, with the product's own member names
+/// rather than the platform's. All faults are added to `findings` with line and
+/// column; the result is then empty. Safe from any thread.
 std::optional<wire::JobSpec> ParseJobFile(const std::string& text,
                                           Findings& findings);
 
--- a/src/tool/main.cc
+++ b/src/tool/main.cc
@@ -17,16 +17,15 @@
 int main(int argc, char** argv) {
   gflags::SetUsageMessage(mimosarail::tool::Usage());
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  const std::vector<std::string> words(argv + 1, argv + argc);
-  return static_cast<int>(
-      mimosarail::tool::Run(words, {.server = FLAGS_server,
-                                    .json = FLAGS_json,
-                                    .author = FLAGS_author,
-                                    .base = FLAGS_base,
-                                    .wait_ms = FLAGS_wait_ms,
-                                    .against = FLAGS_against,
-                                    .team = FLAGS_team,
-                                    .work = FLAGS_work,
-                                    .compare = FLAGS_compare,
-                                    .peer = FLAGS_peer}));
+  const std::vector<std::string> args(argv + 1, argv + argc);
+  return static_cast<int>(mimosarail::tool::Run(args, {.server = FLAGS_server,
+                                                       .json = FLAGS_json,
+                                                       .author = FLAGS_author,
+                                                       .base = FLAGS_base,
+                                                       .wait_ms = FLAGS_wait_ms,
+                                                       .against = FLAGS_against,
+                                                       .team = FLAGS_team,
+                                                       .work = FLAGS_work,
+                                                       .compare = FLAGS_compare,
+                                                       .peer = FLAGS_peer}));
 }
--- a/src/tool/table.h
+++ b/src/tool/table.h
@@ -7,11 +7,11 @@
 
 namespace mimosarail::tool {
 
-/// Prints the members `columns` of each object in `rows`, aligned.
+/// Prints the members `columns` of each object in `rows` as an aligned table.
 void PrintTable(const json::Json& rows,
                 const std::vector<std::string>& columns);
 
-/// A JSON value as a person reads it.
+/// Returns a JSON value as human-readable text.
 std::string Plain(const json::Json& value);
 
 }  // namespace mimosarail::tool
