--- a/tests/decoders_test.cc
+++ b/tests/decoders_test.cc
@@ -1,5 +1,5 @@
-// What the platform's decoders make of entries and answers that another writer
-// may have left: one table a decoder.
+// How the platform's decoders treat malformed entries and answers of external
+// writers: one table for each decoder.
 
 #define BOOST_TEST_MODULE decoders
 #include <sys/resource.h>
@@ -37,7 +37,7 @@
   return {.status = 200, .body = body};
 }
 
-/// Memory of this process, its most so far.
+/// Returns the peak resident memory of this process.
 int64_t ResidentMb() {
   constexpr int64_t kKbPerMb = 1024;
   rusage usage{};
@@ -51,10 +51,11 @@
 
 }  // namespace
 
-/// Another writer leaves an entry in the list of upstreams. Taken for an
-/// upstream it would get a connection, a record in the roster and tasks; one
-/// with an address that nobody can call holds each new leader up for 6 s.
-BOOST_AUTO_TEST_CASE(AnEntryThatNamesNoUpstreamDoesNotDecode) {
+/// Guards against malformed entries that an external writer leaves in the list
+/// of upstreams. An entry accepted as an upstream would get a connection, a
+/// record in the registry of upstreams, and tasks; one with an address that
+/// cannot be called delays each new leader by 6 s.
+BOOST_AUTO_TEST_CASE(MalformedUpstreamEntryDoesNotDecode) {
   BOOST_REQUIRE(DecodeUpstream("i-1", kGoodUpstream).ok());
   struct Row {
     const char* from;
@@ -115,10 +116,10 @@
   }
 }
 
-/// An upstream's id goes into headers and bodies of calls. One with a line
-/// break would split a header, one that is not UTF-8 made the encoder throw
-/// and ended the process.
-BOOST_AUTO_TEST_CASE(AnIdThatNoCallCanCarryDoesNotDecode) {
+/// Guards against upstream ids that cannot be sent in headers and bodies of
+/// calls: a line break would split a header, and invalid UTF-8 would make the
+/// encoder throw and end the process.
+BOOST_AUTO_TEST_CASE(UpstreamIdUnfitForCallsDoesNotDecode) {
   for (const std::string& id :
        {std::string(), std::string("a b"), std::string("a\r\nX-Y: 1"),
         std::string("\xff\xfe"), std::string("a\0b", 3), std::string("\x7f")}) {
@@ -128,7 +129,7 @@
   BOOST_TEST(!EncodeStart({.payload = "\xff"}).empty());
 }
 
-/// What an entry holds beside what is asked of it changes nothing.
+/// Members of an entry that the decoder does not use must have no effect.
 BOOST_AUTO_TEST_CASE(UnknownFieldsOfAnEntryAreIgnored) {
   const std::string value =
       Replaced(kGoodUpstream, R"("sequence":4)",
@@ -136,8 +137,8 @@
   BOOST_TEST(DecodeUpstream("i-1", value).ok());
 }
 
-/// A page of the list holds one record that nobody can read. The page was lost
-/// with it, and so every upstream that stands behind it.
+/// Guards against losing a whole page of the list because of one malformed
+/// record, and with it every upstream that follows.
 BOOST_AUTO_TEST_CASE(MalformedItemDoesNotDiscardPage) {
   for (const std::string& item :
        {std::string(R"({"key":"b","value":"*"})"),
@@ -159,9 +160,10 @@
   }
 }
 
-/// A page whose frame is not what the page says is no page: its end would be
-/// taken for 0, and its records for all there are.
-BOOST_AUTO_TEST_CASE(APageWithoutItsFrameDoesNotDecode) {
+/// Guards against accepting a page with missing or malformed `items`,
+/// `endOffset` or `hasMore`: its end offset would be taken for 0, and its
+/// records for all that exist.
+BOOST_AUTO_TEST_CASE(PageWithMalformedFrameDoesNotDecode) {
   for (const char* body :
        {"{}", R"({"items":[]})", R"({"items":{},"endOffset":6})",
         R"({"items":7,"endOffset":6})", R"({"items":[],"endOffset":-1})",
@@ -171,8 +173,9 @@
   }
 }
 
-/// A record's key claims to be longer than the record. Every read from there on
-/// failed, for as long as the store kept it.
+/// Guards against one malformed record that blocks the stream. If a record
+/// whose key length exceeds the record fails the read, every later read fails
+/// for as long as the store keeps the record.
 BOOST_AUTO_TEST_CASE(MalformedRecordDoesNotDiscardStream) {
   const std::string head = std::string(7, '\0') + "\x09" + std::string(8, '\0');
   const std::string good = EncodeRecords({{"k", "value"}});
@@ -188,7 +191,7 @@
   }
 }
 
-/// Lengths and offsets that cannot be true.
+/// Guards against accepting impossible lengths and offsets.
 BOOST_AUTO_TEST_CASE(StreamWithInvalidFrameLengthsDoesNotDecode) {
   const std::string head = std::string(7, '\0') + "\x09" + std::string(8, '\0');
   const std::string good = EncodeRecords({{"k", "value"}});
@@ -197,8 +200,8 @@
   BOOST_TEST(!DecodeTail(std::string(16, '\xff') + good).ok());
 }
 
-/// A configuration decodes as a whole or leaves the one in force.
-BOOST_AUTO_TEST_CASE(ABadConfigurationDoesNotDecode) {
+/// A configuration must decode completely; otherwise the one in force stays.
+BOOST_AUTO_TEST_CASE(MalformedConfigurationDoesNotDecode) {
   const std::string good =
       R"({"version":7,"routes":[{"name":"r","host":"h","prefix":"/p/",
       "service":"s","priority":1,"maxAttempts":2,"slackFactor":2.2,
@@ -252,8 +255,8 @@
   }
 }
 
-/// A report without one of its lists was taken for one that lists nothing: all
-/// that ran there was started again elsewhere.
+/// Guards against treating a missing list of a report as an empty one: every
+/// task that runs on the upstream would be started again on another.
 BOOST_AUTO_TEST_CASE(AReportWithoutAListIsUnknown) {
   const std::string row = R"(["5c0e7a21d94b36f8.0.1.17",2,"c",41])";
   const std::string end = R"([58,"5c0e7a21d94b36f8.0.1.9",1,"done","d"])";
@@ -288,21 +291,22 @@
         (DecodeRenew(Answer(body)).call.verdict == CallVerdict::kUnknown),
         body);
   }
-  // Numbers of ends only grow; in another order some would never be told.
+  // Numbers of completions only increase; out of order, some would never be
+  // reported.
   const std::string twice =
       Replaced(good, end, end + "," + Replaced(end, "58", "57"));
   BOOST_TEST(
       (DecodeRenew(Answer(twice)).call.verdict == CallVerdict::kUnknown));
-  // A percent only serves to foresee an end: an odd one is no reason to lose
-  // sight of all that runs there.
+  // The percentage is only used to predict when a task ends, so an invalid one
+  // must not discard the report.
   const auto odd = DecodeRenew(Answer(Replaced(good, "41", "1e300")));
   BOOST_TEST((odd.call.verdict == CallVerdict::kDone));
   BOOST_REQUIRE_EQUAL(odd.running.size(), 1U);
   BOOST_TEST(odd.running[0].percent == 100);
 }
 
-/// Advice without its list was taken for "none is allowed", which is remembered
-/// for as long as the step waits.
+/// Guards against taking advice without its list for "none is allowed", which
+/// is remembered for as long as the step waits.
 BOOST_AUTO_TEST_CASE(AdviceWithoutItsListDoesNotDecode) {
   for (const char* body :
        {"{}", R"({"allowed":{}})", R"({"allowed":"i-1"})",
@@ -316,9 +320,9 @@
   BOOST_TEST(DecodeAdvice(Answer(R"({"allowed":[]})")).ok());
 }
 
-/// An answer to an append that does not say where the table ends is no answer:
-/// a leader that took the end for 0 would fail its next renewal.
-BOOST_AUTO_TEST_CASE(AnAppendWithoutItsEndIsUnknown) {
+/// Guards against accepting an answer to an append that has no valid end
+/// offset: a leader that takes the offset for 0 would fail its next renewal.
+BOOST_AUTO_TEST_CASE(AppendAnswerWithoutEndOffsetIsUnknown) {
   for (const char* body : {"{}", R"({"endOffset":"9"})", R"({"endOffset":-1})",
                            R"({"endOffset":1e300})", R"({"endOffset":null})"}) {
     BOOST_TEST(
@@ -327,7 +331,7 @@
   }
 }
 
-/// A caller's body with numbers that no job has.
+/// Guards against accepting a caller's job with numbers out of range.
 BOOST_AUTO_TEST_CASE(AJobWithImpossibleNumbersHasFindings) {
   const std::string good =
       R"({"spec":"x","steps":[{"count":4,"cpu":500,"memMb":256,"estMs":900},
@@ -371,8 +375,8 @@
   BOOST_TEST(none.ToString() == "");
 }
 
-/// Every step of a large body is at fault. The findings of 300,000 steps made a
-/// log line of 20 MB.
+/// Guards against unbounded findings: a body with 300,000 faulty steps would
+/// otherwise make a log line of 20 MB.
 BOOST_AUTO_TEST_CASE(FindingsAreBounded) {
   std::string body = R"({"steps":[)";
   constexpr int kSteps = 300000;
@@ -384,10 +388,10 @@
   BOOST_TEST(findings.ToString().size() < 20000U);
 }
 
-/// A caller asks to speak something else after its request. The parser ended
-/// the connection there; the request was taken if its bytes came at once, and
-/// lost if they came in two parts. (Inputs 21357, 24991 and 32558 of seed 12
-/// and 137001 of seed 11 of fuzz_test.)
+/// Guards against the parser ending the connection at a request that asks for a
+/// protocol upgrade: the request would be accepted if its bytes arrive at once,
+/// and lost if they arrive in two parts. (Inputs 21357, 24991 and 32558 of seed
+/// 12 and 137001 of seed 11 of fuzz_test.)
 BOOST_AUTO_TEST_CASE(HttpUpgradeHeaderIsIgnored) {
   const std::string upgrade = "Upgrade: websocket\r\nConnection: upgrade\r\n";
   const std::string next = "GET /q/ HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -431,8 +435,9 @@
   }
 }
 
-/// A job file names a step beyond 32 bits, which was taken for step 0.
-BOOST_AUTO_TEST_CASE(AJobFileNamesNoStepBeyondItsOwn) {
+/// Guards against truncating a step number in a job file to 32 bits: 2^32 would
+/// be taken for step 0.
+BOOST_AUTO_TEST_CASE(JobFileWithStepNumberOutOfRangeDoesNotParse) {
   for (const char* after : {"4294967296", "18446744073709551615", "-1"}) {
     Findings findings;
     const auto job = tool::ParseJobFile(
@@ -445,8 +450,9 @@
   }
 }
 
-/// Peers announce frames of 32 MB and send nothing more. Room for each was made
-/// at once, and eight such connections took all memory that a process has.
+/// Guards against allocating memory for a frame before its bytes arrive. Eight
+/// peers that announce frames of 32 MB and send nothing more would otherwise
+/// exhaust the memory of a process.
 BOOST_AUTO_TEST_CASE(AnnouncedFrameLengthAllocatesNothing) {
   asio::io_context io;
   rpc::Server server(io);
@@ -464,8 +470,9 @@
   BOOST_TEST(ResidentMb() - before < 50);
 }
 
-/// A peer's list claims 8 million steps and its message is 8 MB long. Room for
-/// all of them was made before the first was read: some 2 GB.
+/// Guards against allocating memory for a list by its claimed length. A message
+/// of 8 MB whose list claims 8 million steps would otherwise allocate some 2 GB
+/// before the first step is read.
 BOOST_AUTO_TEST_CASE(ClaimedListLengthAllocatesNothing) {
   // The third field of a job is its list of steps (compact protocol: field 3 of
   // type list; a long list of structs; its size).
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -1,8 +1,8 @@
-// Seeded mutations of valid messages of every kind that this program reads from
-// others: whatever comes out of a decoder keeps the decoder's word, and nothing
-// ends, throws, or takes long. MIMOSARAIL_FUZZ is the number of inputs,
-// MIMOSARAIL_FUZZ_SEED plays others, and MIMOSARAIL_FUZZ_ONLY plays and prints
-// (--log_level=message) the one of that number.
+// Seeded mutations of valid messages of every kind that this program receives:
+// decoded values must satisfy the decoder's guarantees, and no input may crash
+// the process, throw, or take long. MIMOSARAIL_FUZZ is the number of inputs,
+// MIMOSARAIL_FUZZ_SEED selects other inputs, and MIMOSARAIL_FUZZ_ONLY runs and
+// prints (--log_level=message) only the input of that number.
 
 #define BOOST_TEST_MODULE fuzz
 #include <sys/resource.h>
@@ -37,32 +37,32 @@
 
 constexpr uint64_t kInputs = 20000;
 constexpr uint64_t kSeed = 1;
-/// Longest that one input may take; a mutation is up to 300 KB, and a decoder
-/// that reads it twice under a sanitizer takes some 50 ms.
-constexpr std::chrono::seconds kLongestInput{3};
-/// Most memory of the whole run, sanitizers' own included.
-constexpr int64_t kMostResidentKb = int64_t{1500} * 1024;
-/// Depth of text that would take the stack of a parser that recurses.
-constexpr size_t kDeep = 100000;
-
-uint64_t FromEnvironment(const char* name, uint64_t otherwise) {
+/// Time limit of one input. A mutation has up to 300 KB, and a decoder that
+/// reads it twice under a sanitizer takes some 50 ms.
+constexpr std::chrono::seconds kMaxInputTime{3};
+/// Memory limit of the whole run, including the sanitizers' own memory.
+constexpr int64_t kMaxResidentKb = int64_t{1500} * 1024;
+/// Nesting depth that exhausts the stack of a recursive parser.
+constexpr size_t kDeepNesting = 100000;
+
+uint64_t FromEnvironment(const char* name, uint64_t fallback) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
 size_t Pick(Random& random, size_t below) {
   return below == 0 ? 0 : random() % below;
 }
 
-// ---- What is mutated by structure: documents.
+// ---- Structural mutations of JSON documents.
 
-void Collect(Json& node, std::vector<Json*>& out) {
+void CollectNodes(Json& node, std::vector<Json*>& out) {
   out.push_back(&node);
   if (!node.is_structured()) return;
-  for (Json& child : node) Collect(child, out);
+  for (Json& child : node) CollectNodes(child, out);
 }
 
-Json OddValue(Random& random) {
+Json EdgeValue(Random& random) {
   static const std::vector<Json> kValues{
       nullptr,
       true,
@@ -116,19 +116,19 @@
 
 void MutateNode(Json& document, Random& random) {
   std::vector<Json*> nodes;
-  Collect(document, nodes);
+  CollectNodes(document, nodes);
   Json& node = *nodes[Pick(random, nodes.size())];
   Json& other = *nodes[Pick(random, nodes.size())];
   switch (Pick(random, 7)) {
     case 0:
-      node = OddValue(random);
+      node = EdgeValue(random);
       return;
-    case 1: {  // of another type, from elsewhere in the document
+    case 1: {  // replaced by another node of the document
       const Json copy = other;
       node = copy;
       return;
     }
-    case 2:  // a member or an element less
+    case 2:  // a member or an element removed
       if (node.is_object() && !node.empty()) {
         auto at = node.begin();
         std::advance(at, Pick(random, node.size()));
@@ -137,10 +137,10 @@
         node.erase(Pick(random, node.size()));
       }
       return;
-    case 3:  // an element twice, or an odd one more
+    case 3:  // an element duplicated, or an edge value added
       if (node.is_array()) {
         node.push_back(node.empty() || Pick(random, 2) == 0
-                           ? OddValue(random)
+                           ? EdgeValue(random)
                            : Json(node[Pick(random, node.size())]));
       }
       return;
@@ -158,16 +158,16 @@
     }
     default:
       if (node.is_number()) {
-        node = OddValue(random);
+        node = EdgeValue(random);
       } else if (node.is_string()) {
         node = node.get<std::string>() + node.get<std::string>();
       }
   }
 }
 
-// ---- What is mutated by bytes: everything.
+// ---- Byte mutations of all messages.
 
-const std::vector<std::string>& OddBytes() {
+const std::vector<std::string>& EdgeBytes() {
   static const std::vector<std::string> kBytes{
       "NaN",
       "Infinity",
@@ -213,16 +213,16 @@
       if (at < bytes.size()) bytes.erase(at, some);
       return;
     case 3:
-      bytes.insert(at, OddBytes()[Pick(random, OddBytes().size())]);
+      bytes.insert(at, EdgeBytes()[Pick(random, EdgeBytes().size())]);
       return;
-    case 4:  // a part twice: also a member of an object twice
+    case 4:  // a part duplicated, which can duplicate a member of an object
       bytes.insert(at, bytes.substr(Pick(random, bytes.size() + 1), 8 * some));
       return;
-    case 5:  // the end of another message
+    case 5:  // the end replaced by the end of another message
       bytes.resize(at);
       bytes += other.substr(Pick(random, other.size() + 1));
       return;
-    case 6: {  // a length, or any four bytes
+    case 6: {  // four bytes overwritten, such as a length
       for (size_t i = at; i < std::min(bytes.size(), at + 4); ++i) {
         bytes[i] = Pick(random, 2) == 0 ? '\xff' : '\0';
       }
@@ -239,13 +239,13 @@
                                                     "\x19\x1c"};
         const std::string& open = kOpen[Pick(random, kOpen.size())];
         std::string deep;
-        for (size_t i = 0; i < kDeep; ++i) deep += open;
+        for (size_t i = 0; i < kDeepNesting; ++i) deep += open;
         bytes.insert(at, deep);
       }
   }
 }
 
-// ---- What each decoder promises.
+// ---- Guarantees of each decoder.
 
 void CheckRunnable(const wire::JobSpec& spec,
                    const wire::ProgressRecord& progress) {
@@ -256,10 +256,10 @@
   BOOST_TEST(job.CriticalPathFrom(0) >= Millis(0));
   job.Restore(progress);
   BOOST_TEST((job.Progress().state == progress.state));
-  constexpr int64_t kMostTasks = 300;
+  constexpr int64_t kMaxTasks = 300;
   int64_t tasks = 0;
   for (const wire::StepSpec& step : spec.steps) tasks += step.tasks;
-  if (tasks * std::max(1, spec.occurrences) > kMostTasks) return;
+  if (tasks * std::max(1, spec.occurrences) > kMaxTasks) return;
   scheduling::Scheduler scheduler({.attempt_base = 100000});
   scheduler.pool().Update(
       {.id = "i-1",
@@ -406,7 +406,7 @@
   BOOST_TEST(findings.ToString() == "");
 }
 
-void CheckNames(const std::string& bytes) {
+void CheckTaskIdAndEndpoint(const std::string& bytes) {
   const auto task = ParseTaskId(bytes);
   if (task) {
     BOOST_TEST((ParseTaskId(TaskIdText(*task)) == task));
@@ -415,16 +415,17 @@
   if (endpoint) BOOST_TEST(!endpoint->address.to_string().empty());
 }
 
-/// The same messages come out however the bytes are cut, none above its bound.
+/// Checks that the parser yields the same messages however the bytes are split,
+/// and none above the size limit.
 void CheckParser(const std::string& bytes, http::MessageKind kind) {
   constexpr size_t kMaxBody = 4096;
-  struct Seen {
+  struct Parsed {
     std::vector<std::string> bodies;
     bool good = true;
   };
   const std::string_view all = bytes;
   const auto feed = [&](size_t step) {
-    Seen out;
+    Parsed out;
     http::Parser parser({.kind = kind, .max_body = kMaxBody});
     for (size_t at = 0; at < bytes.size() && out.good; at += step) {
       out.good = parser.Feed(
@@ -434,8 +435,8 @@
     }
     return out;
   };
-  const Seen whole = feed(bytes.size() + 1);
-  const Seen cut = feed(7);
+  const Parsed whole = feed(bytes.size() + 1);
+  const Parsed cut = feed(7);
   BOOST_TEST(whole.good == cut.good);
   BOOST_TEST((whole.bodies == cut.bodies));
   for (const std::string& body : whole.bodies) {
@@ -486,7 +487,7 @@
   if (findings.empty()) CheckRunnable(StoredJob(), progress.value());
 }
 
-/// One decoder, valid inputs of it, and what holds for any input.
+/// A decoder, valid inputs for it, and a check that must hold for any input.
 struct Target {
   const char* name;
   std::vector<std::string> valid;
@@ -501,7 +502,7 @@
   return rpc::Encode(job.Progress());
 }
 
-std::string Announce() {
+std::string AnnounceCall() {
   wire::AnnounceCall out;
   out.term = 7;
   out.leader.name = "entry-0";
@@ -509,7 +510,7 @@
   return rpc::Encode(out);
 }
 
-std::string Heartbeat() {
+std::string HeartbeatReply() {
   wire::HeartbeatReply out;
   out.leading = true;
   out.term = 7;
@@ -518,7 +519,7 @@
   return rpc::Encode(out);
 }
 
-std::string Roster() {
+std::string UpstreamRecord() {
   wire::UpstreamRecord out;
   out.id = "i-1";
   out.labels = {"a", "r1-3"};
@@ -526,7 +527,7 @@
   return rpc::Encode(out);
 }
 
-std::string Advised() {
+std::string AdviseReply() {
   wire::AdviseReply out;
   out.allowed.resize(2);
   out.valid_ms = 1500;
@@ -612,10 +613,10 @@
        CheckAppend},
       {"settings", {kSettings}, false, CheckSettings},
       {"job file", {kJobFile}, false, CheckJobFile},
-      {"names",
+      {"task id or endpoint",
        {"5c0e7a21d94b36f8.0.1.17", "10.0.0.9:80", "::1:80"},
        false,
-       CheckNames},
+       CheckTaskIdAndEndpoint},
       {"request",
        {kRequests},
        false,
@@ -631,10 +632,16 @@
       {"frame", {Frame()}, false, CheckThrift<wire::Frame>},
       {"stored job", {rpc::Encode(StoredJob())}, false, CheckStored},
       {"stored progress", {Progress()}, false, CheckProgressBytes},
-      {"roster", {Roster()}, false, CheckThrift<wire::UpstreamRecord>},
-      {"leader", {Announce()}, false, CheckThrift<wire::AnnounceCall>},
-      {"greeting", {Heartbeat()}, false, CheckThrift<wire::HeartbeatReply>},
-      {"peer's advice", {Advised()}, false, CheckThrift<wire::AdviseReply>},
+      {"stored upstream",
+       {UpstreamRecord()},
+       false,
+       CheckThrift<wire::UpstreamRecord>},
+      {"leader", {AnnounceCall()}, false, CheckThrift<wire::AnnounceCall>},
+      {"heartbeat reply",
+       {HeartbeatReply()},
+       false,
+       CheckThrift<wire::HeartbeatReply>},
+      {"peer's advice", {AdviseReply()}, false, CheckThrift<wire::AdviseReply>},
       {"peer's job", {SubmitCall()}, false, CheckThrift<wire::SubmitJobCall>},
   };
   return kTargets;
@@ -665,7 +672,7 @@
 
 }  // namespace
 
-/// The valid messages that mutations begin with keep their decoders' word too.
+/// The checks must also hold for the valid messages that mutations start from.
 BOOST_AUTO_TEST_CASE(DecodersHoldInvariantsOnValidInputs) {
   for (const Target& target : Targets()) {
     for (const std::string& bytes : target.valid) {
@@ -681,7 +688,7 @@
   std::chrono::steady_clock::duration longest{};
   for (uint64_t i = 0; i < inputs; ++i) {
     if (only != UINT64_MAX && i != only) continue;
-    // Each input has its own seed, so that one is played again alone.
+    // Each input has its own seed, so that it can be repeated alone.
     Random random(seed * 1000000007ULL + i);
     const Target& target = Targets()[i % Targets().size()];
     const std::string bytes = Mutated(target, random);
@@ -692,10 +699,10 @@
     }
     longest = std::max(longest, std::chrono::steady_clock::now() - began);
   }
-  BOOST_TEST((longest < kLongestInput));
+  BOOST_TEST((longest < kMaxInputTime));
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
-  BOOST_TEST(usage.ru_maxrss < kMostResidentKb);
+  BOOST_TEST(usage.ru_maxrss < kMaxResidentKb);
   BOOST_TEST_MESSAGE(
       "inputs " << inputs << ", decoders " << Targets().size() << ", longest "
                 << std::chrono::duration_cast<Millis>(longest).count()
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -1,5 +1,5 @@
-// Messages of the users' platform, as tables: what is decoded, what is refused,
-// and what each answer to a call is taken for.
+// Encodings and HTTP clients of the users' platform: what is decoded, what is
+// refused, and which verdict each answer to a call maps to.
 
 #define BOOST_TEST_MODULE platform
 #include <array>
@@ -27,20 +27,20 @@
   return {.status = status, .body = body};
 }
 
-/// More than the buffers of both ends of a connection take.
+/// Exceeds the socket buffers of both ends of a connection.
 constexpr size_t kLongBody = 32 << 20;
 
-/// A peer's end of one connection, which may refuse a request with the first
-/// bytes that it reads of it. It ends with the io_context's run.
-class ImpatientPeer {
+/// Server end of one connection. Can refuse a request as soon as its first
+/// bytes arrive. Must outlive the run of the io_context.
+class EarlyAnsweringPeer {
  public:
-  explicit ImpatientPeer(asio::ip::tcp::socket socket)
+  explicit EarlyAnsweringPeer(asio::ip::tcp::socket socket)
       : socket_(std::move(socket)) {}
 
   void Read(bool refuse) {
     socket_.async_read_some(
         asio::buffer(buffer_), [this, refuse](std::error_code error, size_t n) {
-          if (error) return;  // the client has closed it
+          if (error) return;  // the client closed the connection
           if (refuse) Write("503 Busy");
           const auto answer = [this](http::ParsedMessage message) {
             const bool refused = message.request.body.size() == kLongBody;
@@ -57,7 +57,7 @@
 
  private:
   void Write(const std::string& status) {
-    std::error_code ignored;  // the client may have gone
+    std::error_code ignored;  // the client may have disconnected
     asio::write(
         socket_,
         asio::buffer("HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n"),
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(TaskNamesReadBackWhole) {
+BOOST_AUTO_TEST_CASE(TaskIdsRoundTrip) {
   const TaskId id{0x5c0e7a21d94b36f8, 0, 1, 17};
   BOOST_TEST(TaskIdText(id) == "5c0e7a21d94b36f8.0.1.17");
   BOOST_TEST((ParseTaskId(TaskIdText(id)) == id));
@@ -85,7 +85,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AJobIsDecodedIntoItsSteps) {
+BOOST_AUTO_TEST_CASE(JobBodyIsDecodedIntoSteps) {
   Findings findings;
   const wire::JobSpec job = DecodeJob(
       R"({"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estMs":900,
@@ -111,7 +111,7 @@
   BOOST_TEST(job.interval_ms == 9);
 }
 
-BOOST_AUTO_TEST_CASE(MalformedJobsNameThePlace) {
+BOOST_AUTO_TEST_CASE(FindingsOfMalformedJobsNameTheMember) {
   struct Row {
     const char* body;
     const char* place;
@@ -132,7 +132,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnswersToAppends) {
+BOOST_AUTO_TEST_CASE(AppendStatusesMapToVerdicts) {
   struct Row {
     int status;
     const char* body;
@@ -180,7 +180,7 @@
   BOOST_REQUIRE(page.ok());
   BOOST_TEST(page.value().more);
   BOOST_TEST(page.value().records[0].value == std::string("\0\xff\x80", 3));
-  // An item that can't be read is no record, and loses no other.
+  // A malformed item yields no value and does not discard other items.
   const auto odd =
       DecodeNewest(R"({"items":[{"key":"a","value":"*"}],"endOffset":6})");
   BOOST_REQUIRE(odd.ok());
@@ -226,11 +226,12 @@
   BOOST_TEST(!DecodeConfig(R"({"routes":[]})").ok());
 }
 
-/// A start is answered with a status that no refusal has (an upstream's own
-/// fault, or a proxy's word): it may have been carried out. Taken for refused,
-/// it was ordered elsewhere, and ran twice until the first was found and
-/// stopped.
-BOOST_AUTO_TEST_CASE(AnswersToOrders) {
+/// Guards against taking an unknown status for a refusal. A start that is
+/// answered with a status that no refusal has (an internal error of the
+/// upstream, or an answer of a proxy) may have been carried out. If it counted
+/// as refused, the task would start on another upstream and run twice until the
+/// first run is found and stopped.
+BOOST_AUTO_TEST_CASE(OrderStatusesMapToVerdicts) {
   struct Row {
     int status;
     const char* body;
@@ -264,9 +265,9 @@
               CallVerdict::kUnknown));
 }
 
-/// A report that does not decode as a whole is no report: half an inventory
-/// would be taken for the whole, and tasks would start twice.
-BOOST_AUTO_TEST_CASE(AHalfReadableReportIsUnknown) {
+/// Guards against using a partly decoded report: an incomplete inventory would
+/// count as complete, and tasks would start twice.
+BOOST_AUTO_TEST_CASE(PartlyMalformedReportIsUnknown) {
   const std::string good =
       R"({"clockMs":5,"running":[["5c0e7a21d94b36f8.0.1.17",2,"c",41,3]],
       "finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"lapsed","d"]]})";
@@ -284,8 +285,9 @@
   }
 }
 
-/// Guards against taking the ends that are listed for all of them.
-BOOST_AUTO_TEST_CASE(AnAnswerFullOfEndsMayLeaveSomeOut) {
+/// Guards against treating a full list of completions as complete: a report
+/// lists at most 500, and further ones may follow.
+BOOST_AUTO_TEST_CASE(FullListOfCompletionsMayBeIncomplete) {
   const auto ends = [](int count) {
     std::string rows;
     for (int i = 1; i <= count; ++i) {
@@ -312,7 +314,7 @@
   BOOST_TEST(!DecodeAdvice(Answer(200, R"({"allowed":[1]})")).ok());
 }
 
-BOOST_AUTO_TEST_CASE(SettingsAreCheckedWithTheirPlace) {
+BOOST_AUTO_TEST_CASE(InvalidSettingsAreRefused) {
   Findings findings;
   BOOST_TEST(!settings::ParseJobSettings("{}", findings).has_value());
   BOOST_TEST(findings.list().size() >= 6U);
@@ -331,7 +333,7 @@
                   .has_value());
 }
 
-/// A parser must give the same messages however the bytes are cut.
+/// The parser must yield the same messages however the bytes are split.
 BOOST_AUTO_TEST_CASE(RequestsParseFromAnySplit) {
   const std::string bytes =
       "POST /q/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}"
@@ -352,9 +354,9 @@
   }
 }
 
-/// Calls wait for a connection because all are busy, and the busy ones break:
-/// the waiting calls must be answered all the same. Their starts once hung for
-/// good, and with them the tasks.
+/// Guards against calls that are never answered. Calls wait for a connection
+/// because all are busy, and the busy ones break; the waiting calls must still
+/// be answered. Otherwise starts, and with them their tasks, hang forever.
 BOOST_AUTO_TEST_CASE(WaitingCallsSurviveBrokenConnections) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
@@ -390,17 +392,19 @@
   BOOST_TEST(answered == kCalls);
 }
 
-/// Guards against a call sent amid the rest of an earlier, refused one.
-BOOST_AUTO_TEST_CASE(AnEarlyAnswerLeavesNoHalfRequestBehind) {
+/// Guards against a call that is sent within the unsent rest of an earlier
+/// call's body. This happens if a connection is reused after the peer refused a
+/// request before it was sent completely.
+BOOST_AUTO_TEST_CASE(ConnectionWithHalfSentRequestIsNotReused) {
   using asio::ip::tcp;
   asio::io_context io;
   tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
   constexpr Millis kTimeout{5000};
-  std::vector<std::unique_ptr<ImpatientPeer>> peers;
+  std::vector<std::unique_ptr<EarlyAnsweringPeer>> peers;
   std::function<void()> accept = [&] {
     acceptor.async_accept([&](std::error_code error, tcp::socket socket) {
       if (error) return;
-      peers.push_back(std::make_unique<ImpatientPeer>(std::move(socket)));
+      peers.push_back(std::make_unique<EarlyAnsweringPeer>(std::move(socket)));
       // Only the first connection's first request is refused.
       peers.back()->Read(peers.size() == 1);
       accept();
@@ -434,8 +438,9 @@
   BOOST_TEST(peers.back()->read.back().body == "second");
 }
 
-/// Guards against a page that is never read, as it takes long to come.
-BOOST_AUTO_TEST_CASE(AnAnswerThatKeepsComingIsWaitedFor) {
+/// Guards against a page that can never be read because its transfer takes
+/// longer than the timeout, although data keeps arriving.
+BOOST_AUTO_TEST_CASE(AnswerThatKeepsArrivingDoesNotTimeOut) {
   using asio::ip::tcp;
   constexpr int kParts = 12;
   constexpr Millis kPause{250};
@@ -450,7 +455,7 @@
     for (int part = 1; part <= kParts; ++part) {
       auto timer = std::make_shared<asio::steady_timer>(io, part * kPause);
       timer->async_wait([timer, socket](std::error_code) {
-        std::error_code ignored;  // the client may have given up
+        std::error_code ignored;  // the client may have timed out
         asio::write(*socket, asio::buffer("x", 1), ignored);
       });
     }
@@ -463,7 +468,7 @@
     });
   };
   accept();
-  http::Client patient(io, {.longest_answer = Millis(20000)});
+  http::Client extended(io, {.longest_answer = Millis(20000)});
   http::Client strict(io, {});
   const std::string address =
       "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
@@ -472,11 +477,11 @@
   const auto stop = [&] {
     if (whole && late) io.stop();
   };
-  patient.Call(address, {.target = "/"}, kTimeout,
-               [&](const Result<http::Response>& reply) {
-                 whole = reply;
-                 stop();
-               });
+  extended.Call(address, {.target = "/"}, kTimeout,
+                [&](const Result<http::Response>& reply) {
+                  whole = reply;
+                  stop();
+                });
   strict.Call(address, {.target = "/"}, kTimeout,
               [&](const Result<http::Response>& reply) {
                 late = reply;
@@ -490,7 +495,7 @@
   BOOST_TEST(!late->ok());
 }
 
-/// Guards against a configuration that is missed on a later page.
+/// Guards against missing a configuration that is on a later page.
 BOOST_AUTO_TEST_CASE(TheConfigurationIsReadFromAllPages) {
   asio::io_context io;
   rpc::AsioExecutor executor(io);
@@ -527,7 +532,8 @@
   BOOST_TEST(asked.size() == 2U);
   BOOST_TEST(got->documents.size() == 1U);
   BOOST_TEST(got->waves.size() == 1U);
-  // Pages are no snapshot: changes are read on from the end of the first.
+  // Pages are not a snapshot: changes are read from the end offset of the
+  // first.
   BOOST_TEST(got->cursor == 5);
 }
 
