--- a/src/libs/base/enum_table.h
+++ b/src/libs/base/enum_table.h
@@ -7,18 +7,19 @@
 
 namespace mimosarail {
 
-/// One enumerator and the name that operators see.
+/// An enumerator and its name as shown to operators.
 template <typename E>
 struct EnumName {
   E value;
   std::string_view name;
 };
 
-// Clang 14 does not deduce aggregates by itself.
+// Clang 14 does not deduce template arguments of aggregates without a guide.
 template <typename E>
 EnumName(E, std::string_view) -> EnumName<E>;
 
-/// Names of an enumeration, both ways. Immutable, so safe from any thread.
+/// Maps the enumerators of an enumeration to names and back. Immutable, so safe
+/// from any thread.
 template <typename E, std::size_t N>
 class EnumTable {
  public:
@@ -47,7 +48,7 @@
     return std::nullopt;
   }
 
-  /// Every name, for messages such as "one of a, b".
+  /// All names separated by commas, for messages such as "one of a, b".
   std::string Choices() const {
     std::string out;
     for (const auto& entry : names_) {
--- a/src/libs/base/executor.h
+++ b/src/libs/base/executor.h
@@ -9,17 +9,19 @@
 using TimePoint = Clock::time_point;
 using Millis = std::chrono::milliseconds;
 
-/// Runs the control state's work on one thread and tells the monotonic time.
-/// Everything posted or timed runs one after the other, never inside the call.
+/// Runs the work on the control state on one thread and provides the clocks.
+/// Posted and delayed work runs sequentially, never inside the call that
+/// schedules it.
 class Executor {
  public:
   virtual ~Executor() = default;
   /// Safe from any thread.
   virtual TimePoint Now() const = 0;
-  /// Wall clock in ms since 1970, for records and rules only, never for leases.
+  /// Wall-clock time in ms since 1970, for records and rules only, never for
+  /// leases.
   virtual int64_t UnixMillis() const = 0;
-  /// How long this machine has been suspended in all; the monotonic clock does
-  /// not count that time. Safe from any thread.
+  /// Total time for which this machine has been suspended; the monotonic clock
+  /// does not count it. Safe from any thread.
   virtual Millis Suspended() const { return Millis(0); }
   /// Safe from any thread.
   virtual void Post(std::function<void()> work) = 0;
@@ -27,7 +29,7 @@
   virtual void RunAfter(Millis delay, std::function<void()> work) = 0;
 };
 
-/// Runs `work` every `period`, for as long as the executor lives.
+/// Runs `work` every `period` until the executor is destroyed.
 inline void RunEvery(Executor& executor, Millis period,
                      std::function<void()> work) {
   executor.RunAfter(period, [&executor, period, work = std::move(work)] {
--- a/src/libs/base/findings.h
+++ b/src/libs/base/findings.h
@@ -6,19 +6,19 @@
 
 namespace mimosarail {
 
-/// One fault of an input and where it stands ("rules[2].when.team" or "7:14").
+/// A fault of an input and its position ("rules[2].when.team" or "7:14").
 struct Finding {
   std::string place;
   std::string message;
   friend bool operator==(const Finding&, const Finding&) = default;
 };
 
-/// Collects the faults of an input, so that they are reported together. Not
+/// Collects all faults of an input so that they can be reported together. Not
 /// thread-safe.
 class Findings {
  public:
-  /// Faults that are kept; more tell a reader nothing. A body of 4 MB can hold
-  /// 300,000, which made one log line of 12 MB.
+  /// Maximum number of faults kept; more do not help a reader. A body of 4 MB
+  /// can contain 300,000 faults, which would give a log line of 12 MB.
   static constexpr size_t kMaxKept = 100;
 
   void Add(std::string place, std::string message) {
@@ -28,7 +28,7 @@
   bool empty() const { return list_.empty(); }
   const std::vector<Finding>& list() const { return list_; }
 
-  /// "place: message" a line.
+  /// One line "place: message" per fault.
   std::string ToString() const {
     std::string out;
     for (const Finding& finding : list_) {
--- a/src/libs/base/result.h
+++ b/src/libs/base/result.h
@@ -8,33 +8,34 @@
 
 namespace mimosarail {
 
-/// What went wrong across an interface, in terms the caller can act on.
+/// Reasons why a call across an interface failed, as far as they make a
+/// difference to its caller.
 enum class Errc {
-  kTimeout = 1,    ///< No reply in time; the action may have taken effect.
-  kDisconnected,   ///< The connection broke; the action may have taken effect.
-  kUnavailable,    ///< Refused before anything happened.
-  kMalformed,      ///< The bytes do not decode.
-  kInvalid,        ///< The content breaks a documented bound.
-  kUnknownMethod,  ///< The receiver has no such call.
+  kTimeout = 1,    ///< No reply in time; the call may have taken effect.
+  kDisconnected,   ///< The connection broke; the call may have taken effect.
+  kUnavailable,    ///< Refused before it had any effect.
+  kMalformed,      ///< The bytes cannot be decoded.
+  kInvalid,        ///< The content violates a documented bound.
+  kUnknownMethod,  ///< The receiver does not implement the method.
 };
 
-/// Category of Errc; safe to call from any thread.
+/// Error category of Errc. Safe from any thread.
 const std::error_category& ErrorCategory() noexcept;
 
-/// Found by argument-dependent lookup; safe to call from any thread.
+/// Found by argument-dependent lookup. Safe from any thread.
 std::error_code make_error_code(Errc code) noexcept;
 
-/// An error code and the detail that an operator needs.
+/// An error code and a message for operators.
 struct Error {
   std::error_code code;
   std::string message;
 };
 
-/// A value or the error that stands in its place. Not thread-safe.
+/// A value, or the error that prevented it. Not thread-safe.
 template <typename T>
 class Result {
  public:
-  // Implicit, so that functions return a value or an error as it is.
+  // Implicit, so that functions can return a plain value or error.
   // NOLINTBEGIN(google-explicit-constructor)
   Result(T value) : state_(std::move(value)) {}
   Result(Error error) : state_(std::move(error)) {}
@@ -54,7 +55,7 @@
   std::variant<T, Error> state_;
 };
 
-/// Takes the end of an asynchronous call, once.
+/// Receives the result of an asynchronous call, exactly once.
 template <typename T>
 using Callback = std::function<void(Result<T>)>;
 
--- a/src/libs/base/soft_assert.h
+++ b/src/libs/base/soft_assert.h
@@ -4,20 +4,21 @@
 
 namespace mimosarail {
 
-/// Counts and reports a broken internal expectation; the caller then recovers.
-/// Safe from any thread.
+/// Counts a violated internal expectation and prints it to standard error; the
+/// caller then recovers. Safe from any thread.
 void ReportSoftAssert(const char* expression, const char* file, int line);
 
-/// How many soft asserts failed so far; a metric. Safe from any thread.
+/// Number of soft asserts that have failed, exported as a metric. Safe from any
+/// thread.
 int64_t SoftAssertFailures();
 
 }  // namespace mimosarail
 
-/// Reports a broken expectation and runs `recovery` instead of aborting:
-/// an entry with one odd request must go on serving all others.
+/// Reports a violated expectation and runs `recovery` instead of aborting: one
+/// unexpected request must not keep an entry from serving the others.
 #define MR_EXPECT(expression, recovery)                              \
   if (!(expression)) {                                               \
     ::mimosarail::ReportSoftAssert(#expression, __FILE__, __LINE__); \
     recovery;                                                        \
   }                                                                  \
-  static_assert(true, "take a semicolon")
+  static_assert(true, "requires a semicolon")
--- a/src/libs/base/utf8.cc
+++ b/src/libs/base/utf8.cc
@@ -9,26 +9,27 @@
 constexpr uint32_t kLastSurrogate = 0xdfff;
 constexpr uint32_t kLastCodePoint = 0x10ffff;
 
-/// A leading byte's kind: how it is told and what it is the least of.
-struct Lead {
+/// A kind of leading byte: the bits that identify it, the number of bytes that
+/// follow it and the lowest code point that may be encoded so.
+struct LeadingByte {
   uint8_t mask;
   uint8_t bits;
   int trailing;
-  uint32_t least;
+  uint32_t min_code_point;
 };
-constexpr Lead kLeads[] = {{0x80, 0x00, 0, 0},
-                           {0xe0, 0xc0, 1, 0x80},
-                           {0xf0, 0xe0, 2, 0x800},
-                           {0xf8, 0xf0, 3, 0x10000}};
+constexpr LeadingByte kLeadingBytes[] = {{0x80, 0x00, 0, 0},
+                                         {0xe0, 0xc0, 1, 0x80},
+                                         {0xf0, 0xe0, 2, 0x800},
+                                         {0xf8, 0xf0, 3, 0x10000}};
 
-/// Takes one sequence off `bytes`; false if there is none.
+/// Removes one sequence from the front of `bytes`; false if it is not valid.
 bool TakeSequence(std::string_view& bytes) {
   const auto first = static_cast<uint8_t>(bytes.front());
-  for (const Lead& lead : kLeads) {
-    if ((first & lead.mask) != lead.bits) continue;
-    const auto length = static_cast<size_t>(lead.trailing) + 1;
+  for (const LeadingByte& leading : kLeadingBytes) {
+    if ((first & leading.mask) != leading.bits) continue;
+    const auto length = static_cast<size_t>(leading.trailing) + 1;
     if (bytes.size() < length) return false;
-    uint32_t code = first & static_cast<uint8_t>(~lead.mask);
+    uint32_t code = first & static_cast<uint8_t>(~leading.mask);
     for (size_t at = 1; at < length; ++at) {
       const auto next = static_cast<uint8_t>(bytes[at]);
       if ((next & 0xc0U) != 0x80U) return false;
@@ -36,7 +37,8 @@
     }
     bytes.remove_prefix(length);
     const bool surrogate = code >= kFirstSurrogate && code <= kLastSurrogate;
-    return code >= lead.least && code <= kLastCodePoint && !surrogate;
+    return code >= leading.min_code_point && code <= kLastCodePoint &&
+           !surrogate;
   }
   return false;
 }
--- a/src/libs/base/utf8.h
+++ b/src/libs/base/utf8.h
@@ -4,8 +4,8 @@
 
 namespace mimosarail {
 
-/// Whether the bytes are whole UTF-8 sequences (RFC 3629: no overlong forms, no
-/// surrogates, nothing above U+10FFFF). Safe from any thread.
+/// Whether the bytes are complete, valid UTF-8 sequences (RFC 3629: no overlong
+/// forms, no surrogates, no code point above U+10FFFF). Safe from any thread.
 bool IsUtf8(std::string_view bytes);
 
 }  // namespace mimosarail
--- a/src/libs/faults/malformed_record_reporter.cc
+++ b/src/libs/faults/malformed_record_reporter.cc
@@ -6,10 +6,10 @@
 
 void MalformedRecordReporter::Report(RecordSource source, std::string_view key,
                                      std::string_view cause) {
-  const auto [told, fresh] =
+  const auto [reported, fresh] =
       reported_.emplace(source, std::string(key), std::string(cause));
   if (!fresh) return;
-  order_.push_back(told);
+  order_.push_back(reported);
   if (order_.size() > kMaxRemembered) {
     reported_.erase(order_.front());
     order_.pop_front();
--- a/src/libs/faults/malformed_record_reporter.h
+++ b/src/libs/faults/malformed_record_reporter.h
@@ -13,7 +13,7 @@
 
 namespace mimosarail::faults {
 
-/// What others write and this process reads.
+/// External writers' records that this process reads.
 enum class RecordSource {
   kUpstreamList,
   kConfiguration,
@@ -30,22 +30,24 @@
     EnumName{RecordSource::kPeer, "peer"},
 }};
 
-/// Tells of entries that cannot be used: one log line and one count in the
-/// metric `bad_entries` for each entry and cause. The same entry is read again
-/// with every poll, every restart of a read and every heartbeat of its writer,
-/// some four times a second. Not thread-safe.
+/// Reports malformed records, which cannot be used: one log line and one count
+/// in the metric `bad_entries` for each record and cause. Reports are
+/// deduplicated because the same record is read again with every poll, every
+/// restart of a read and every heartbeat of its writer, about four times a
+/// second. Not thread-safe.
 class MalformedRecordReporter {
  public:
-  /// The registry outlives it.
+  /// `metrics` must outlive the reporter.
   explicit MalformedRecordReporter(metrics::Registry& metrics)
       : metrics_(metrics) {}
 
-  /// `key` may hold any bytes.
+  /// Reports the record unless it has been reported with the same cause. `key`
+  /// may contain any bytes.
   void Report(RecordSource source, std::string_view key,
               std::string_view cause);
 
-  /// Entries and causes that are remembered as told, some 200 bytes each. The
-  /// oldest is forgotten first, and would be told again.
+  /// Maximum number of records and causes remembered as reported, about 200
+  /// bytes each. The oldest is evicted first, and would be reported again.
   static constexpr size_t kMaxRemembered = 2000;
 
  private:
@@ -53,7 +55,7 @@
 
   metrics::Registry& metrics_;
   std::set<ReportKey> reported_;
-  /// In the order in which they were told.
+  /// Elements of reported_ in the order in which they were reported.
   std::deque<std::set<ReportKey>::iterator> order_;
 };
 
--- a/src/libs/http/client.cc
+++ b/src/libs/http/client.cc
@@ -22,9 +22,9 @@
   std::string kind;
   std::string bytes;
   Millis timeout;
-  /// Until the first part of the answer.
+  /// Deadline of the first part of the response.
   TimePoint deadline;
-  /// Until the last one.
+  /// Deadline of the complete response.
   TimePoint limit;
   Callback<Response> done;
 };
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-/// Waiting calls and connections of one address.
+/// Queued calls and connections of one address.
 struct Pool;
 
 struct Client::Private : std::enable_shared_from_this<Client::Private> {
@@ -68,19 +68,19 @@
 
 struct Pool {
   asio::ip::tcp::endpoint endpoint;
-  std::deque<PendingCall> waiting;
-  /// Kept by the reads that they wait in, until the io_context ends: held here,
-  /// they and this would keep each other for ever.
+  std::deque<PendingCall> queued;
+  /// Idle connections. Their pending reads keep them alive until the io_context
+  /// ends; shared pointers here would form a reference cycle with the pool.
   std::vector<std::weak_ptr<Connection>> idle;
   size_t open = 0;
 };
 
 namespace {
 
-/// One connection with at most one call on it.
+/// A connection with at most one call in flight.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  /// The io_context and the counter outlive it.
+  /// `io` and `opened` must outlive the connection.
   Connection(asio::io_context& io, const ClientOptions& options,
              std::atomic<int64_t>& opened, std::shared_ptr<Pool> pool)
       : io_(io),
@@ -98,7 +98,7 @@
   void Open(PendingCall call) {
     call_ = std::move(call);
     busy_ = true;
-    Arm(std::min(call_.deadline, Clock::now() + options_.connect_timeout));
+    ArmTimer(std::min(call_.deadline, Clock::now() + options_.connect_timeout));
     socket_.async_connect(
         pool_->endpoint, [self = shared_from_this()](std::error_code error) {
           if (self->closed_) return;
@@ -110,8 +110,8 @@
         });
   }
 
-  /// Precondition: idle.
-  void Take(PendingCall call) {
+  /// Sends a call on the open connection. Precondition: idle.
+  void Start(PendingCall call) {
     call_ = std::move(call);
     busy_ = true;
     Send();
@@ -129,31 +129,32 @@
       return idle.expired() || idle.lock().get() == this;
     });
     timer_.cancel();
-    std::error_code ignored;  // closing is all that is left to do
+    std::error_code ignored;  // an error on closing has no consequence
     socket_.close(ignored);
-    ServeWaiting();
+    OpenForNextCall();
   }
 
  private:
-  /// Calls that waited for this connection would wait for ever: they get one
-  /// of their own in its place.
-  void ServeWaiting() {
-    if (pool_->waiting.empty()) return;
-    PendingCall call = std::move(pool_->waiting.front());
-    pool_->waiting.pop_front();
+  /// Opens a new connection for the next queued call. Without it, calls that
+  /// were queued for this connection would never be sent.
+  void OpenForNextCall() {
+    if (pool_->queued.empty()) return;
+    PendingCall call = std::move(pool_->queued.front());
+    pool_->queued.pop_front();
     std::make_shared<Connection>(io_, options_, opened_, pool_)
         ->Open(std::move(call));
   }
 
   void SetOptions() {
-    std::error_code ignored;  // an option that is refused only costs time
+    std::error_code ignored;  // without the option, calls only take longer
     socket_.set_option(tcp::no_delay(true), ignored);
-    const int silence = static_cast<int>(options_.silence_timeout.count());
-    setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &silence,
-               sizeof silence);
+    const int timeout_ms =
+        static_cast<int>(options_.unacked_data_timeout.count());
+    setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
+               &timeout_ms, sizeof timeout_ms);
   }
 
-  void Arm(TimePoint deadline) {
+  void ArmTimer(TimePoint deadline) {
     timer_.expires_at(deadline);
     timer_.async_wait([self = shared_from_this()](std::error_code error) {
       if (error || self->closed_ || !self->busy_) return;
@@ -164,7 +165,7 @@
   }
 
   void Send() {
-    Arm(call_.deadline);
+    ArmTimer(call_.deadline);
     writing_ = true;
     CountTraffic(metrics::Direction::kOut, call_.bytes.size(), 1);
     asio::async_write(
@@ -188,25 +189,25 @@
 
   void OnBytes(std::string_view bytes) {
     bool complete = false;
-    const bool good = parser_.Feed(bytes, [&](ParsedMessage message) {
+    const bool valid = parser_.Feed(bytes, [&](ParsedMessage message) {
       message_ = std::move(message);
       complete = true;
     });
     CountTraffic(metrics::Direction::kIn, bytes.size(), complete ? 1 : 0);
-    if (!good || (complete && !busy_)) {
+    if (!valid || (complete && !busy_)) {
       return Fail(Errc::kMalformed, "not an HTTP response");
     }
     if (complete) {
       Finish();
     } else if (busy_) {
-      AwaitRest();
+      ExtendDeadline();
     }
     if (!closed_) ReadNext();
   }
 
-  void AwaitRest() {
+  void ExtendDeadline() {
     const TimePoint next = std::min(Clock::now() + call_.timeout, call_.limit);
-    if (next > call_.deadline) Arm(next);
+    if (next > call_.deadline) ArmTimer(next);
   }
 
   void CountTraffic(metrics::Direction direction, size_t bytes,
@@ -219,25 +220,27 @@
     timer_.cancel();
     auto done = std::move(call_.done);
     busy_ = false;
-    // A peer that refuses a long request may answer before it has read it. The
-    // next call's bytes would go out amid the rest of it, whose buffer they
-    // take: the peer would read neither, or answer one as the other.
+    // A peer that refuses a long request may answer before it has read all of
+    // it. The bytes of the next call would replace the buffer of the pending
+    // write and mix with the rest of the request: the peer could parse neither
+    // request, or answer one as the other.
     if (!message_.keep_alive || writing_) {
       Close();
     } else {
-      Release();
+      StartNextCallOrIdle();
     }
     done(std::move(message_.response));
   }
 
-  /// Takes the next waiting call, or stands idle.
-  void Release() {
+  /// Sends the next queued call, or becomes idle.
+  void StartNextCallOrIdle() {
     const auto now = Clock::now();
-    while (!pool_->waiting.empty()) {
-      PendingCall call = std::move(pool_->waiting.front());
-      pool_->waiting.pop_front();
-      if (call.deadline > now) return Take(std::move(call));
-      call.done(Result<Response>(Errc::kUnavailable, "waited too long"));
+    while (!pool_->queued.empty()) {
+      PendingCall call = std::move(pool_->queued.front());
+      pool_->queued.pop_front();
+      if (call.deadline > now) return Start(std::move(call));
+      call.done(Result<Response>(Errc::kUnavailable,
+                                 "waited too long for a connection"));
     }
     idle_since_ = now;
     pool_->idle.push_back(weak_from_this());
@@ -261,7 +264,7 @@
   PendingCall call_;
   TimePoint idle_since_{};
   bool busy_ = false;
-  /// Bytes of the call are still to go out; they must stay where they are.
+  /// A write of call_.bytes is in flight; the buffer must not change.
   bool writing_ = false;
   bool connected_ = false;
   bool closed_ = false;
@@ -281,15 +284,15 @@
   }
   const auto now = Clock::now();
   while (!pool->idle.empty()) {
-    // The most recently used one is the least likely to be closing.
+    // The most recently used connection is the least likely to be closing.
     const auto connection = pool->idle.back().lock();
     pool->idle.pop_back();
     if (!connection) continue;
-    if (connection->usable(now)) return connection->Take(std::move(call));
+    if (connection->usable(now)) return connection->Start(std::move(call));
     connection->Close();
   }
   if (pool->open >= d.options.max_connections) {
-    return pool->waiting.push_back(std::move(call));
+    return pool->queued.push_back(std::move(call));
   }
   std::make_shared<Connection>(d.io, d.options, d.opened, pool)
       ->Open(std::move(call));
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -16,52 +16,53 @@
 
 namespace mimosarail::http {
 
-/// Path of a request without its query.
+/// Path of the request's target, without the query.
 std::string PathOf(const Request& request);
 
 struct ClientOptions {
-  /// Most connections to one address; calls beyond them wait their turn.
+  /// Maximum number of connections to one address; further calls are queued.
   size_t max_connections = 16;
-  /// An idle connection is not used again after this, since the peer may be
-  /// closing it just then and a call on it would be in doubt. Peers keep idle
-  /// connections for 4 s or longer.
+  /// An idle connection is not reused after this time, since the peer may be
+  /// closing it at that moment, which would leave a call on it in doubt
+  /// (outcome unknown). Peers keep idle connections for 4 s or longer.
   Millis max_idle{2500};
-  /// Limit of opening a connection.
+  /// Time limit for opening a connection.
   Millis connect_timeout{700};
-  /// Unacknowledged data breaks a connection after this (TCP_USER_TIMEOUT).
-  Millis silence_timeout{1500};
+  /// A connection is aborted when sent data remains unacknowledged for this
+  /// long (TCP_USER_TIMEOUT).
+  Millis unacked_data_timeout{1500};
   size_t max_body = 4 << 20;
-  /// An answer that has begun is waited for as long as no more than the call's
-  /// timeout passes between two parts of it, and for no longer than this since
-  /// the call; 0 if the call's timeout holds for the whole of it.
+  /// Limit of a response that arrives in parts, counted from the call. Once it
+  /// has begun, the call's timeout applies to the time between two parts. With
+  /// 0, the call's timeout applies to the complete response.
   Millis longest_answer{0};
-  /// Requests and responses are counted here if it is not null; it outlives the
-  /// client.
+  /// Counts requests and responses unless it is null; must outlive the client.
   metrics::Traffic* traffic = nullptr;
-  /// Names the kind of message that a request and its response are counted as.
+  /// Returns the kind under which a request and its response are counted.
   std::function<std::string(const Request&)> traffic_kind = PathOf;
 };
 
-/// HTTP/1.1 client with reused connections. Every call has a timeout. Errors:
-/// kUnavailable when nothing was sent; kTimeout, kDisconnected and kMalformed
-/// when the call may have taken effect.
+/// HTTP/1.1 client that reuses connections. Every call has a timeout. Errors:
+/// kUnavailable if nothing was sent; kTimeout, kDisconnected and kMalformed
+/// if the call may have taken effect.
 class Client {
  public:
-  /// One thread runs `io`, which outlives the client.
+  /// `io` is run by exactly one thread and must outlive the client.
   Client(asio::io_context& io, ClientOptions options);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// `address` is "ip:port"; Host and Content-Length are added unless Host is
-  /// there. `done` runs once, on the thread of `io`. Thread-safe.
+  /// Sends a request. `address` is "ip:port". Content-Length is added, and Host
+  /// unless the request has it. `done` runs once, on the thread of `io`.
+  /// Thread-safe.
   void Call(const std::string& address, Request request, Millis timeout,
             Callback<Response> done);
 
-  /// Connections opened so far. Thread-safe.
+  /// Number of connections opened so far. Thread-safe.
   int64_t connections_opened() const;
 
-  /// Named here only for the helpers of the implementation.
+  /// Public only for the helpers of the implementation.
   struct Private;
 
  private:
--- a/src/libs/http/message.h
+++ b/src/libs/http/message.h
@@ -9,13 +9,13 @@
 
 using Header = std::pair<std::string, std::string>;
 
-/// Value of the first header of that name (any case), or empty.
+/// Value of the first header with that name (case-insensitive), or empty.
 std::string_view FindHeader(const std::vector<Header>& headers,
                             std::string_view name);
 
 struct Request {
   std::string method = "GET";
-  /// Path and query, as sent.
+  /// Path and query, not decoded.
   std::string target = "/";
   std::vector<Header> headers;
   std::string body;
--- a/src/libs/http/parser.cc
+++ b/src/libs/http/parser.cc
@@ -8,8 +8,8 @@
 namespace mimosarail::http {
 namespace {
 
-/// Largest start line and headers together, in bytes; http_parser's own bound
-/// is 80 KiB, far more than any peer of ours sends.
+/// Maximum size of start line and headers together, in bytes. http_parser's own
+/// limit is 80 KiB, far more than any peer of this project sends.
 constexpr size_t kMaxHead = 32 << 10;
 
 }  // namespace
@@ -50,9 +50,10 @@
       return Self(p).CountHead(n);
     };
     settings.on_headers_complete = [](http_parser* p) {
-      // We speak nothing else, so a wish to upgrade is passed over, as HTTP
-      // allows (RFC 9110, 7.8). The parser would end the connection there, and
-      // whether the request was taken or lost hung on how its bytes were cut.
+      // Ignores requests to upgrade, as HTTP allows (RFC 9110, 7.8): no other
+      // protocol is supported. Otherwise the parser would stop here, and it
+      // would depend on how the bytes are split into reads whether the request
+      // is handled or lost.
       p->upgrade = 0;
       return 0;
     };
--- a/src/libs/http/parser.h
+++ b/src/libs/http/parser.h
@@ -12,18 +12,18 @@
 
 struct ParserOptions {
   MessageKind kind = MessageKind::kRequest;
-  /// Largest body in bytes; a larger one is an error.
+  /// Maximum size of a body in bytes; a larger one is an error.
   size_t max_body = 4 << 20;
 };
 
-/// One HTTP/1.1 message as it came off a connection.
+/// An HTTP/1.1 message as received on a connection.
 struct ParsedMessage {
   Request request;
   Response response;
   bool keep_alive = false;
 };
 
-/// Incremental HTTP/1.1 parser over http_parser. Not thread-safe.
+/// Incremental HTTP/1.1 parser based on http_parser. Not thread-safe.
 class Parser {
  public:
   explicit Parser(ParserOptions options);
@@ -31,11 +31,12 @@
   Parser(const Parser&) = delete;
   Parser& operator=(const Parser&) = delete;
 
-  /// Hands every message that `bytes` completes to `done`. False when the
-  /// bytes are not HTTP or a bound is passed; the parser is then spent.
+  /// Passes every message that `bytes` completes to `done`. Returns false if
+  /// the bytes are not HTTP or exceed a limit; the parser cannot be used after
+  /// that.
   bool Feed(std::string_view bytes,
             const std::function<void(ParsedMessage)>& done);
-  /// Whether part of a message has come.
+  /// Whether a message has been received in part.
   bool inside_message() const;
 
  private:
--- a/src/libs/http/server.cc
+++ b/src/libs/http/server.cc
@@ -18,13 +18,15 @@
 using asio::ip::tcp;
 
 constexpr size_t kReadBytes = 16 << 10;
-/// Unacknowledged data breaks a connection after this, in ms.
-constexpr int kSilenceTimeoutMs = 5000;
-/// Pause after a failed accept (descriptors used up), in ms.
+/// A connection is aborted when sent data remains unacknowledged for this long,
+/// in ms.
+constexpr int kUnackedDataTimeoutMs = 5000;
+/// Pause after a failed accept, as when no descriptors are left.
 constexpr Millis kAcceptPause{50};
-/// After the end of the intake, time for a request that was sent just before: a
-/// connection closed at once would break under a caller who is writing to it.
-/// Ten times the longest way to a caller in one region (a few ms), rounded up.
+/// How long idle connections stay open after the server has stopped accepting,
+/// for requests that were sent just before: a connection closed at once would
+/// break while a caller writes to it. Ten times the longest network latency to
+/// a caller in one region (a few ms), rounded up.
 constexpr Millis kLastRequestGrace{100};
 
 std::string_view ReasonPhrase(int status) {
@@ -87,14 +89,14 @@
   std::atomic<bool> closing{false};
   std::atomic<int64_t> open_requests{0};
   std::atomic<size_t> connections{0};
-  /// Thread of `io` only.
+  /// Accessed on the thread of `io` only, as is `sessions`.
   bool accepting_stopped = false;
   std::unordered_set<Session*> sessions;
 };
 
 namespace {
 
-/// One accepted connection; requests on it are answered one by one.
+/// An accepted connection; its requests are handled one after the other.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(tcp::socket socket, std::shared_ptr<Server::Private> server)
@@ -114,67 +116,70 @@
   Session& operator=(const Session&) = delete;
 
   void Start() {
-    std::error_code ignored;  // an option that is refused only costs time
+    std::error_code ignored;  // without the option, responses only take longer
     socket_.set_option(tcp::no_delay(true), ignored);
     setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-               &kSilenceTimeoutMs, sizeof kSilenceTimeoutMs);
+               &kUnackedDataTimeoutMs, sizeof kUnackedDataTimeoutMs);
     ReadNext();
   }
 
-  /// A connection that waits for a request waits only a moment longer.
-  void OnIntakeEnded() {
-    if (reading_ && !parser_.inside_message()) Arm(kLastRequestGrace);
+  /// Shortens the wait of a connection that has no request.
+  void OnAcceptingStopped() {
+    if (reading_ && !parser_.inside_message()) ArmTimer(kLastRequestGrace);
   }
 
  private:
   void ReadNext() {
     reading_ = true;
-    Arm(parser_.inside_message()     ? server_->options.request_timeout
-        : server_->accepting_stopped ? kLastRequestGrace
-                                     : server_->options.idle_timeout);
+    ArmTimer(parser_.inside_message()     ? server_->options.request_timeout
+             : server_->accepting_stopped ? kLastRequestGrace
+                                          : server_->options.idle_timeout);
     socket_.async_read_some(
         asio::buffer(buffer_),
         [self = shared_from_this()](std::error_code error, size_t bytes) {
           self->reading_ = false;
-          self->Disarm();
+          self->DisarmTimer();
           if (error) return self->Close();
           self->OnBytes({self->buffer_.data(), bytes});
         });
   }
 
-  void Arm(Millis limit) {
+  void ArmTimer(Millis limit) {
     timer_.expires_after(limit);
     timer_.async_wait(
-        [weak = weak_from_this(), armed = ++armed_](std::error_code error) {
+        [weak = weak_from_this(),
+         generation = ++timer_generation_](std::error_code error) {
           auto self = weak.lock();
-          if (!error && self && self->armed_ == armed) self->OnTimeout();
+          if (!error && self && self->timer_generation_ == generation) {
+            self->OnTimeout();
+          }
         });
   }
 
-  /// Cancelling alone can't stop a time-out that is due already, as after the
-  /// process stood still. It would close the connection under a request that
-  /// was just read, and its caller would have no answer.
-  void Disarm() {
-    ++armed_;
+  /// Cancelling the timer cannot stop a time-out that is already due, as after
+  /// a process pause. Without the new count it would close the connection of a
+  /// request that has just been read, and its caller would get no answer.
+  void DisarmTimer() {
+    ++timer_generation_;
     timer_.cancel();
   }
 
   void OnTimeout() {
-    // A request that came in the last moment is read, not thrown away: the
+    // A request that arrived just before the time-out is not dropped: the
     // pending read is about to deliver it.
-    if (reading_ && BytesWait()) return;
+    if (reading_ && HasUnreadBytes()) return;
     Close();
   }
 
   void OnBytes(std::string_view bytes) {
     int64_t complete = 0;
-    const bool good = parser_.Feed(bytes, [&](ParsedMessage message) {
+    const bool valid = parser_.Feed(bytes, [&](ParsedMessage message) {
       ++complete;
       ++server_->open_requests;
       requests_.push_back(std::move(message));
     });
     CountTraffic(metrics::Direction::kIn, bytes.size(), complete);
-    if (!good) {
+    if (!valid) {
       keep_alive_ = false;
       return Write({.status = 400, .body = "not a request\n"}, false);
     }
@@ -182,22 +187,23 @@
     HandleNext();
   }
 
-  /// The answer of one request. A handler that loses it, as when what the
-  /// request waited for has gone, would leave its caller with a connection that
-  /// closes without a word; the caller is told that the outcome is not known.
-  class Answer {
+  /// The pending response to one request. If the handler drops it, as when the
+  /// object that the request waited for is destroyed, the connection would be
+  /// closed without a response; the destructor sends status 504 instead, which
+  /// reports that the outcome is unknown.
+  class PendingResponse {
    public:
-    explicit Answer(std::shared_ptr<Session> session)
+    explicit PendingResponse(std::shared_ptr<Session> session)
         : session_(std::move(session)) {}
-    ~Answer() {
+    ~PendingResponse() {
       if (!session_) return;
       logging::Event(logging::Level::kError, "request dropped by its handler");
-      Give({.status = 504});
+      Send({.status = 504});
     }
-    Answer(const Answer&) = delete;
-    Answer& operator=(const Answer&) = delete;
+    PendingResponse(const PendingResponse&) = delete;
+    PendingResponse& operator=(const PendingResponse&) = delete;
 
-    void Give(Response response) {
+    void Send(Response response) {
       auto session = std::exchange(session_, nullptr);
       if (!session) return;
       auto& io = session->server_->io;
@@ -217,16 +223,17 @@
     keep_alive_ = message.keep_alive;
     server_->handler(
         std::move(message.request),
-        [answer = std::make_shared<Answer>(shared_from_this())](
-            Response response) { answer->Give(std::move(response)); });
+        [pending = std::make_shared<PendingResponse>(shared_from_this())](
+            Response response) { pending->Send(std::move(response)); });
   }
 
   void Write(const Response& response, bool counted) {
-    // A stopping server answers what a caller has sent ahead before it ends the
-    // connection; nothing that was read may go without an answer.
-    const bool more =
-        !requests_.empty() || parser_.inside_message() || BytesWait();
-    keep_alive_ = keep_alive_ && (!server_->closing || more);
+    // During shutdown, requests that the caller has already sent are answered
+    // before the connection is closed; no request that was read may remain
+    // without an answer.
+    const bool has_further_requests =
+        !requests_.empty() || parser_.inside_message() || HasUnreadBytes();
+    keep_alive_ = keep_alive_ && (!server_->closing || has_further_requests);
     out_ = Serialize(response, keep_alive_);
     CountTraffic(metrics::Direction::kOut, out_.size(), 1);
     asio::async_write(
@@ -247,27 +254,27 @@
     options.traffic->Count(options.traffic_kind, direction, bytes, messages);
   }
 
-  /// Whether the caller has sent what nobody has read yet.
-  bool BytesWait() const {
+  /// Whether the socket has received bytes that have not been read.
+  bool HasUnreadBytes() const {
     std::error_code error;
     return socket_.available(error) > 0 && !error;
   }
 
-  /// Ends the sending side first: closing with unread bytes would reset the
-  /// connection and could destroy the answer on its way.
+  /// Shuts down the sending side first: closing a socket with unread bytes
+  /// would reset the connection and could discard the response in transit.
   void Finish() {
-    std::error_code ignored;  // the peer may have closed already
+    std::error_code ignored;  // the peer may have closed the connection
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     Drain();
   }
 
   void Drain() {
     constexpr Millis kDrainTime{1000};
-    Arm(kDrainTime);
+    ArmTimer(kDrainTime);
     socket_.async_read_some(
         asio::buffer(buffer_),
         [self = shared_from_this()](std::error_code error, size_t) {
-          self->Disarm();
+          self->DisarmTimer();
           if (error) return self->Close();
           self->Drain();
         });
@@ -276,14 +283,15 @@
   void Close() {
     server_->open_requests -= static_cast<int64_t>(requests_.size());
     requests_.clear();
-    std::error_code ignored;  // closing is all that is left to do
+    std::error_code ignored;  // an error on closing has no consequence
     socket_.close(ignored);
   }
 
   tcp::socket socket_;
   asio::steady_timer timer_;
-  /// Tells the time-out that counts from earlier ones.
-  uint64_t armed_ = 0;
+  /// Incremented each time the timer is armed or disarmed, so that earlier
+  /// time-outs are recognized as outdated.
+  uint64_t timer_generation_ = 0;
   std::shared_ptr<Server::Private> server_;
   Parser parser_;
   std::deque<ParsedMessage> requests_;
@@ -303,17 +311,17 @@
 void Server::Private::StopAccepting() {
   closing = true;
   accepting_stopped = true;
-  // Callers whose connection the kernel has accepted already are served; those
-  // who come after the listener is closed are told at once, and go elsewhere.
+  // Connections that the kernel has already accepted are served. Later ones are
+  // refused at once, so that callers can connect to another entry.
   std::error_code error;
   acceptor.non_blocking(true, error);
   while (!error) {
     tcp::socket socket = acceptor.accept(error);
     if (!error) StartSession(std::move(socket));
   }
-  std::error_code ignored;  // it is gone either way
+  std::error_code ignored;  // the listener is closed in any case
   acceptor.close(ignored);
-  for (Session* session : sessions) session->OnIntakeEnded();
+  for (Session* session : sessions) session->OnAcceptingStopped();
 }
 
 void Server::Private::AcceptNext() {
@@ -339,7 +347,7 @@
                                    std::move(handler))) {}
 
 Server::~Server() {
-  std::error_code ignored;  // nothing is left to tell
+  std::error_code ignored;  // no consequence on destruction
   d_->acceptor.close(ignored);
 }
 
@@ -366,7 +374,8 @@
 void Server::StopAccepting(std::function<void()> done) {
   asio::post(d_->io, [d = d_, done = std::move(done)]() mutable {
     d->StopAccepting();
-    // Behind a connection whose accept was queued already: it counts by then.
+    // Posted, so that `done` runs after a queued accept handler has counted its
+    // connection.
     asio::post(d->io, std::move(done));
   });
 }
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -16,21 +16,22 @@
 
 namespace mimosarail::http {
 
-/// Takes the response of one request, once, on any thread.
+/// Sends the response to one request. Called once, on any thread.
 using Responder = std::function<void(Response)>;
 using Handler = std::function<void(Request, Responder)>;
 
 struct ServerOptions {
-  /// Most connections at once; further ones are closed as they come.
+  /// Maximum number of open connections; further ones are closed on accept.
   size_t max_connections = 2000;
-  /// A connection that has not finished sending a request is closed after
-  /// this, so that slow senders cannot hold connections for ever.
+  /// A connection on which a request is incomplete is closed when no bytes
+  /// arrive for this long, so that stalled senders do not occupy connections
+  /// forever.
   Millis request_timeout{5000};
-  /// A connection without a request is closed after this.
+  /// A connection without a request is closed after this time.
   Millis idle_timeout{60000};
   size_t max_body = 1 << 20;
-  /// Requests and responses are counted here as `traffic_kind`, if it is not
-  /// null; it outlives the server.
+  /// Counts requests and responses as `traffic_kind` unless it is null; must
+  /// outlive the server.
   metrics::Traffic* traffic = nullptr;
   std::string traffic_kind = "served";
 };
@@ -38,7 +39,7 @@
 /// HTTP/1.1 server. `handler` runs on the thread of `io`.
 class Server {
  public:
-  /// One thread runs `io`, which outlives the server.
+  /// `io` is run by exactly one thread and must outlive the server.
   Server(asio::io_context& io, ServerOptions options, Handler handler);
   ~Server();
   Server(const Server&) = delete;
@@ -47,22 +48,22 @@
   /// Binds "ip:port" (port 0 lets the kernel choose); returns the port.
   Result<uint16_t> Listen(const std::string& address);
 
-  /// From now on each response closes its connection. Thread-safe.
+  /// Closes each connection with its next response from now on. Thread-safe.
   void BeginShutdown();
 
-  /// Takes no connection any more, and closes those on which no request is
-  /// under way. Requests that were read, or of which a part has come, are
-  /// answered, each connection's last one with its end. `done` runs on the
-  /// thread of `io` when further connections are refused. Thread-safe.
+  /// Stops accepting connections and closes those that have no request in
+  /// flight. Requests that have been received, completely or in part, are
+  /// answered; the last response on a connection closes it. `done` runs on the
+  /// thread of `io` once further connections are refused. Thread-safe.
   void StopAccepting(std::function<void()> done = [] {});
 
-  /// Requests read and not yet answered. Thread-safe.
+  /// Number of requests read and not yet answered. Thread-safe.
   int64_t open_requests() const;
 
-  /// Connections accepted and not yet closed. Thread-safe.
+  /// Number of connections accepted and not yet closed. Thread-safe.
   size_t connections() const;
 
-  /// Named here only for the helpers of the implementation.
+  /// Public only for the helpers of the implementation.
   struct Private;
 
  private:
--- a/src/libs/json/json_text.cc
+++ b/src/libs/json/json_text.cc
@@ -7,11 +7,11 @@
 namespace mimosarail::json {
 namespace {
 
-/// Deepest nesting accepted: a parser of ours recurses nowhere, but the
-/// readers and the destructor of a document do.
+/// Maximum nesting depth. The parser does not recurse, but the readers and the
+/// destructor of a document do.
 constexpr size_t kMaxDepth = 32;
 
-/// Counts how far the parser has read, since its events carry no position.
+/// Counts the characters read, because the parser's events have no position.
 class CountingIterator {
  public:
   using iterator_category = std::input_iterator_tag;
@@ -55,7 +55,8 @@
   return std::to_string(line) + ":" + std::to_string(column);
 }
 
-/// Builds the document and notes places, keys that stand twice and depth.
+/// Builds the document, records the positions of its members and reports
+/// duplicate keys and excessive depth.
 class Builder final : public nlohmann::json_sax<Json> {
  public:
   Builder(const std::string& text, const size_t& count, JsonText& out,
@@ -126,7 +127,8 @@
     }
     Json& parent = *levels_.back().node;
     if (parent.is_array()) {
-      // The parser has read past a string, whose length is known.
+      // The parser has already read a string to its end, so its length is
+      // subtracted.
       const size_t start = count_ > token_length_ ? count_ - token_length_ : 0;
       out_.places.emplace(Path(), LineAndColumn(text_, start));
       parent.push_back(std::move(value));
@@ -181,10 +183,10 @@
   Builder builder(text, count, out, findings);
   const CountingIterator begin(text.data(), &count);
   const CountingIterator end(text.data() + text.size(), &count);
-  const bool whole =
+  const bool complete =
       Json::sax_parse(begin, end, &builder, Json::input_format_t::json,
                       /*strict=*/true, /*ignore_comments=*/true);
-  if (!whole || findings.list().size() > before) return std::nullopt;
+  if (!complete || findings.list().size() > before) return std::nullopt;
   return out;
 }
 
--- a/src/libs/json/object_reader.cc
+++ b/src/libs/json/object_reader.cc
@@ -5,12 +5,12 @@
 namespace mimosarail::json {
 namespace {
 
-std::string Range(Bounds bounds) {
+std::string RangeText(Bounds bounds) {
   return "must be from " + std::to_string(bounds.min) + " to " +
          std::to_string(bounds.max);
 }
 
-bool Inside(int64_t value, Bounds bounds) {
+bool InBounds(int64_t value, Bounds bounds) {
   return value >= bounds.min && value <= bounds.max;
 }
 
@@ -67,10 +67,10 @@
   if (member == nullptr) return;
   if (member->is_number_unsigned() &&
       member->get<uint64_t>() > static_cast<uint64_t>(INT64_MAX)) {
-    return Add(key, Range(bounds));
+    return Add(key, RangeText(bounds));
   }
   const auto value = member->get<int64_t>();
-  if (!Inside(value, bounds)) return Add(key, Range(bounds));
+  if (!InBounds(value, bounds)) return Add(key, RangeText(bounds));
   out = value;
 }
 
@@ -90,8 +90,8 @@
   const Json* member = Typed(key, &Json::is_string, "a string");
   if (member == nullptr) return;
   const auto& value = member->get_ref<const std::string&>();
-  if (!Inside(static_cast<int64_t>(value.size()), bounds)) {
-    return Add(key, "length " + Range(bounds));
+  if (!InBounds(static_cast<int64_t>(value.size()), bounds)) {
+    return Add(key, "length " + RangeText(bounds));
   }
   out = value;
 }
@@ -116,7 +116,7 @@
   const auto value = member->get<double>();
   if (!(value >= static_cast<double>(bounds.min) &&
         value <= static_cast<double>(bounds.max))) {
-    return Add(key, Range(bounds));
+    return Add(key, RangeText(bounds));
   }
   out = std::llround(value * static_cast<double>(scale));
 }
--- a/src/libs/json/object_reader.h
+++ b/src/libs/json/object_reader.h
@@ -18,9 +18,10 @@
   int64_t max = 0;
 };
 
-/// Reads the members of one object, collecting wrong types, values out of
-/// bounds and unknown keys. Absent members leave the target as it was.
-/// Not thread-safe; the text and findings outlive it.
+/// Reads the members of one object and collects wrong types, values out of
+/// bounds and unknown keys as findings. Absent members leave the target
+/// unchanged. Not thread-safe; the text, the object and the findings must
+/// outlive the reader.
 class ObjectReader {
  public:
   ObjectReader(const JsonText& text, const Json& object, std::string path,
@@ -30,10 +31,11 @@
   void Read(const std::string& key, int64_t& out, Bounds bounds);
   void Read(const std::string& key, int32_t& out, Bounds bounds);
   void Read(const std::string& key, bool& out);
-  /// Bounds count bytes.
+  /// `bounds` limit the length in bytes.
   void Read(const std::string& key, std::string& out, Bounds bounds);
   void Read(const std::string& key, std::vector<std::string>& out);
-  /// Reads a number with a fraction and multiplies it.
+  /// Reads a number that may have a fraction, multiplies it by `scale` and
+  /// rounds the product.
   void ReadScaled(const std::string& key, int64_t& out, Bounds bounds,
                   int64_t scale);
 
@@ -49,14 +51,15 @@
     }
   }
 
-  /// The member if it is an object (or an array); a finding if it is not.
+  /// The member if it is an object (or an array). Adds a finding if it has
+  /// another type.
   const Json* Object(const std::string& key);
   const Json* Array(const std::string& key);
 
   void Add(const std::string& key, std::string message);
   std::string Path(const std::string& key) const;
 
-  /// Reports every member that nothing asked for.
+  /// Reports every member that has not been read as an unknown key.
   void Finish();
 
  private:
--- a/src/libs/logging/log.cc
+++ b/src/libs/logging/log.cc
@@ -36,15 +36,15 @@
     EnumName{Level::kError, "error"},
 }};
 
-/// Lines that may wait for a reader of standard output; some 1 MB. A reader
-/// that stands still must not hold up the process or fill its memory.
-constexpr size_t kQueuedLines = 4096;
+/// Maximum number of lines queued for standard output, about 1 MB. A stalled
+/// reader must neither block the process nor exhaust its memory.
+constexpr size_t kMaxQueuedLines = 4096;
 
 std::atomic<int64_t> dropped_lines{0};
 
-/// Writes lines to standard output on a thread of its own. Boost.Log is used on
-/// that thread alone: its library is not built for the thread sanitizer, which
-/// takes what the library does between threads for races.
+/// Writes lines to standard output on its own thread. Only that thread uses
+/// Boost.Log: the library is not built with the thread sanitizer, which would
+/// report its synchronization between threads as races.
 class Writer {
  public:
   Writer() : thread_([this] { Run(); }) {}
@@ -53,20 +53,20 @@
       std::lock_guard lock(mutex_);
       stopping_ = true;
     }
-    filled_.notify_one();
+    wake_up_.notify_one();
     thread_.join();
   }
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
 
-  /// False when the queue is full. Safe from any thread.
-  bool Offer(std::string line) {
+  /// Queues a line; false if the queue is full. Safe from any thread.
+  bool TryEnqueue(std::string line) {
     {
       std::lock_guard lock(mutex_);
-      if (lines_.size() >= kQueuedLines) return false;
+      if (lines_.size() >= kMaxQueuedLines) return false;
       lines_.push_back(std::move(line));
     }
-    filled_.notify_one();
+    wake_up_.notify_one();
     return true;
   }
 
@@ -81,7 +81,7 @@
     bl::core::get()->add_sink(sink);
     bl::sources::logger logger;
     for (;;) {
-      const std::deque<std::string> lines = Take();
+      const std::deque<std::string> lines = WaitForLines();
       if (lines.empty()) break;
       for (const std::string& line : lines) BOOST_LOG(logger) << line;
       sink->flush();
@@ -89,25 +89,26 @@
     bl::core::get()->remove_sink(sink);
   }
 
-  /// All that waits; empty when the writer stops and nothing is left.
-  std::deque<std::string> Take() {
+  /// Waits for lines and returns all that are queued; empty once the writer is
+  /// stopping and the queue is empty.
+  std::deque<std::string> WaitForLines() {
     std::unique_lock lock(mutex_);
-    filled_.wait(lock, [this] { return stopping_ || !lines_.empty(); });
+    wake_up_.wait(lock, [this] { return stopping_ || !lines_.empty(); });
     return std::exchange(lines_, {});
   }
 
   std::mutex mutex_;
-  std::condition_variable filled_;
+  std::condition_variable wake_up_;
   std::deque<std::string> lines_;
   bool stopping_ = false;
   std::thread thread_;
 };
 
 std::string instance_name;
-Level least_level = Level::kInfo;
+Level min_level = Level::kInfo;
 std::unique_ptr<Writer> writer;
 
-/// The time of day to the microsecond, UTC.
+/// The current UTC date and time with microseconds.
 std::string TimeText() {
   using std::chrono::microseconds;
   constexpr int64_t kMicrosPerSecond = 1000000;
@@ -126,9 +127,9 @@
 
 }  // namespace
 
-void Start(std::string_view instance, Level least) {
+void Start(std::string_view instance, Level min) {
   instance_name = instance;
-  least_level = least;
+  min_level = min;
   writer = std::make_unique<Writer>();
 }
 
@@ -140,7 +141,7 @@
 int64_t Dropped() { return dropped_lines.load(); }
 
 bool Enabled(Level level) {
-  return !instance_name.empty() && level >= least_level;
+  return !instance_name.empty() && level >= min_level;
 }
 
 void Event(Level level, std::string_view event,
@@ -152,7 +153,7 @@
   line["instance"] = instance_name;
   line["event"] = event;
   for (const Field& field : fields) line[std::string(field.name)] = field.value;
-  const bool queued = writer->Offer(
+  const bool queued = writer->TryEnqueue(
       line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   if (!queued) ++dropped_lines;
 }
--- a/src/libs/logging/log.h
+++ b/src/libs/logging/log.h
@@ -9,33 +9,34 @@
 
 enum class Level { kDebug, kInfo, kWarning, kError };
 
-/// One name and value of a structured line.
+/// A field of a structured log line.
 struct Field {
   std::string_view name;
   std::string value;
 };
 
-/// Sends structured lines of at least `least` to standard output; without it
-/// they are dropped. Call once, before other threads start.
-void Start(std::string_view instance, Level least = Level::kInfo);
+/// Starts writing structured lines of level `min` or above to standard output;
+/// without this call all lines are discarded. Call once, before other threads
+/// start.
+void Start(std::string_view instance, Level min = Level::kInfo);
 
-/// Writes what is queued; call once before the process ends.
+/// Writes all queued lines and stops. Call once, before the process ends.
 void Stop();
 
-/// Lines dropped so far because standard output did not take them in time.
-/// Safe from any thread.
+/// Number of lines dropped so far because the queue for standard output was
+/// full. Safe from any thread.
 int64_t Dropped();
 
 /// Whether lines of this level are written. Safe from any thread.
 bool Enabled(Level level);
 
-/// Queues one line: a decision that touches a request, or a change of what the
-/// process believes. Never blocks: with a full queue the line is dropped and
-/// counted. Safe from any thread.
+/// Queues one line. Events are decisions that affect a request, and changes in
+/// the process's view of the system. Never blocks: if the queue is full, the
+/// line is dropped and counted. Safe from any thread.
 void Event(Level level, std::string_view event,
            const std::vector<Field>& fields = {});
 
-/// A number in a log line. Safe from any thread.
+/// Formats a number for a log line. Safe from any thread.
 inline std::string Text(int64_t value) { return std::to_string(value); }
 
 }  // namespace mimosarail::logging
--- a/src/libs/metrics/metrics.h
+++ b/src/libs/metrics/metrics.h
@@ -8,7 +8,7 @@
 
 namespace mimosarail::metrics {
 
-/// "name" and its labels, as in `waiting_ms{rule="push"}`.
+/// A metric name and its labels, as in `waiting_ms{rule="push"}`.
 struct Series {
   std::string name;
   std::map<std::string, std::string> labels;
@@ -25,15 +25,17 @@
   Registry(const Registry&) = delete;
   Registry& operator=(const Registry&) = delete;
 
-  /// A counter only grows.
+  /// Adds to a counter, which never decreases.
   void Count(const Series& series, int64_t by = 1);
   void Set(const Series& series, double value);
-  /// Adds to a distribution: count, sum, p50, p99 and max are shown.
-  /// Labels must be few: at most kMaxSeries distributions are kept, and
-  /// observations of any further one are counted as dropped.
+  /// Adds a value to a distribution; its count, sum, maximum and the quantiles
+  /// 0.5, 0.9 and 0.99 are exported. Use few label values: at most kMaxSeries
+  /// distributions are kept, and observations of further ones are only counted
+  /// as dropped.
   void Observe(const Series& series, double value);
 
-  /// The usual text format, sorted by name.
+  /// All metrics in Prometheus text format: counters, gauges, distributions,
+  /// each sorted by name.
   std::string Text() const;
 
   static constexpr size_t kMaxSeries = 512;
--- a/src/libs/metrics/traffic.cc
+++ b/src/libs/metrics/traffic.cc
@@ -12,11 +12,11 @@
 }  // namespace
 
 Traffic::Counted& Traffic::Find(std::string_view kind, Direction direction) {
-  Counters& book = direction == Direction::kIn ? in_ : out_;
-  const auto found = book.find(kind);
-  if (found != book.end()) return found->second;
-  const bool full = book.size() >= kMaxKinds;
-  return book[std::string(full ? kOtherKind : kind)];
+  Counters& counters = direction == Direction::kIn ? in_ : out_;
+  const auto found = counters.find(kind);
+  if (found != counters.end()) return found->second;
+  const bool full = counters.size() >= kMaxKinds;
+  return counters[std::string(full ? kOtherKind : kind)];
 }
 
 void Traffic::Count(std::string_view kind, Direction direction, size_t bytes,
@@ -44,8 +44,8 @@
 std::vector<Traffic::Row> Traffic::TakeRecent() {
   const std::lock_guard lock(mutex_);
   std::vector<Row> out;
-  const auto take = [&out](Counters& book, Direction direction) {
-    for (auto& [kind, counted] : book) {
+  const auto take = [&out](Counters& counters, Direction direction) {
+    for (auto& [kind, counted] : counters) {
       const Totals since{counted.so_far.messages - counted.taken.messages,
                          counted.so_far.bytes - counted.taken.bytes};
       if (since.bytes > 0) out.push_back({kind, direction, since});
@@ -72,9 +72,9 @@
 }
 
 std::string DescribeTraffic(const std::vector<Traffic::Row>& rows,
-                            size_t most) {
+                            size_t max_rows) {
   std::string out;
-  for (size_t i = 0; i < std::min(most, rows.size()); ++i) {
+  for (size_t i = 0; i < std::min(max_rows, rows.size()); ++i) {
     const Traffic::Row& row = rows[i];
     if (!out.empty()) out += ", ";
     out += row.kind + " " + DirectionName(row.direction) + " " +
--- a/src/libs/metrics/traffic.h
+++ b/src/libs/metrics/traffic.h
@@ -14,8 +14,9 @@
 
 enum class Direction { kIn, kOut };
 
-/// Messages and bytes of one process by kind of message and direction, as
-/// written to and read from sockets: what fills its link. Thread-safe.
+/// Counts the messages and bytes that one process writes to and reads from
+/// sockets, by kind of message and direction: the load on its network link.
+/// Thread-safe.
 class Traffic {
  public:
   struct Totals {
@@ -28,15 +29,17 @@
     Totals totals;
   };
 
-  /// Kinds must be few: what comes after kMaxKinds is counted as kOtherKind. A
-  /// message that comes in parts counts with its last one.
+  /// Adds to the totals of a kind. Use few kinds: those beyond the first
+  /// kMaxKinds are counted as kOtherKind. A message that arrives in parts is
+  /// counted with its last part, its bytes with each part.
   void Count(std::string_view kind, Direction direction, size_t bytes,
              int64_t messages = 1);
 
-  /// All so far, by kind.
+  /// Totals since the start, sorted by kind.
   std::vector<Row> Rows() const;
 
-  /// What was counted since the last call of this, the most bytes first.
+  /// Totals since the previous call of TakeRecent(), sorted by bytes in
+  /// descending order.
   std::vector<Row> TakeRecent();
 
   static constexpr size_t kMaxKinds = 64;
@@ -45,7 +48,7 @@
  private:
   struct Counted {
     Totals so_far;
-    /// Up to the last TakeRecent().
+    /// Value of so_far at the last TakeRecent().
     Totals taken;
   };
   using Counters = std::map<std::string, Counted, std::less<>>;
@@ -58,13 +61,16 @@
   Counters out_;
 };
 
-/// Sets traffic_bytes and traffic_messages by message and direction.
+/// Sets the gauges traffic_bytes and traffic_messages for each kind of message
+/// and direction.
 void ExportTraffic(const Traffic& traffic, Registry& registry);
 
-/// "KIND in MESSAGES/BYTES, ..." of the first `most` rows, for a log line.
-std::string DescribeTraffic(const std::vector<Traffic::Row>& rows, size_t most);
+/// Text "KIND in MESSAGES/BYTES, ..." of the first `max_rows` rows, for a log
+/// line.
+std::string DescribeTraffic(const std::vector<Traffic::Row>& rows,
+                            size_t max_rows);
 
-/// Bytes of all rows of one direction.
+/// Sum of the bytes of all rows with that direction.
 int64_t TrafficBytes(const std::vector<Traffic::Row>& rows,
                      Direction direction);
 
--- a/src/libs/rpc/asio_executor.h
+++ b/src/libs/rpc/asio_executor.h
@@ -10,7 +10,7 @@
 
 namespace mimosarail::rpc {
 
-/// Executor over an io_context that exactly one thread runs.
+/// Executor based on an io_context that is run by exactly one thread.
 class AsioExecutor final : public Executor {
  public:
   /// `io` must outlive the executor.
--- a/src/libs/rpc/client.cc
+++ b/src/libs/rpc/client.cc
@@ -13,7 +13,7 @@
 
 using asio::ip::tcp;
 
-/// One connection; every member runs on its strand.
+/// A connection to one address; its private members run on its strand.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(asio::io_context& io, std::atomic<int64_t>& bytes,
@@ -76,12 +76,12 @@
     if (open_ && queue_.size() == 1) WriteNext();
   }
 
-  /// A connection can go silent for good without a reset: each call on it
-  /// would time out for ever. One that brought nothing since the call was sent
-  /// is given up, so that the next call opens a new one.
+  /// A connection can stop delivering data without a reset, and every call on
+  /// it would then time out. If no frame has been received since the call was
+  /// sent, the connection is closed, so that the next call opens a new one.
   void OnTimeout(int64_t id, TimePoint sent) {
     Finish(id, Errc::kTimeout);
-    if (last_received_ < sent) Fail(Errc::kTimeout, "connection went silent");
+    if (last_received_ < sent) Fail(Errc::kTimeout, "connection unresponsive");
   }
 
   void WriteNext() {
@@ -116,7 +116,8 @@
                    });
   }
 
-  /// A reply that comes after its call has timed out fills the link as well.
+  /// A reply that arrives after its call has timed out is counted as "late",
+  /// since it loads the link as well.
   void CountReply(int64_t id) {
     const auto found = pending_.find(id);
     const std::string_view name = found == pending_.end()
@@ -142,7 +143,7 @@
 
   void Finish(int64_t id, Result<std::string> result) {
     auto found = pending_.find(id);
-    if (found == pending_.end()) return;  // late reply to a timed-out call
+    if (found == pending_.end()) return;  // the call has timed out
     Callback<std::string> done = std::move(found->second.done);
     pending_.erase(found);
     done(std::move(result));
--- a/src/libs/rpc/client.h
+++ b/src/libs/rpc/client.h
@@ -16,12 +16,12 @@
 
 namespace mimosarail::rpc {
 
-/// Calls other processes over framed TCP, one multiplexed connection an
-/// address. Thread-safe. A failed call says nothing about its effect.
+/// Calls methods of other processes over framed TCP, with one multiplexed
+/// connection per address. Thread-safe. A failed call may have taken effect.
 class Client {
  public:
   /// `io` and `traffic`, which may be null, must outlive the client's last
-  /// callback. Frames are counted there as "ask" and the call's name.
+  /// callback. `traffic` counts frames as "ask" and the name of the method.
   explicit Client(asio::io_context& io, metrics::Traffic* traffic = nullptr);
   ~Client();
   Client(const Client&) = delete;
@@ -31,7 +31,8 @@
   void Call(const std::string& address, Method method, std::string body,
             Millis timeout, Callback<std::string> done);
 
-  /// Bytes of frames sent and received so far; for the control cost.
+  /// Bytes of frames sent and received so far, for the metric of control
+  /// traffic.
   int64_t bytes() const;
 
  private:
@@ -39,8 +40,8 @@
   std::shared_ptr<Private> d_;
 };
 
-/// Call() with the typed messages encoded and decoded around it; `done` is
-/// handed to `executor`.
+/// Client::Call() with typed messages: encodes the call and decodes the reply.
+/// `done` runs on `executor`.
 template <typename Reply, typename Message>
 void CallTyped(Client& client, Executor& executor, const std::string& address,
                Method method, const Message& call, Millis timeout,
--- a/src/libs/rpc/codec.cc
+++ b/src/libs/rpc/codec.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Longest list of a message: a job has up to 100,000 tasks. A list of so many
-/// of the largest elements takes 65 MB.
+/// Maximum length of a list in a message: a job has up to 100,000 tasks. A list
+/// of this length with the largest elements takes 65 MB.
 constexpr int32_t kMaxElements = 1 << 18;
 
 }  // namespace
@@ -28,13 +28,14 @@
 }
 
 bool DecodeInto(std::string_view bytes, apache::thrift::TBase& message) {
-  // Thrift only reads through the pointer in OBSERVE mode.
+  // In OBSERVE mode, Thrift only reads through the pointer.
   auto* data =
       reinterpret_cast<uint8_t*>(const_cast<char*>(bytes.data()));  // NOLINT
   auto buffer = std::make_shared<TMemoryBuffer>(
       data, static_cast<uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE);
-  // A corrupt length must not allocate more than the bytes that came. Elements
-  // are up to 250 times larger in memory than on the wire.
+  // A corrupt length must not allocate more bytes or elements than the number
+  // of bytes received. Elements are up to 250 times larger in memory than on
+  // the wire.
   const auto limit = static_cast<int32_t>(bytes.size()) + 1;
   TCompactProtocol protocol(buffer, limit, std::min(limit, kMaxElements));
   try {
--- a/src/libs/rpc/codec.h
+++ b/src/libs/rpc/codec.h
@@ -11,13 +11,14 @@
 
 namespace mimosarail::rpc {
 
-/// Thrift compact bytes of a message; safe from any thread.
+/// Encodes a message in Thrift's compact protocol. Safe from any thread.
 std::string Encode(const apache::thrift::TBase& message);
 
-/// False when the bytes are not a whole message. Safe from any thread.
+/// Decodes a message; false if the bytes are not a complete message. Safe from
+/// any thread.
 bool DecodeInto(std::string_view bytes, apache::thrift::TBase& message);
 
-/// The message, or Errc::kMalformed. Safe from any thread.
+/// Returns the decoded message, or Errc::kMalformed. Safe from any thread.
 template <typename T>
 Result<T> Decode(std::string_view bytes) {
   T message;
--- a/src/libs/rpc/framing.h
+++ b/src/libs/rpc/framing.h
@@ -12,23 +12,23 @@
 
 namespace mimosarail::rpc {
 
-/// Largest frame either side accepts, in bytes.
+/// Maximum size of a frame that either side accepts, in bytes.
 inline constexpr uint32_t kMaxFrame = 32U << 20U;
 inline constexpr size_t kLengthBytes = 4;
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct Endpoint {
   asio::ip::address address;
   uint16_t port = 0;
 };
 
-/// Reads "ip:port"; safe from any thread.
+/// Parses "ip:port". Safe from any thread.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
-/// Length and encoded frame, ready to write; safe from any thread.
+/// Returns the length prefix and the encoded frame. Safe from any thread.
 std::string FrameBytes(const wire::Frame& frame);
 
-/// Length that the first bytes announce.
+/// Returns the length given by the first kLengthBytes bytes.
 uint32_t FrameLength(const std::string& buffer);
 
 /// Reads one frame into `buffer`, which must outlive the read.
@@ -43,8 +43,9 @@
         if (error) return done(Error{error, error.message()});
         const uint32_t length = FrameLength(buffer);
         if (length > kMaxFrame) return done(Errc::kMalformed);
-        // Grows as the bytes come: a length alone, sent on eight connections,
-        // would otherwise take the 260 MB that a process has.
+        // The buffer grows as bytes arrive. If it were allocated at once,
+        // lengths alone, sent on eight connections, would take up the 260 MB
+        // of memory that a process has.
         buffer.clear();
         asio::async_read(
             socket, asio::dynamic_buffer(buffer, length),
--- a/src/libs/rpc/method.h
+++ b/src/libs/rpc/method.h
@@ -7,7 +7,7 @@
 
 namespace mimosarail::rpc {
 
-/// Every call between processes; the numbers are the wire format.
+/// All calls between processes. The numbers are part of the wire format.
 enum class Method : int32_t {
   kList = 1,
   kAttach = 10,
@@ -34,7 +34,7 @@
   kAdvise = 56,
 };
 
-/// Names of the calls, for operators.
+/// Names of the calls as shown to operators.
 inline constexpr EnumTable kMethodNames{std::array{
     EnumName{Method::kList, "list"},
     EnumName{Method::kAttach, "attach"},
--- a/src/libs/rpc/server.cc
+++ b/src/libs/rpc/server.cc
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// Pause after a failed accept.
+/// Pause after a failed accept, as when no descriptors are left.
 constexpr Millis kAcceptPause{50};
 
 using HandlerTable = std::unordered_map<int32_t, Handler>;
 
-/// One accepted connection; every member runs on its strand.
+/// An accepted connection; all members run on its strand.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(tcp::socket socket, std::shared_ptr<const HandlerTable> handlers,
@@ -122,7 +122,7 @@
       : io(io_in), traffic(traffic_in), acceptor(io_in), pause(io_in) {}
 
   void AcceptNext() {
-    if (!acceptor.is_open()) return;  // the server has ended
+    if (!acceptor.is_open()) return;  // the server has been destroyed
     acceptor.async_accept(
         asio::make_strand(io),
         [self = shared_from_this()](std::error_code error, tcp::socket socket) {
@@ -137,9 +137,9 @@
         });
   }
 
-  /// A failure passes, as when descriptors were used up for a moment. With no
-  /// further accept the other instances could not reach this one until it is
-  /// started anew.
+  /// Accepts again after a pause. Failures are transient, as when no
+  /// descriptors are left for a moment. Without a further accept, the other
+  /// instances could not reach this one until it is restarted.
   void AcceptLater(std::error_code cause) {
     logging::Event(logging::Level::kWarning, "accept failed",
                    {{"cause", cause.message()}});
--- a/src/libs/rpc/server.h
+++ b/src/libs/rpc/server.h
@@ -16,21 +16,21 @@
 
 namespace mimosarail::rpc {
 
-/// Sends the reply of one call; may run once, on any thread, at any time.
+/// Sends the reply to one call. May be called once, on any thread, at any time.
 using Responder = std::function<void(Result<std::string>)>;
 using Handler = std::function<void(std::string body, Responder respond)>;
 
-/// Serves framed calls over TCP. Register handlers before Listen().
+/// Serves calls over framed TCP. Register handlers before Listen().
 class Server {
  public:
-  /// `io` and `traffic`, which may be null, must outlive the server. Frames are
-  /// counted there as "serve" and the call's name.
+  /// `io` and `traffic`, which may be null, must outlive the server. `traffic`
+  /// counts frames as "serve" and the name of the method.
   explicit Server(asio::io_context& io, metrics::Traffic* traffic = nullptr);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Not thread-safe; only before Listen().
+  /// Registers the handler of a method. Not thread-safe; call before Listen().
   void Handle(Method method, Handler handler);
 
   /// Binds "ip:port" (port 0 lets the kernel choose) and returns the port.
@@ -44,8 +44,8 @@
   std::shared_ptr<Private> d_;
 };
 
-/// Handle() with typed messages: `handle` runs on `executor` and gets the call
-/// and a function that takes the reply.
+/// Server::Handle() with typed messages: `handle` runs on `executor` and
+/// receives the call and a function that sends the reply.
 template <typename Message, typename Reply>
 void HandleTyped(
     Server& server, Executor& executor, Method method,
--- a/src/libs/settings/job_settings.cc
+++ b/src/libs/settings/job_settings.cc
@@ -15,11 +15,11 @@
   static const std::vector<Key<JobSettings>> keys{
       {"name", Text{&S::name}, "", "unique name of this entry instance"},
       {"failure_domain", Text{&S::failure_domain}, "",
-       "failure domain it stands in"},
+       "failure domain of this entry instance"},
       {"front_address", Text{&S::front_address, true, true}, "ip:port",
        "callers' requests"},
       {"ready_address", Text{&S::ready_address, true, true}, "ip:port",
-       "tells the balancer whether to send callers here"},
+       "reports to the balancer whether this entry instance takes callers"},
       {"peer_address", Text{&S::peer_address, true, true}, "ip:port",
        "calls from other entry instances"},
       {"metrics_address", Text{&S::metrics_address, false, true}, "ip:port",
@@ -27,61 +27,66 @@
       {"store_address", Text{&S::store_address, true, true}, "ip:port",
        "the platform's store"},
       {"adviser_address", Text{&S::adviser_address, false, true}, "ip:port",
-       "says which upstreams may run a step"},
+       "adviser service, which decides which upstreams may run a step"},
       {"hosts_address", Text{&S::hosts_address, false, true}, "ip:port",
-       "the platform's API of hosts; without it maintenance waves are not "
+       "the platform's API of hosts; if empty, maintenance waves are not "
        "answered"},
       {"host_lists_per_s", Scaled{&S::host_lists_per_100_s, {0, 100000}},
-       "calls/s", "readings of the list of hosts that its API takes from all"},
+       "calls/s",
+       "reads of the list of hosts that its API accepts from all entry "
+       "instances together"},
       {"host_orders_per_s", Scaled{&S::host_orders_per_100_s, {0, 100000}},
-       "calls/s", "orders to hosts that their API takes from all"},
+       "calls/s",
+       "orders to hosts that their API accepts from all entry instances "
+       "together"},
       {"upkeep_s", Scaled{&S::upkeep_centis, {0, 86400}}, "s",
-       "how long a host is away for its upkeep"},
+       "how long a host is away for maintenance"},
       {"holder_lease_ms", Number{&S::holder_lease_ms, {0, 600000}}, "ms",
-       "a new leader that finds hosts ordered by an earlier one gives no "
-       "orders "
-       "to hosts before this"},
+       "a new leader that finds hosts ordered by an earlier leader waits this "
+       "long before it orders hosts itself"},
       {"seeds", List{&S::seeds}, "ip:port",
-       "entry instances to ask for the leader while the store is away"},
+       "entry instances to ask for the leader while the store is unavailable"},
       {"log_level", Text{&S::log_level, false}, "",
-       "least level of lines: debug (every start, every request), info, "
+       "minimum level of log lines: debug (every start, every request), info, "
        "warning, error"},
       {"cpu_share", Scaled{&S::cpu_percent, {0, 64}}, "cores",
-       "what this machine may use; one with less than a quarter lets others "
-       "claim the lead first"},
+       "CPU that this machine may use; an entry instance with less than a "
+       "quarter of a core lets others claim leadership first"},
       {"lease_ms", Number{&S::lease_ms, {1000, 60000}}, "ms",
-       "how long tasks go on without a word from the leader"},
+       "how long tasks continue without contact from the leader"},
       {"hello_ms", Number{&S::hello_ms, kMs}, "ms",
-       "time between greetings of the leader"},
+       "time between heartbeats to the leader"},
       {"silence_ms", Number{&S::silence_ms, kMs}, "ms",
-       "silence after which the leader is suspected"},
+       "time without an answer after which the leader is suspected"},
       {"renew_ms", Number{&S::renew_ms, kMs}, "ms",
        "time between the leader's renewals in the store"},
       {"quiet_ms", Number{&S::quiet_ms, kMs}, "ms",
        "a suspected leader that did not renew for this long is replaced"},
       {"trust_ms", Number{&S::trust_ms, kMs}, "ms",
-       "a leader that heard neither store nor follower for this long gives no "
-       "orders"},
+       "leader lease: a leader that gets no answer from the store and none "
+       "from a follower for this long gives no orders"},
       {"store_silence_ms", Number{&S::store_silence_ms, kMs}, "ms",
-       "a leader without the store for this long is replaced"},
+       "a leader that cannot reach the store for this long is replaced"},
       {"list_ms", Number{&S::list_ms, kMs}, "ms",
        "time between reads of the list of upstreams"},
       {"patience_ms", Number{&S::patience_ms, kMs}, "ms",
-       "longest that a caller waits for a leader"},
+       "longest time that a caller waits for a leader"},
       {"max_connections", Number{&S::max_connections, {10, 100000}},
-       "connections", "callers at once"},
+       "connections", "maximum number of open connections of callers"},
       {"max_jobs", Number{&S::max_jobs, {1, 10000000}}, "jobs",
-       "jobs that the leader keeps; further ones are refused"},
+       "maximum number of jobs that the leader keeps; further ones are "
+       "refused"},
       {"unready_ms", Number{&S::unready_ms, kMs}, "ms",
-       "at shutdown: how long callers still come after the balancer was told"},
+       "at shutdown: how long callers still arrive after the balancer was "
+       "notified"},
       {"shutdown_ms", Number{&S::shutdown_ms, kMs}, "ms",
-       "longest a graceful shutdown takes"},
+       "longest duration of a graceful shutdown"},
   };
   return keys;
 }
 
-/// Relations without which a guard of the design does not hold.
-void CheckClashes(const JobSettings& s, json::ObjectReader& reader) {
+/// Reports settings whose relation would break a safety rule of the design.
+void CheckConsistency(const JobSettings& s, json::ObjectReader& reader) {
   if (s.silence_ms <= 2 * s.hello_ms) {
     reader.Add("silence_ms", "must be above twice hello_ms");
   }
@@ -109,9 +114,9 @@
   for (size_t i = 0; i < out.seeds.size(); ++i) {
     if (LooksLikeAddress(out.seeds[i])) continue;
     reader.Add("seeds[" + std::to_string(i) + "]",
-               "must be ip:port, the ip in numbers");
+               "must be ip:port with a numeric IP address");
   }
-  if (findings.empty()) CheckClashes(out, reader);
+  if (findings.empty()) CheckConsistency(out, reader);
   reader.Finish();
   if (!findings.empty()) return std::nullopt;
   return out;
--- a/src/libs/settings/job_settings.h
+++ b/src/libs/settings/job_settings.h
@@ -9,8 +9,7 @@
 
 namespace mimosarail::settings {
 
-/// Everything that one daemon on the users' platform is told. Times are in
-/// milliseconds.
+/// Settings of one daemon on the users' platform. Times are in milliseconds.
 struct JobSettings {
   std::string name;
   std::string failure_domain;
@@ -20,17 +19,17 @@
   std::string metrics_address;
   std::string store_address;
   std::string adviser_address;
-  /// Empty where hosts have no API.
+  /// Empty if the platform has no API of hosts.
   std::string hosts_address;
-  /// Hundredths of a call a second.
+  /// In hundredths of a call per second.
   int64_t host_lists_per_100_s = 1000;
   int64_t host_orders_per_100_s = 1000;
-  /// Hundredths of a second.
+  /// In hundredths of a second.
   int64_t upkeep_centis = 200;
   int64_t holder_lease_ms = 3000;
   std::vector<std::string> seeds;
   std::string log_level = "info";
-  /// Hundredths of a core.
+  /// In hundredths of a core.
   int64_t cpu_percent = 100;
   int64_t lease_ms = 4000;
   int64_t hello_ms = 200;
@@ -47,13 +46,13 @@
   int64_t shutdown_ms = 5200;
 };
 
-/// Reads settings from JSON with comments. All faults go to `findings` with
-/// line and column; then the result is empty. Safe from any thread.
+/// Parses settings from JSON with comments. All faults are added to `findings`
+/// with line and column, and the result is then empty. Safe from any thread.
 std::optional<JobSettings> ParseJobSettings(const std::string& text,
                                             Findings& findings);
 
-/// Every key with its value, unit, bounds and help, as commented JSON that
-/// ParseJobSettings() takes back. Safe from any thread.
+/// All keys with value, unit, bounds and help, as commented JSON that
+/// ParseJobSettings() accepts. Safe from any thread.
 std::string Print(const JobSettings& settings);
 
 }  // namespace mimosarail::settings
--- a/src/libs/settings/schema.h
+++ b/src/libs/settings/schema.h
@@ -12,7 +12,7 @@
 
 using json::Bounds;
 
-/// Bounds of a time in ms: up to an hour.
+/// Bounds of a time in ms: at most an hour.
 inline constexpr Bounds kMs{1, 3600000};
 
 template <typename S>
@@ -20,7 +20,7 @@
   int64_t S::*field;
   Bounds bounds;
 };
-/// A number with a fraction, kept multiplied by `scale`.
+/// A number that may have a fraction, stored multiplied by `scale`.
 template <typename S>
 struct ScaledKey {
   int64_t S::*field;
@@ -38,7 +38,7 @@
   std::vector<std::string> S::*field;
 };
 
-/// One setting: its key, type, bounds, unit and help in one place.
+/// The definition of one setting: its key, type, bounds, unit and help.
 template <typename S>
 struct Key {
   const char* name;
@@ -47,10 +47,11 @@
   const char* help;
 };
 
-/// Whether the text is "ip:port" in numbers. Safe from any thread.
+/// Whether the text has the form "ip:port" with a numeric IP address. Safe from
+/// any thread.
 bool LooksLikeAddress(const std::string& text);
 
-/// Reads one setting; faults go to the reader's findings.
+/// Reads one setting; adds faults to the reader's findings.
 template <typename S>
 void ReadKey(const Key<S>& key, json::ObjectReader& reader, S& out) {
   if (const auto* number = std::get_if<NumberKey<S>>(&key.type)) {
@@ -71,24 +72,24 @@
   constexpr int64_t kMaxText = 200;
   reader.Read(key.name, value, {text.required ? 1 : 0, kMaxText});
   if (text.address && !value.empty() && !LooksLikeAddress(value)) {
-    reader.Add(key.name, "must be ip:port, the ip in numbers");
+    reader.Add(key.name, "must be ip:port with a numeric IP address");
   }
 }
 
-/// A setting's value as it stands in a file.
+/// The value of a setting as written in a settings file.
 template <typename K, typename S>
-json::Json ShownValue(const K& key, const S& settings) {
+json::Json FileValue(const K& key, const S& settings) {
   json::Json value = settings.*key.field;
   return value;
 }
 template <typename S>
-json::Json ShownValue(const ScaledKey<S>& key, const S& settings) {
+json::Json FileValue(const ScaledKey<S>& key, const S& settings) {
   json::Json value =
       static_cast<double>(settings.*key.field) / static_cast<double>(key.scale);
   return value;
 }
 
-/// Every key with its value, unit, bounds and help, as commented JSON.
+/// All keys with value, unit, bounds and help, as commented JSON.
 template <typename S>
 std::string PrintKeys(const std::vector<Key<S>>& keys, const S& settings) {
   std::string out = "{\n";
@@ -101,7 +102,7 @@
              std::to_string(number->bounds.max);
     }
     const json::Json value = std::visit(
-        [&settings](const auto& type) { return ShownValue(type, settings); },
+        [&settings](const auto& type) { return FileValue(type, settings); },
         key.type);
     out += "\n  " + json::Json(key.name).dump() + ": " + value.dump();
     out += i + 1 < keys.size() ? ",\n" : "\n";
--- a/src/libs/settings/settings.cc
+++ b/src/libs/settings/settings.cc
@@ -10,24 +10,26 @@
       {"name", TextKey<Settings>{&Settings::name}, "",
        "unique name of this entry instance"},
       {"region", TextKey<Settings>{&Settings::region, false}, "",
-       "region it stands in"},
+       "region of this entry instance"},
       {"failure_domain", TextKey<Settings>{&Settings::failure_domain}, "",
-       "failure domain it stands in"},
+       "failure domain of this entry instance"},
       {"listen", TextKey<Settings>{&Settings::listen, true, true}, "ip:port",
        "calls from other entry instances (TCP) and heartbeats (UDP)"},
       {"advertise", TextKey<Settings>{&Settings::advertise, false, true},
        "ip:port",
-       "where other entry instances reach listen; listen itself if absent"},
+       "address at which other entry instances reach listen; listen itself if "
+       "absent"},
       {"http_listen", TextKey<Settings>{&Settings::http_listen, true, true},
-       "ip:port", "callers, operators, metrics"},
+       "ip:port", "HTTP requests of callers and operators, and metrics"},
       {"log_address", TextKey<Settings>{&Settings::log_address, true, true},
        "ip:port", "the platform's log"},
       {"list_address", TextKey<Settings>{&Settings::list_address, true, true},
        "ip:port", "the platform's instance list"},
       {"peers", ListKey<Settings>{&Settings::peers}, "ip:port",
-       "entry instances to greet while the instance list is down"},
+       "entry instances to send heartbeats to while the instance list is "
+       "unavailable"},
       {"http_threads", NumberKey<Settings>{&Settings::http_threads, {2, 512}},
-       "threads", "HTTP workers; at most half of them wait for answers"},
+       "threads", "HTTP worker threads; at most half of them wait for answers"},
       {"http_max_body",
        NumberKey<Settings>{&Settings::http_max_body, {1024, 16 << 20}}, "bytes",
        "largest request body"},
@@ -38,58 +40,58 @@
        NumberKey<Settings>{&Settings::heartbeat_ms, {20, 10000}}, "ms",
        "time between heartbeats"},
       {"suspect_ms", NumberKey<Settings>{&Settings::suspect_ms, kMs}, "ms",
-       "silence after which a peer is suspect"},
+       "time without heartbeats after which a peer is suspect"},
       {"dead_ms", NumberKey<Settings>{&Settings::dead_ms, kMs}, "ms",
-       "silence after which a peer's racks are taken over"},
+       "time without heartbeats after which a peer's racks are taken over"},
       {"return_ms", NumberKey<Settings>{&Settings::return_ms, kMs}, "ms",
-       "how long a returned peer is heard before it gets racks"},
+       "how long a returned peer sends heartbeats before it gets racks"},
       {"list_refresh_ms",
        NumberKey<Settings>{&Settings::list_refresh_ms, {20, 600000}}, "ms",
        "time between reads of the instance list"},
       {"lease_ms", NumberKey<Settings>{&Settings::lease_ms, {200, 600000}},
        "ms", "lease of a task"},
       {"max_delay_ms", NumberKey<Settings>{&Settings::max_delay_ms, kMs}, "ms",
-       "longest a sent call may still arrive; added to a lease before it "
-       "counts as lapsed"},
+       "longest time after which a sent call may still arrive; added to a "
+       "lease before it counts as lapsed"},
       {"call_timeout_ms",
        NumberKey<Settings>{&Settings::call_timeout_ms, {20, 60000}}, "ms",
-       "limit of one call"},
+       "time limit of one call"},
       {"log_read_wait_ms",
        NumberKey<Settings>{&Settings::log_read_wait_ms, {1, 60000}}, "ms",
        "how long a read of the log waits for a record"},
       {"group_commit_ms",
        NumberKey<Settings>{&Settings::group_commit_ms, {1, 1000}}, "ms",
-       "intents gathered for one append"},
+       "time for which intents are gathered for one append"},
       {"intent_wait_ms",
        NumberKey<Settings>{&Settings::intent_wait_ms, {10, 60000}}, "ms",
-       "longest wait for an intent to be read back"},
+       "longest time to wait for an intent to be read back"},
       {"checkpoint_ms",
        NumberKey<Settings>{&Settings::checkpoint_ms, {100, 86400000}}, "ms",
-       "age at which the configuration is appended again; at most a third of "
-       "the log's retention"},
+       "age at which the configuration is appended to the log again; at most "
+       "a third of the log's retention"},
       {"cost_flush_ms",
        NumberKey<Settings>{&Settings::cost_flush_ms, {100, 3600000}}, "ms",
        "time between cost records"},
       {"outcome_window_ms",
        NumberKey<Settings>{&Settings::outcome_window_ms, {1000, 86400000}},
-       "ms", "how long outcomes can be collected"},
+       "ms", "time for which outcomes can be collected"},
       {"max_requests",
        NumberKey<Settings>{&Settings::max_requests, {1, 1000000}}, "requests",
-       "requests kept here, ended ones included"},
+       "requests kept by this entry instance, including those that ended"},
       {"max_answer_bytes",
        NumberKey<Settings>{&Settings::max_answer_bytes, {1024, 1 << 30}},
-       "bytes", "answers kept here, all together"},
+       "bytes", "total size of the answers kept by this entry instance"},
       {"max_wait_ms", NumberKey<Settings>{&Settings::max_wait_ms, {1, 600000}},
-       "ms", "longest a caller's HTTP request waits"},
+       "ms", "longest time that a caller's HTTP request waits"},
       {"shutdown_ms",
        NumberKey<Settings>{&Settings::shutdown_ms, {100, 3600000}}, "ms",
-       "longest a graceful shutdown takes"},
+       "longest duration of a graceful shutdown"},
   };
   return keys;
 }
 
-/// Relations without which a guard of the design does not hold.
-void CheckClashes(const Settings& s, json::ObjectReader& reader) {
+/// Reports settings whose relation would break a safety rule of the design.
+void CheckConsistency(const Settings& s, json::ObjectReader& reader) {
   if (s.suspect_ms <= 2 * s.heartbeat_ms) {
     reader.Add("suspect_ms", "must be above twice heartbeat_ms");
   }
@@ -107,7 +109,7 @@
   for (size_t i = 0; i < s.peers.size(); ++i) {
     if (LooksLikeAddress(s.peers[i])) continue;
     reader.Add("peers[" + std::to_string(i) + "]",
-               "must be ip:port, the ip in numbers");
+               "must be ip:port with a numeric IP address");
   }
 }
 
@@ -130,7 +132,7 @@
   json::ObjectReader reader(*parsed, parsed->value, "", findings);
   for (const auto& key : Keys()) ReadKey(key, reader, out);
   ReadPeers(out, reader);
-  if (findings.empty()) CheckClashes(out, reader);
+  if (findings.empty()) CheckConsistency(out, reader);
   reader.Finish();
   if (!findings.empty()) return std::nullopt;
   return out;
--- a/src/libs/settings/settings.h
+++ b/src/libs/settings/settings.h
@@ -9,7 +9,7 @@
 
 namespace mimosarail::settings {
 
-/// Everything that one daemon is told. Times are in milliseconds.
+/// Settings of one daemon. Times are in milliseconds.
 struct Settings {
   std::string name;
   std::string region = "local";
@@ -43,12 +43,12 @@
   int64_t shutdown_ms = 20000;
 };
 
-/// Reads settings from JSON with comments. All faults go to `findings` with
-/// line and column; then the result is empty. Safe from any thread.
+/// Parses settings from JSON with comments. All faults are added to `findings`
+/// with line and column, and the result is then empty. Safe from any thread.
 std::optional<Settings> Parse(const std::string& text, Findings& findings);
 
-/// Every key with its value, unit, bounds and help, as commented JSON that
-/// Parse() takes back. Safe from any thread.
+/// All keys with value, unit, bounds and help, as commented JSON that Parse()
+/// accepts. Safe from any thread.
 std::string Print(const Settings& settings);
 
 }  // namespace mimosarail::settings
