--- a/src/placement/amount.h
+++ b/src/placement/amount.h
@@ -10,7 +10,7 @@
 
 namespace mimosarail::placement {
 
-/// What an upstream can run out of.
+/// The kinds of resources of an upstream.
 enum class Dimension { kCores, kMemory, kAccelerators, kConnections, kSlots };
 
 inline constexpr size_t kDimensions = 5;
@@ -23,16 +23,17 @@
     EnumName{Dimension::kSlots, "slots"},
 }};
 
-/// Resources with slots, as the decision core counts them. A value type.
+/// An amount of each resource, slots included, as used by the placement code. A
+/// value type.
 struct Amount {
   std::array<int32_t, kDimensions> of{};
 
   int32_t operator[](Dimension d) const { return of[static_cast<size_t>(d)]; }
   int32_t& operator[](Dimension d) { return of[static_cast<size_t>(d)]; }
 
-  bool FitsIn(const Amount& room) const {
+  bool FitsIn(const Amount& free) const {
     for (size_t d = 0; d < kDimensions; ++d) {
-      if (of[d] > room.of[d]) return false;
+      if (of[d] > free.of[d]) return false;
     }
     return true;
   }
@@ -57,7 +58,7 @@
            resources.connections, slots}};
 }
 
-/// What one task takes: its size and one slot.
+/// The amount that one task takes: its resources and one slot.
 inline Amount TaskAmount(const wire::Resources& size) {
   return ToAmount(size, 1);
 }
--- a/src/placement/policy.cc
+++ b/src/placement/policy.cc
@@ -7,7 +7,7 @@
 namespace mimosarail::placement {
 namespace {
 
-/// One part in so many is kept for urgent work.
+/// The total capacity divided by this number is reserved for urgent work.
 constexpr int32_t kReserveDivisor = 40;
 
 bool Contains(const std::vector<std::string>* list, const std::string& value) {
@@ -20,7 +20,7 @@
   return row.usable && ask.size.FitsIn(row.free) && room.MayTryNow(id, ask.now);
 }
 
-/// Lower is better.
+/// Rates rows for a task; the row with the lowest score is the best.
 class Scorer {
  public:
   Scorer(const Room& room, const Ask& ask) : room_(room), ask_(ask) {}
@@ -34,25 +34,26 @@
   static constexpr double kAcceleratorWeight = 2.0;
   static constexpr double kFailureWeight = 0.5;
 
-  /// Share of the dimension left after the task, 0 if the row has none of it.
-  double Left(const Row& row, Dimension d) const {
+  /// Share of the row's capacity that is free after the task is placed; 0 if
+  /// the row has no capacity in this dimension.
+  double ShareLeft(const Row& row, Dimension d) const {
     if (row.capacity[d] == 0) return 0.0;
     return static_cast<double>(row.free[d] - ask_.size[d]) / row.capacity[d];
   }
 
   double Pack(RowId id) const {
     const Row& row = room_.row(id);
-    const double cores = Left(row, Dimension::kCores);
-    const double memory = Left(row, Dimension::kMemory);
-    const double slots = Left(row, Dimension::kSlots);
-    const double most = std::max({cores, memory, slots});
-    const double least = std::min({cores, memory, slots});
-    return cores + memory + slots + kImbalanceWeight * (most - least) +
+    const double cores = ShareLeft(row, Dimension::kCores);
+    const double memory = ShareLeft(row, Dimension::kMemory);
+    const double slots = ShareLeft(row, Dimension::kSlots);
+    const double max_share = std::max({cores, memory, slots});
+    const double min_share = std::min({cores, memory, slots});
+    return cores + memory + slots + kImbalanceWeight * (max_share - min_share) +
            Accelerators(row) + kFailureWeight * row.failures;
   }
 
-  /// A task without need of accelerators that fills a row with free ones
-  /// leaves them out of reach of those that do need them.
+  /// Penalty for a task that needs no accelerators on a row that has free ones:
+  /// it could fill the row and so block them for tasks that need them.
   double Accelerators(const Row& row) const {
     if (ask_.size[Dimension::kAccelerators] > 0) return 0.0;
     return row.free[Dimension::kAccelerators] > 0 ? kAcceleratorWeight : 0.0;
@@ -64,8 +65,9 @@
     return kDomainWeight *
                room_.GroupInDomain(ask_.group, rack.failure_domain) +
            kRackWeight * room_.GroupInRack(ask_.group, row.rack) +
-           room_.GroupOnRow(ask_.group, id) - Left(row, Dimension::kCores) -
-           Left(row, Dimension::kSlots) + Accelerators(row) +
+           room_.GroupOnRow(ask_.group, id) -
+           ShareLeft(row, Dimension::kCores) -
+           ShareLeft(row, Dimension::kSlots) + Accelerators(row) +
            kFailureWeight * row.failures;
   }
 
@@ -73,9 +75,10 @@
   const Ask& ask_;
 };
 
-/// Looks at racks in rotation and stops after enough fitting rows: the cost
-/// of a decision then grows with how rare room is, not with how many
-/// upstreams there are.
+/// Scans the racks from a random start and stops once it has scored
+/// kMaxCandidates fitting rows, at the end of a rack. The cost of a decision
+/// thus depends on how scarce free capacity is, not on the number of
+/// upstreams.
 class ScoredPolicy final : public Policy {
  public:
   explicit ScoredPolicy(uint64_t seed) : random_(seed) {}
@@ -88,13 +91,13 @@
     const size_t first = random_() % racks.size();
     RowId best = kNoRow;
     double best_score = std::numeric_limits<double>::max();
-    size_t seen = 0;
-    for (size_t i = 0; i < racks.size() && seen < kEnough; ++i) {
+    size_t candidates = 0;
+    for (size_t i = 0; i < racks.size() && candidates < kMaxCandidates; ++i) {
       const Rack& rack = racks[(first + i) % racks.size()];
       if (!ask.size.FitsIn(rack.most_free) || !Allows(ask, rack)) continue;
       for (const RowId id : rack.rows) {
         if (!Fits(room, id, ask)) continue;
-        ++seen;
+        ++candidates;
         const double score = scorer.Score(id);
         if (score < best_score) {
           best_score = score;
@@ -106,7 +109,7 @@
   }
 
  private:
-  static constexpr size_t kEnough = 64;
+  static constexpr size_t kMaxCandidates = 64;
   std::mt19937_64 random_;
 };
 
@@ -172,15 +175,17 @@
          Contains(ask.racks, rack.name);
 }
 
-/// Work that is not urgent leaves a small share of cores and slots free, so
-/// that an urgent request need not wait for a task to end.
+/// Whether the request leaves the reserve for urgent work free. Work that is
+/// not urgent leaves a small share of cores and slots, so that an urgent
+/// request need not wait for a task to end.
 bool LeavesReserve(const Room& room, const Ask& ask) {
   if (ask.urgent) return true;
   const Amount free = room.total_free();
   const Amount capacity = room.total_capacity();
   for (const Dimension d : {Dimension::kCores, Dimension::kSlots}) {
     const int64_t wanted = int64_t{ask.size[d]} * ask.tasks;
-    // What takes most of the room could otherwise never start.
+    // A request for more than half of the capacity is exempt, since it could
+    // otherwise never start.
     if (2 * wanted > capacity[d]) continue;
     const int64_t left = free[d] - wanted;
     if (left < capacity[d] / kReserveDivisor) return false;
@@ -240,8 +245,8 @@
   if (nearest == kNoRow) return "no usable upstream meets the constraints";
   const Row& row = room.row(nearest);
   if (nearest_short == 0 && !ask.urgent && ask.tasks == 1) {
-    return "the room that is left is kept for urgent work, or is on probation "
-           "after failures";
+    return "the remaining free capacity is reserved for urgent work, or its "
+           "upstreams are on probation after failures";
   }
   if (nearest_short == 0) {
     return ask.tasks > 1 ? "not all " + std::to_string(ask.tasks) +
--- a/src/placement/policy.h
+++ b/src/placement/policy.h
@@ -9,46 +9,48 @@
 
 namespace mimosarail::placement {
 
-/// What is to be placed: `tasks` equal tasks, all or none.
+/// A request to place `tasks` equal tasks, either all of them or none.
 struct Ask {
   Amount size;
   int32_t tasks = 1;
   bool spread = false;
-  /// Tasks of one group are spread apart; 0 for none.
+  /// Tasks of the same group are spread if `spread` is set; 0 for no group.
   uint64_t group = 0;
   const std::vector<std::string>* failure_domains = nullptr;
   const std::vector<std::string>* racks = nullptr;
   TimePoint now{};
-  /// May use the room that is kept for urgent work.
+  /// Whether the capacity reserved for urgent work may be used.
   bool urgent = false;
 };
 
-/// Whether the rack satisfies the constraints of the ask.
+/// Whether the rack meets the constraints on failure domains and racks.
 bool Allows(const Ask& ask, const Rack& rack);
 
-/// Decides where tasks go, and reserves there. Not thread-safe.
+/// Chooses rows for tasks and reserves resources on them. Not thread-safe.
 class Policy {
  public:
   virtual ~Policy() = default;
-  /// One row a task, reserved in `room`; empty, with nothing reserved, if
-  /// there is no room for all.
+  /// Reserves resources in `room` and returns one row per task. Returns an
+  /// empty list and reserves nothing if not all tasks fit.
   std::vector<RowId> Place(Room& room, const Ask& ask);
 
  protected:
-  /// The row for one more task, or kNoRow.
+  /// Returns the row for one more task, or kNoRow.
   virtual RowId ChooseOne(const Room& room, const Ask& ask) = 0;
 };
 
-/// The product's policy: relaxed best fit over all dimensions, keeping
-/// accelerators for those that need them; spreads groups where asked to.
+/// The policy used in production: approximate best fit over all dimensions.
+/// Keeps accelerators free for tasks that need them, and spreads groups if
+/// requested.
 std::unique_ptr<Policy> MakeScoredPolicy(uint64_t seed);
 
-/// Baselines for the benches.
+/// Baselines for benchmarks.
 std::unique_ptr<Policy> MakeFirstFitPolicy();
 std::unique_ptr<Policy> MakeRandomFitPolicy(uint64_t seed);
 std::unique_ptr<Policy> MakeBestOfTwoPolicy(uint64_t seed);
 
-/// Why nothing fits now, naming the nearest miss.
+/// Explains why the request does not fit now, and names the upstream that comes
+/// closest.
 std::string ExplainNoRoom(const Room& room, const Ask& ask);
 
 }  // namespace mimosarail::placement
--- a/src/placement/room.cc
+++ b/src/placement/room.cc
@@ -6,7 +6,7 @@
 namespace mimosarail::placement {
 namespace {
 
-constexpr Millis kFirstProbePause{1000};
+constexpr Millis kInitialProbeBackoff{1000};
 constexpr int32_t kMaxProbeDoublings = 6;
 
 enum class Scope : uint64_t { kRow = 1, kRack = 2, kDomain = 3 };
@@ -94,7 +94,7 @@
   row.free -= amount;
   ++row.tasks;
   if (row.usable) total_free_ -= amount;
-  if (group != 0) Note(id, group, 1);
+  if (group != 0) AddToGroup(id, group, 1);
   RecomputeMostFree(row.rack);
 }
 
@@ -104,7 +104,7 @@
   row.free += amount;
   --row.tasks;
   if (row.usable) total_free_ += amount;
-  if (group != 0) Note(id, group, -1);
+  if (group != 0) AddToGroup(id, group, -1);
   racks_[row.rack].most_free.RaiseTo(row.usable ? row.free : Amount{});
 }
 
@@ -116,7 +116,7 @@
   }
 }
 
-void Room::Note(RowId id, uint64_t group, int32_t by) {
+void Room::AddToGroup(RowId id, uint64_t group, int32_t by) {
   const Row& row = rows_[id];
   const uint64_t domain = Hash64(racks_[row.rack].failure_domain);
   for (const uint64_t key : {GroupKey(group, Scope::kRow, id),
@@ -129,23 +129,23 @@
 }
 
 namespace {
-int32_t Lookup(const std::unordered_map<uint64_t, int32_t>& groups,
-               uint64_t key) {
+int32_t CountOf(const std::unordered_map<uint64_t, int32_t>& groups,
+                uint64_t key) {
   const auto found = groups.find(key);
   return found == groups.end() ? 0 : found->second;
 }
 }  // namespace
 
 int32_t Room::GroupOnRow(uint64_t group, RowId row) const {
-  return Lookup(groups_, GroupKey(group, Scope::kRow, row));
+  return CountOf(groups_, GroupKey(group, Scope::kRow, row));
 }
 
 int32_t Room::GroupInRack(uint64_t group, uint32_t rack) const {
-  return Lookup(groups_, GroupKey(group, Scope::kRack, rack));
+  return CountOf(groups_, GroupKey(group, Scope::kRack, rack));
 }
 
 int32_t Room::GroupInDomain(uint64_t group, const std::string& domain) const {
-  return Lookup(groups_, GroupKey(group, Scope::kDomain, Hash64(domain)));
+  return CountOf(groups_, GroupKey(group, Scope::kDomain, Hash64(domain)));
 }
 
 void Room::NoteFailure(RowId id, TimePoint now) {
@@ -153,7 +153,7 @@
   ++row.failures;
   const int32_t doublings = std::min(
       std::max(row.failures - kProbeAfterFailures, 0), kMaxProbeDoublings);
-  row.probe_after = now + kFirstProbePause * (1 << doublings);
+  row.probe_after = now + kInitialProbeBackoff * (1 << doublings);
 }
 
 void Room::NoteSuccess(RowId id) { rows_[id].failures = 0; }
--- a/src/placement/starvation_guard.cc
+++ b/src/placement/starvation_guard.cc
@@ -5,30 +5,33 @@
 void StarvationGuard::BeginPass(TimePoint now) {
   now_ = now;
   candidate_.reset();
-  if (held_for_ && now_ - held_since_ > options_.hold_limit) {
-    // Whatever runs there is longer than anybody thought: idling on would
-    // cost more than the large item's wait.
-    held_for_.reset();
-    rest_until_ = now_ + options_.hold_limit;
+  if (reserved_for_ && now_ - reserved_since_ > options_.max_reservation) {
+    // The running tasks take longer than expected: keeping the freed capacity
+    // idle any longer would cost more than the wait of the large item.
+    reserved_for_.reset();
+    backoff_until_ = now_ + options_.max_reservation;
   }
 }
 
 bool StarvationGuard::MayStart(const QueueItem& item) const {
-  if (!held_for_ || item.id == *held_for_ || item.priority == 0) return true;
+  if (!reserved_for_ || item.id == *reserved_for_ || item.priority == 0) {
+    return true;
+  }
   return item.declared > Millis(0) && item.declared <= options_.backfill;
 }
 
 void StarvationGuard::NoteBlocked(const QueueItem& item) {
-  if (candidate_ || !item.large || now_ < rest_until_) return;
-  if (now_ - item.since < options_.hold_after) return;
+  if (candidate_ || !item.large || now_ < backoff_until_) return;
+  if (now_ - item.since < options_.reserve_after) return;
   candidate_ = item.id;
 }
 
 void StarvationGuard::EndPass() {
-  if (candidate_ == held_for_) return;
-  // The one that is held for stays so until it has started or its time is up.
-  held_for_ = candidate_;
-  held_since_ = now_;
+  if (candidate_ == reserved_for_) return;
+  // The reservation stays with its item until the item has started or
+  // max_reservation has passed.
+  reserved_for_ = candidate_;
+  reserved_since_ = now_;
 }
 
 }  // namespace mimosarail::placement
--- a/src/placement/starvation_guard.h
+++ b/src/placement/starvation_guard.h
@@ -8,19 +8,23 @@
 namespace mimosarail::placement {
 
 struct StarvationGuardOptions {
-  /// A large item that does not fit for this long gets room held back for it.
-  Millis hold_after{300000};
-  /// Held no longer than this at a time, then not for as long again.
-  Millis hold_limit{90000};
-  /// While room is held, only items that declare to be this short may start:
-  /// declared times are doubted, so it is a small part of the limit.
+  /// A large item gets freed capacity reserved for it after it has waited this
+  /// long.
+  Millis reserve_after{300000};
+  /// Maximum duration of a reservation; for the same time after that no
+  /// capacity is reserved.
+  Millis max_reservation{90000};
+  /// While capacity is reserved, only items with a declared run time up to this
+  /// may start besides it. Since declared times are not reliable, this is a
+  /// small part of max_reservation.
   Millis backfill{4000};
 };
 
-/// Keeps a stream of small items from starving a gang or a large item: once it
-/// has waited long, room that comes free is left for it, within bounds. Two
-/// large items never hold against each other, since only the first in order is
-/// held for. Pure but for its own state; not thread-safe.
+/// Prevents a stream of small items from starving a gang or another large item:
+/// once the large item has waited for reserve_after, capacity that becomes free
+/// is reserved for it for a limited time. Two large items cannot block each
+/// other, since capacity is reserved only for the first in queue order. Depends
+/// on its own state only; not thread-safe.
 class StarvationGuard {
  public:
   explicit StarvationGuard(StarvationGuardOptions options = {})
@@ -30,20 +34,20 @@
   void BeginPass(TimePoint now);
   /// Whether the item may start in this pass.
   bool MayStart(const QueueItem& item) const;
-  /// The item did not fit in this pass.
+  /// Call for an item that did not fit in this pass.
   void NoteBlocked(const QueueItem& item);
   /// Call after the pass.
   void EndPass();
-  /// Whether room is held back for this item.
-  bool IsHeldFor(uint64_t id) const { return held_for_ == id; }
+  /// Whether freed capacity is reserved for this item.
+  bool IsHeldFor(uint64_t id) const { return reserved_for_ == id; }
 
  private:
   StarvationGuardOptions options_;
   TimePoint now_{};
-  std::optional<uint64_t> held_for_;
+  std::optional<uint64_t> reserved_for_;
   std::optional<uint64_t> candidate_;
-  TimePoint held_since_{};
-  TimePoint rest_until_{};
+  TimePoint reserved_since_{};
+  TimePoint backoff_until_{};
 };
 
 }  // namespace mimosarail::placement
--- a/src/placement/wait_queue.cc
+++ b/src/placement/wait_queue.cc
@@ -23,9 +23,10 @@
          item.priority * options_.age_step.count();
 }
 
-int64_t WaitQueue::Push(const QueueItem& item, std::optional<int64_t> given) {
+int64_t WaitQueue::Push(const QueueItem& item,
+                        std::optional<int64_t> existing_key) {
   Remove(item.id);
-  const Key key{given ? *given : KeyOf(item), item.id};
+  const Key key{existing_key ? *existing_key : KeyOf(item), item.id};
   items_[item.id] = {item, key};
   (item.priority == 0 ? urgent_ : others_).insert(key);
   return key.first;
@@ -58,19 +59,19 @@
     TimePoint now, const std::function<Visit(const QueueItem&)>& visit) {
   std::unordered_set<uint64_t> blocked;
   std::set<uint64_t> placed;
-  bool going = true;
-  if (!others_.empty() && urgent_run_ >= kStarvedShare) {
+  bool proceed = true;
+  if (!others_.empty() && urgent_starts_ >= kUrgentStartsPerOther) {
     const QueueItem& oldest = items_.at(others_.begin()->second).item;
     if (now - oldest.since >= options_.starve_after) {
       const std::set<Key> first{*others_.begin()};
-      going = VisitSet(first, visit, blocked, placed);
-      urgent_run_ = 0;
+      proceed = VisitSet(first, visit, blocked, placed);
+      urgent_starts_ = 0;
     }
   }
   const size_t before = placed.size();
-  if (going) going = VisitSet(urgent_, visit, blocked, placed);
-  urgent_run_ += static_cast<int>(placed.size() - before);
-  if (going) VisitSet(others_, visit, blocked, placed);
+  if (proceed) proceed = VisitSet(urgent_, visit, blocked, placed);
+  urgent_starts_ += static_cast<int>(placed.size() - before);
+  if (proceed) VisitSet(others_, visit, blocked, placed);
   for (const uint64_t id : placed) Remove(id);
 }
 
--- a/src/placement/wait_queue.h
+++ b/src/placement/wait_queue.h
@@ -12,61 +12,67 @@
 
 namespace mimosarail::placement {
 
-/// One waiting request.
+/// A waiting request.
 struct QueueItem {
   uint64_t id = 0;
   int32_t priority = 0;
   std::string team;
   TimePoint since{};
-  /// Declared core-seconds; weighs on the team's share.
+  /// Declared core-seconds; counted against the share of the team.
   double core_seconds = 0;
-  /// Equal for items that fit in the same places.
+  /// Equal for items that fit on the same upstreams.
   uint64_t shape = 0;
-  /// Needs much room at once, which small items would eat up for ever.
+  /// Needs much free capacity at once, which a stream of small items could use
+  /// up indefinitely.
   bool large = false;
-  /// Run time that the caller declared; 0 if none.
+  /// Run time declared by the caller; 0 if none.
   Millis declared{0};
 };
 
 enum class Visit {
-  kPlaced,   ///< Leaves the queue.
-  kBlocked,  ///< No room; items of the same shape are skipped this time.
-  kSkipped,  ///< Stays, for a reason of its own.
-  kStop,     ///< Stays, and so do all others.
+  kPlaced,   ///< Started; leaves the queue.
+  kBlocked,  ///< Does not fit; items of the same shape are skipped in this
+             ///< pass.
+  kSkipped,  ///< Stays in the queue; other items of its shape are still
+             ///< visited.
+  kStop,     ///< Stays in the queue; the pass ends.
 };
 
 struct WaitQueueOptions {
-  /// One step of priority is worth this much waiting.
+  /// One step of priority is equivalent to this waiting time.
   Millis age_step{120000};
-  /// Core-seconds a second that a team may ask for before it falls behind.
+  /// Core-seconds per second that a team may request before its items are put
+  /// back.
   double team_rate = 64;
-  /// Farthest that a team can fall behind; bounds starvation.
+  /// Maximum time by which the items of a team are put back; limits starvation.
   Millis team_lag_limit{300000};
-  /// An item of lower priority that waited this long gets one start in
-  /// kStarvedShare even while priority 0 keeps coming.
+  /// Once the first item of lower priority has waited this long, it is visited
+  /// first after every kUrgentStartsPerOther starts of priority 0, even while
+  /// items of priority 0 keep arriving.
   Millis starve_after{600000};
 };
 
-/// Waiting requests in the order in which they should start: priority 0
-/// first; the others by time of arrival, put back by their priority and by how
-/// far their team is ahead of its share. Since that key never changes, waiting
-/// ages every item alike and none starves. Not thread-safe.
+/// Waiting requests in the order in which they should start: priority 0 first,
+/// then the others by time of arrival, put back according to their priority and
+/// to how far their team exceeds its share. Since this key never changes, all
+/// items age equally and none starves. Not thread-safe.
 class WaitQueue {
  public:
   explicit WaitQueue(WaitQueueOptions options = {}) : options_(options) {}
 
-  /// Returns the item's key; giving it back keeps the place of an item that
-  /// left the queue and returns.
+  /// Adds an item and returns its key. An item that has left the queue keeps
+  /// its place if it is added again with that key.
   int64_t Push(const QueueItem& item, std::optional<int64_t> key = {});
   void Remove(uint64_t id);
   size_t size() const { return items_.size(); }
   bool Contains(uint64_t id) const { return items_.contains(id); }
 
-  /// Visits items in order. `visit` must not change the queue.
+  /// Visits items in order and removes the placed ones. `visit` must not change
+  /// the queue.
   void VisitInOrder(TimePoint now,
                     const std::function<Visit(const QueueItem&)>& visit);
 
-  static constexpr int kStarvedShare = 8;
+  static constexpr int kUrgentStartsPerOther = 8;
 
  private:
   using Key = std::pair<int64_t, uint64_t>;
@@ -86,7 +92,8 @@
   std::set<Key> urgent_;
   std::set<Key> others_;
   std::unordered_map<std::string, double> team_clock_;
-  int urgent_run_ = 0;
+  /// Starts of priority 0 since an item of lower priority was visited first.
+  int urgent_starts_ = 0;
 };
 
 }  // namespace mimosarail::placement
