--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,5 +1,5 @@
-// The decision core: nothing is overcommitted, gangs are all or none, the
-// queue ages, failing upstreams are probed.
+// Tests of placement: no upstream is overcommitted, gangs are placed completely
+// or not at all, waiting requests age, failing upstreams are probed.
 
 #define BOOST_TEST_MODULE placement
 #include <boost/test/data/test_case.hpp>
@@ -101,7 +101,7 @@
   BOOST_TEST(domains.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(accelerators_are_kept_for_those_that_need_them) {
+BOOST_AUTO_TEST_CASE(accelerators_are_kept_for_tasks_that_need_them) {
   Room room;
   const RowId with =
       room.Add({.name = "with", .rack = "r", .capacity = kCapacity});
@@ -115,7 +115,7 @@
   BOOST_TEST(policy->Place(room, {.size = Size(1000)}).at(0) == without);
 }
 
-BOOST_AUTO_TEST_CASE(constraints_are_kept_and_the_nearest_miss_is_named) {
+BOOST_AUTO_TEST_CASE(constraints_are_met_and_the_closest_upstream_is_named) {
   Room room = MakeRoom(3, 2);
   const auto policy = MakeScoredPolicy(1);
   const std::vector<std::string> domains{"d1"};
@@ -127,8 +127,9 @@
       why.find("needs 17000 millicores, free 16000") != std::string::npos, why);
 }
 
-// An upstream fails every task within a millisecond. It always looks idle, so
-// without the probe it would draw all work of the cell and fail it.
+// Guards against an upstream that fails every task within a millisecond. It
+// always looks idle, so without single probes it would attract all work of the
+// cell and fail it.
 BOOST_AUTO_TEST_CASE(an_upstream_that_fails_everything_gets_single_probes) {
   Room room = MakeRoom(1, 1);
   const auto policy = MakeScoredPolicy(1);
@@ -149,9 +150,10 @@
              1U);
 }
 
-// Proofs (priority 6) come once; pushes of priority 5 keep coming, each newer.
-// By priority alone the proofs would still be queued at dawn.
-BOOST_AUTO_TEST_CASE(waiting_ages_so_that_nothing_starves) {
+// Guards against starvation of low priorities. One request of priority 6 waits
+// while newer requests of priority 5 keep arriving. By priority alone it would
+// stay queued for as long as they arrive.
+BOOST_AUTO_TEST_CASE(waiting_requests_age_so_that_none_starves) {
   WaitQueue queue;
   const TimePoint start = TimePoint() + std::chrono::hours(1);
   queue.Push({.id = 1, .priority = 6, .team = "a", .since = start, .shape = 1});
@@ -172,7 +174,7 @@
   BOOST_TEST(done);
 }
 
-BOOST_AUTO_TEST_CASE(urgent_first_then_order_of_arrival) {
+BOOST_AUTO_TEST_CASE(urgent_requests_first_then_order_of_arrival) {
   WaitQueue queue;
   const TimePoint now = TimePoint() + std::chrono::hours(1);
   queue.Push({.id = 1, .priority = 4, .since = now, .shape = 1});
@@ -215,8 +217,9 @@
 
 namespace mimosarail::membership {
 
-// Racks move when an entry comes or goes; each move is a takeover with a pause.
-BOOST_AUTO_TEST_CASE(racks_are_balanced_and_few_move) {
+// Racks are reassigned when an entry joins or leaves. Each reassigned rack
+// needs a takeover, during which its control pauses.
+BOOST_AUTO_TEST_CASE(racks_are_balanced_and_few_are_reassigned) {
   std::vector<RackPlace> racks;
   for (int i = 0; i < 60; ++i) {
     racks.push_back({"rack-" + std::to_string(i), "d" + std::to_string(i % 3)});
@@ -246,11 +249,11 @@
 namespace mimosarail::requests {
 namespace {
 
-/// How one row of the table of settlements is set up.
+/// The inputs and the expected result of one settlement.
 struct SettleCase {
   const char* name;
-  bool word_running;
-  bool word_moved;
+  bool reported_running;
+  bool reported_moved;
   bool covered;
   bool fenced;
   bool vanished;
@@ -263,9 +266,9 @@
 }
 
 const std::vector<SettleCase> kSettleCases{
-    {"held elsewhere", true, false, false, false, false, false,
+    {"held by another entry", true, false, false, false, false, false,
      SettlementResult::kHeld},
-    {"moved says nothing", false, true, true, false, false, false,
+    {"moved, so its outcome is unknown", false, true, true, false, false, false,
      SettlementResult::kWait},
     {"absent, not fenced", false, false, true, false, false, false,
      SettlementResult::kWait},
@@ -273,7 +276,7 @@
      SettlementResult::kWait},
     {"absent, covered, fenced", false, false, true, true, false, false,
      SettlementResult::kNotStarted},
-    {"absent, but an upstream took its inventory away", false, false, true,
+    {"absent, but an upstream left with its inventory", false, false, true,
      true, true, false, SettlementResult::kGone},
     {"lapse proved, not covered", false, true, false, true, false, true,
      SettlementResult::kGone},
@@ -287,12 +290,12 @@
   wire::FindReply& reply = answers["entry"];
   reply.attached = {"up-1"};
   if (c.covered) reply.attached.push_back("up-2");
-  if (c.word_running || c.word_moved) {
-    wire::TaskWord word;
-    word.attempt = 7;
-    word.ended = c.word_moved;
-    word.report.result = wire::TaskEnd::kMoved;
-    reply.tasks.push_back(word);
+  if (c.reported_running || c.reported_moved) {
+    wire::TaskWord task;
+    task.attempt = 7;
+    task.ended = c.reported_moved;
+    task.report.result = wire::TaskEnd::kMoved;
+    reply.tasks.push_back(task);
   }
   const Settlement result = Settle({.attempt = 7,
                                     .answers = &answers,
@@ -307,8 +310,9 @@
 
 namespace mimosarail::placement {
 
-// A gang needs eight slots at once; one-slot jobs take each slot that comes
-// free. Without the guard the gang waits as long as they keep coming.
+// Guards against starvation of gangs. A gang needs eight slots at once, while
+// jobs of one slot take each slot that becomes free. Without the guard the gang
+// waits for as long as they keep arriving.
 BOOST_AUTO_TEST_CASE(small_jobs_do_not_starve_a_gang) {
   Room room = MakeRoom(1, 1);
   WaitQueue queue;
@@ -363,7 +367,8 @@
 
 namespace mimosarail::placement {
 
-// A policy may be wrong about what fits; the reservation itself must refuse.
+// A policy may choose a row on which the task does not fit; the reservation
+// itself must be refused.
 BOOST_AUTO_TEST_CASE(a_reservation_that_does_not_fit_is_refused) {
   Room room = MakeRoom(1, 1);
   BOOST_TEST(!room.Take(0, Size(16001)));
--- a/tests/rpc_server_test.cc
+++ b/tests/rpc_server_test.cc
@@ -14,39 +14,39 @@
 
 using asio::ip::tcp;
 
-/// Lets this process open no further descriptor for as long as it lives.
-class NoDescriptors {
+/// While an object exists, this process cannot open file descriptors.
+class DescriptorLimit {
  public:
-  NoDescriptors() {
-    getrlimit(RLIMIT_NOFILE, &before_);
-    rlimit none = before_;
-    none.rlim_cur = 0;
-    setrlimit(RLIMIT_NOFILE, &none);
+  DescriptorLimit() {
+    getrlimit(RLIMIT_NOFILE, &original_limit_);
+    rlimit no_descriptors = original_limit_;
+    no_descriptors.rlim_cur = 0;
+    setrlimit(RLIMIT_NOFILE, &no_descriptors);
   }
-  ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &before_); }
-  NoDescriptors(const NoDescriptors&) = delete;
-  NoDescriptors& operator=(const NoDescriptors&) = delete;
+  ~DescriptorLimit() { setrlimit(RLIMIT_NOFILE, &original_limit_); }
+  DescriptorLimit(const DescriptorLimit&) = delete;
+  DescriptorLimit& operator=(const DescriptorLimit&) = delete;
 
  private:
-  rlimit before_{};
+  rlimit original_limit_{};
 };
 
-/// An echo server and a client, on a thread of their own.
-class Pair {
+/// An echo server and a client on their own thread.
+class ServerAndClient {
  public:
-  Pair() : server_(io_), client_(io_) {
+  ServerAndClient() : server_(io_), client_(io_) {
     server_.Handle(Method::kHeartbeat, [](std::string body, Responder respond) {
       respond(std::move(body));
     });
     port_ = server_.Listen("127.0.0.1:0").value();
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~Pair() {
+  ~ServerAndClient() {
     io_.stop();
     thread_.join();
   }
-  Pair(const Pair&) = delete;
-  Pair& operator=(const Pair&) = delete;
+  ServerAndClient(const ServerAndClient&) = delete;
+  ServerAndClient& operator=(const ServerAndClient&) = delete;
 
   uint16_t port() const { return port_; }
 
@@ -72,21 +72,22 @@
 
 }  // namespace
 
-/// The other entries can't reach one that runs and serves its callers, until it
-/// is started anew. For a moment it had no descriptor left, as in a burst of
-/// callers, so that accepting a connection failed; its server took that for the
-/// end of the listener and never accepted again.
+/// Guards against an entry that other entries cannot reach until it is
+/// restarted, although it runs and serves its callers. In a burst of callers it
+/// has no descriptor left for a moment, so that accepting a connection fails.
+/// If the server treats the error as the end of the listener, it never accepts
+/// again.
 BOOST_AUTO_TEST_CASE(ServerKeepsAcceptingAfterFailedAccept) {
-  Pair pair;
+  ServerAndClient server;
   asio::io_context callers;
   tcp::socket caller(callers);
   caller.open(tcp::v4());
   {
-    const NoDescriptors exhausted;
-    caller.connect({asio::ip::address_v4::loopback(), pair.port()});
+    const DescriptorLimit exhausted;
+    caller.connect({asio::ip::address_v4::loopback(), server.port()});
     std::this_thread::sleep_for(Millis(200));
   }
-  const Result<std::string> reply = pair.Call("text");
+  const Result<std::string> reply = server.Call("text");
   BOOST_REQUIRE(reply.ok());
   BOOST_TEST(reply.value() == "text");
 }
