--- a/tests/jobsim/host_fake.cc
+++ b/tests/jobsim/host_fake.cc
@@ -12,8 +12,8 @@
 using ports::HostVerdict;
 
 constexpr const char* kStatusTable = "status";
-/// Small, so that a list takes several pages.
-constexpr size_t kPage = 4;
+/// Small, so that a listing takes several pages.
+constexpr size_t kPageHosts = 4;
 
 std::string StatusKey(int64_t wave) { return "wave/" + std::to_string(wave); }
 
@@ -35,15 +35,15 @@
   upstreams_.TerminateUpstream(host.upstream);
   store_.Put(kUpstreamTable, host.upstream, "");
   host.upstream.clear();
-  ++host.lives;
+  ++host.incarnation;
 }
 
 void HostsFake::StartUpstream(const std::string& name, int incarnation) {
   const auto found = hosts_.find(name);
-  if (found == hosts_.end() || found->second.lives != incarnation) return;
+  if (found == hosts_.end() || found->second.incarnation != incarnation) return;
   Host& host = found->second;
   host.state = HostState::kUp;
-  host.away_for = 0;
+  host.maintenance_wave = 0;
   host.upstream = name + "-life" + std::to_string(incarnation);
   wire::UpstreamRecord record = host.record;
   record.id = host.upstream;
@@ -60,7 +60,7 @@
   found->second.state = HostState::kDown;
   if (!back_after) return;
   clock_.At(clock_.now() + *back_after,
-            [this, host, incarnation = found->second.lives] {
+            [this, host, incarnation = found->second.incarnation] {
               StartUpstream(host, incarnation);
             });
 }
@@ -80,7 +80,7 @@
 ports::HostPage HostsFake::List(const std::string& after) const {
   ports::HostPage out;
   for (auto at = hosts_.upper_bound(after); at != hosts_.end(); ++at) {
-    if (out.hosts.size() == kPage) {
+    if (out.hosts.size() == kPageHosts) {
       out.next = out.hosts.back().host;
       break;
     }
@@ -95,15 +95,16 @@
 void HostsFake::CheckHolder(Host& host, const ports::MaintenanceOrder& order,
                             TimePoint sent) {
   if (order.fence == host.fence && order.holder != host.holder) {
-    violations_.push_back("two holders with one token: " + order.host);
+    violations_.push_back("two holders with the same fencing token: " +
+                          order.host);
   }
   if (order.holder == host.holder) return;
-  const bool turns = order.holder == host.holder_before &&
-                     sent - host.held_since < kHolderLease;
-  if (turns) violations_.push_back("holders take turns: " + order.host);
-  host.holder_before = host.holder;
+  const bool alternates = order.holder == host.previous_holder &&
+                          sent - host.holder_since < kHolderLease;
+  if (alternates) violations_.push_back("holders alternate: " + order.host);
+  host.previous_holder = host.holder;
   host.holder = order.holder;
-  host.held_since = sent;
+  host.holder_since = sent;
 }
 
 ports::HostReply HostsFake::Begin(const ports::MaintenanceOrder& order,
@@ -114,22 +115,22 @@
   Host& host = found->second;
   const auto wave = waves_.find(order.wave);
   if (order.fence < host.fence) {
-    const auto before = host.refused.find(order.holder);
-    const bool again =
-        before != host.refused.end() && before->second == order.fence;
-    if (again && !late) {
-      violations_.push_back("a refused token was used again: " + order.host);
+    const auto before = host.refused_tokens.find(order.holder);
+    const bool reused =
+        before != host.refused_tokens.end() && before->second == order.fence;
+    if (reused && !late) {
+      violations_.push_back("refused fencing token reused: " + order.host);
     }
-    host.refused[order.holder] = order.fence;
+    host.refused_tokens[order.holder] = order.fence;
     return {.verdict = HostVerdict::kFenced};
   }
   CheckHolder(host, order, clock_.now() - transit_delay);
   host.fence = order.fence;
-  const auto holds = [&](const ports::WaveRequest& request) {
+  const auto includes_host = [&](const ports::WaveRequest& request) {
     return std::find(request.hosts.begin(), request.hosts.end(), order.host) !=
            request.hosts.end();
   };
-  if (wave == waves_.end() || !holds(wave->second)) {
+  if (wave == waves_.end() || !includes_host(wave->second)) {
     return {.verdict = HostVerdict::kNotInWave};
   }
   if (host.begun.count(order.wave) > 0) return {.verdict = HostVerdict::kDone};
@@ -137,25 +138,27 @@
   const auto away =
       std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& other) {
         return other.second.state == HostState::kMaintenance &&
-               other.second.away_for == order.wave;
+               other.second.maintenance_wave == order.wave;
       });
   if (static_cast<size_t>(away) >= wave->second.max_unavailable) {
-    violations_.push_back("too many away at once: " + order.host);
+    violations_.push_back("too many hosts in maintenance at once: " +
+                          order.host);
   }
   if (!late) {
     upstreams_.CheckTerminationAllowed(host.upstream);
     upstreams_.DropUnacknowledgedEnds(host.upstream);
     if (upstreams_.Running(host.upstream) > 0) {
-      violations_.push_back("not cleared before its upkeep: " + order.host);
+      violations_.push_back("maintenance began while tasks ran on the host: " +
+                            order.host);
     }
   }
   ++begins_;
   host.begun.insert(order.wave);
   TerminateUpstream(host);
   host.state = HostState::kMaintenance;
-  host.away_for = order.wave;
+  host.maintenance_wave = order.wave;
   clock_.At(clock_.now() + kMaintenanceTime,
-            [this, name = order.host, incarnation = host.lives] {
+            [this, name = order.host, incarnation = host.incarnation] {
               StartUpstream(name, incarnation);
             });
   return {.verdict = HostVerdict::kDone};
@@ -183,7 +186,7 @@
       if (host == hosts_.end() || host->second.begun.count(number) > 0) {
         continue;
       }
-      violations_.push_back("told as complete without " + name);
+      violations_.push_back("wave reported complete without host " + name);
     }
   }
 }
@@ -191,7 +194,7 @@
 void HostClientFake::ListHosts(const std::string& after, Millis timeout,
                                Callback<ports::HostPage> done) {
   HostApiFaults& faults = hosts_.faults();
-  hosts_.NoteCall(true);
+  hosts_.RecordCall(true);
   if (faults.down) {
     return executor_.RunAfter(timeout, [done] {
       done(Result<ports::HostPage>(Errc::kTimeout, "no answer"));
@@ -203,7 +206,7 @@
       done(Result<ports::HostPage>(Errc::kUnavailable, "answers 429"));
     });
   }
-  // The list is as it was when the call arrived; its answer travels.
+  // The reply shows the list as it was when the call arrived.
   auto page = std::make_shared<ports::HostPage>();
   hosts_.clock().At(hosts_.clock().now() + faults.latency / 2,
                     [this, after, page] { *page = hosts_.List(after); });
@@ -214,13 +217,13 @@
     const ports::MaintenanceOrder& order, Millis timeout,
     std::function<void(ports::HostReply)> done) {
   HostApiFaults& faults = hosts_.faults();
-  hosts_.NoteCall(false);
-  const auto lost = [&] {
+  hosts_.RecordCall(false);
+  const auto time_out = [&] {
     executor_.RunAfter(timeout, [done] {
       done({.verdict = HostVerdict::kUnknown, .detail = "no answer"});
     });
   };
-  if (faults.down) return lost();
+  if (faults.down) return time_out();
   if (faults.throttled_calls > 0) {
     --faults.throttled_calls;
     return executor_.RunAfter(faults.latency, [done] {
@@ -233,14 +236,14 @@
                       [this, order, transit_delay = faults.execution_delay] {
                         hosts_.Begin(order, transit_delay);
                       });
-    return lost();
+    return time_out();
   }
-  const bool silent = faults.drop_replies > 0;
-  if (silent) --faults.drop_replies;
+  const bool reply_dropped = faults.drop_replies > 0;
+  if (reply_dropped) --faults.drop_replies;
   auto reply = std::make_shared<ports::HostReply>();
   hosts_.clock().At(hosts_.clock().now() + faults.latency / 2,
                     [this, order, reply] { *reply = hosts_.Begin(order); });
-  if (silent) return lost();
+  if (reply_dropped) return time_out();
   executor_.RunAfter(faults.latency, [done, reply] { done(*reply); });
 }
 
--- a/tests/jobsim/host_fake.h
+++ b/tests/jobsim/host_fake.h
@@ -13,23 +13,24 @@
 
 namespace mimosarail::jobsim {
 
-/// Faults of the API of hosts, switched by tests.
+/// Faults of the host API, set by tests.
 struct HostApiFaults {
-  /// No call gets an answer, and none is carried out.
+  /// No call is executed or answered.
   bool down = false;
-  /// So many calls are refused: too many of them.
+  /// Number of upcoming calls that are refused by the rate limit.
   int throttled_calls = 0;
-  /// So many orders are carried out and not answered.
+  /// Number of upcoming orders that are executed without a reply.
   int drop_replies = 0;
-  /// So many orders are carried out this much later and not answered.
+  /// Number of upcoming orders that are executed after `execution_delay`
+  /// without a reply.
   int delayed_orders = 0;
   Millis execution_delay{5000};
-  /// Time of an answer.
+  /// Round-trip time of a call.
   Millis latency{20};
 };
 
-/// The platform's hosts, each with the upstream that it is now, and the checks
-/// of what is ordered for them.
+/// The platform's hosts, each with its current upstream, and checks of the
+/// orders that they get.
 class HostsFake {
  public:
   static constexpr Millis kMaintenanceTime{2000};
@@ -40,37 +41,38 @@
 
   void Add(const std::string& host, const std::string& upstream,
            const wire::UpstreamRecord& record);
-  /// An operator asks for a wave.
+  /// Requests a maintenance wave, as an operator would.
   void RequestWave(const ports::WaveRequest& wave);
-  /// The host crashes, and comes back as another upstream or never.
+  /// Crashes the host. It comes back as another upstream after `back_after`, or
+  /// never.
   void Crash(const std::string& host, std::optional<Millis> back_after);
-  /// The host leaves the list for good.
+  /// Removes the host from the list permanently.
   void Leave(const std::string& host);
 
   ports::HostPage List(const std::string& after) const;
-  /// `transit_delay`: how long it was on its way. What a late one ends is not
-  /// laid to its sender, and holders take turns by when they sent, not by when
-  /// it acts.
+  /// Executes an order that was in transit for `transit_delay`. The sender of a
+  /// late order is not blamed for the tasks that it ends, and the check for
+  /// alternating holders uses the time of sending, not of execution.
   ports::HostReply Begin(const ports::MaintenanceOrder& order,
                          Millis transit_delay = Millis(0));
 
   HostApiFaults& faults() { return faults_; }
   sim::ManualClock& clock() { return clock_; }
-  /// Hosts that have begun their upkeep for the wave.
+  /// Hosts whose maintenance for the wave has begun.
   std::set<std::string> Begun(int64_t wave) const;
-  /// What operators read of it; empty if nothing.
+  /// The status of the wave that operators read; empty if there is none.
   std::string Status(int64_t wave);
-  /// Looks for a wave that is told as complete and is not.
+  /// Checks that no wave is reported as complete before all of its hosts are.
   void CheckStatus();
   int calls() const { return calls_; }
   int lists() const { return lists_; }
   int orders() const { return calls_ - lists_; }
-  void NoteCall(bool list) {
+  void RecordCall(bool list) {
     ++calls_;
     if (list) ++lists_;
   }
   std::string UpstreamOf(const std::string& host) const;
-  /// Upkeeps begun, counting a host once a wave.
+  /// Number of maintenances begun; a host counts once per wave.
   int begins() const { return begins_; }
   const std::vector<std::string>& violations() const { return violations_; }
 
@@ -79,15 +81,15 @@
     ports::HostState state = ports::HostState::kUp;
     std::string upstream;
     wire::UpstreamRecord record;
-    int lives = 0;
-    int64_t away_for = 0;
+    int incarnation = 0;
+    int64_t maintenance_wave = 0;
     std::set<int64_t> begun;
     int64_t fence = 0;
     std::string holder;
-    std::string holder_before;
-    TimePoint held_since{};
-    /// Tokens that were refused, by holder.
-    std::map<std::string, int64_t> refused;
+    std::string previous_holder;
+    TimePoint holder_since{};
+    /// Fencing tokens that were refused, by holder.
+    std::map<std::string, int64_t> refused_tokens;
   };
 
   void CheckHolder(Host& host, const ports::MaintenanceOrder& order,
@@ -107,7 +109,7 @@
   int begins_ = 0;
 };
 
-/// One entry's way to the API of hosts, and to where waves are told of.
+/// The client of one entry for the host API and the wave status.
 class HostClientFake final : public ports::HostPort,
                              public ports::WaveStatusPort {
  public:
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -7,17 +7,17 @@
 namespace mimosarail::jobsim {
 namespace {
 
-constexpr Millis kWay{1};
-constexpr Millis kCallerLimit{3000};
-constexpr Millis kWatch{100};
+constexpr Millis kNetworkDelay{1};
+constexpr Millis kCallTimeout{3000};
+constexpr Millis kCheckInterval{100};
 
 std::string AddressOf(const std::string& name) { return name + ":1"; }
 
-/// Of a message with its frame and what the network adds.
+/// Size of a message on the wire, with its frame and the network overhead.
 template <typename Message>
 size_t WireBytes(const Message& message) {
-  constexpr size_t kFrame = 80;
-  return kFrame + rpc::Encode(message).size();
+  constexpr size_t kFrameBytes = 80;
+  return kFrameBytes + rpc::Encode(message).size();
 }
 
 }  // namespace
@@ -103,16 +103,16 @@
   const wire::UpstreamRecord record = ListEntry(number);
   upstreams_.Add(record.id, options_.millicores, options_.memory_mb);
   store_.Put(kUpstreamTable, record.id, rpc::Encode(record));
-  listed_[record.id] = record;
+  list_entries_[record.id] = record;
   hosts_.Add("host-" + std::to_string(number), record.id, record);
 }
 
 void JobCell::ReplaceUpstream(const std::string& crashed) {
-  wire::UpstreamRecord record = listed_[crashed];
-  // The last digit, by which the adviser decides, stays.
+  wire::UpstreamRecord record = list_entries_[crashed];
+  // The adviser decides by the last digit, so it stays the same.
   record.id =
       "life-" + std::to_string(++upstreams_created_) + "-" + crashed.back();
-  listed_[record.id] = record;
+  list_entries_[record.id] = record;
   upstreams_.Add(record.id, record.millicores, record.memory_mb);
   store_.Put(kUpstreamTable, crashed, "");
   store_.Put(kUpstreamTable, record.id, rpc::Encode(record));
@@ -121,7 +121,7 @@
 void JobCell::CheckPeriodically() {
   if (HasActiveFault()) upstreams_.RecordFault();
   upstreams_.CheckCancelled();
-  clock_.At(clock_.now() + kWatch, [this] { CheckPeriodically(); });
+  clock_.At(clock_.now() + kCheckInterval, [this] { CheckPeriodically(); });
 }
 
 bool JobCell::HasActiveFault() const {
@@ -172,7 +172,7 @@
     call.connection_lost = true;
     call.ended = clock_.now();
   }
-  ended_.push_back(std::move(process));
+  killed_processes_.push_back(std::move(process));
 }
 
 void JobCell::Restart(const std::string& entry) {
@@ -224,19 +224,19 @@
 }
 
 std::string JobCell::Leader() {
-  std::string best;
+  std::string leader;
   int64_t term = 0;
   for (const auto& [name, process] : processes_) {
     if (!process || process->executor.paused()) continue;
     const auto& leadership = process->entry->leadership();
     if (!leadership.leading() || leadership.term() <= term) continue;
-    best = name;
+    leader = name;
     term = leadership.term();
   }
-  return best;
+  return leader;
 }
 
-size_t JobCell::NoteCall(CallKind kind, const std::string& entry, JobId id) {
+size_t JobCell::RecordCall(CallKind kind, const std::string& entry, JobId id) {
   const auto& process = processes_[entry];
   calls_.push_back({.kind = kind,
                     .job = id,
@@ -247,7 +247,7 @@
   return calls_.size() - 1;
 }
 
-void JobCell::NoteAnswer(size_t call, coordinator::JobVerdict verdict) {
+void JobCell::RecordAnswer(size_t call, coordinator::JobVerdict verdict) {
   ++calls_[call].answers;
   calls_[call].ended = clock_.now();
   calls_[call].verdict = verdict;
@@ -256,15 +256,15 @@
 void JobCell::Submit(const std::string& entry, wire::JobSpec spec) {
   upstreams_.RegisterJob(spec);
   const auto id = static_cast<JobId>(spec.id);
-  const size_t call = NoteCall(CallKind::kSubmit, entry, id);
+  const size_t call = RecordCall(CallKind::kSubmit, entry, id);
   auto& process = processes_[entry];
   if (!process) return;
   ++submits_[id];
   auto* target = process->entry.get();
   process->executor.Post([this, target, spec, id, call] {
-    target->Submit(spec, kCallerLimit,
+    target->Submit(spec, kCallTimeout,
                    [this, id, call](jobentry::JobAnswer answer) {
-                     NoteAnswer(call, answer.verdict);
+                     RecordAnswer(call, answer.verdict);
                      answers_[id].push_back(answer.verdict);
                      if (answer.verdict == coordinator::JobVerdict::kDone) {
                        accepted_.insert(id);
@@ -279,7 +279,7 @@
   if (!process) return;
   auto* target = process->entry.get();
   process->executor.Post([target, id, done = std::move(done)] {
-    target->State(id, kCallerLimit, done);
+    target->State(id, kCallTimeout, done);
   });
 }
 
@@ -289,7 +289,7 @@
 }
 
 bool JobCell::refused(JobId id) const {
-  // A call whose entry died was not refused: it may have been taken.
+  // A call whose entry died was not refused: the job may have been accepted.
   if (!answered(id)) return false;
   const auto found = answers_.find(id);
   return std::all_of(found->second.begin(), found->second.end(), [](auto v) {
@@ -298,21 +298,21 @@
 }
 
 void JobCell::Cancel(const std::string& entry, JobId id) {
-  const size_t call = NoteCall(CallKind::kCancel, entry, id);
+  const size_t call = RecordCall(CallKind::kCancel, entry, id);
   auto& process = processes_[entry];
   if (!process) return;
   auto* target = process->entry.get();
   ++cancels_[id];
   process->executor.Post([this, target, id, call] {
     target->Cancel(
-        id, kCallerLimit, [this, id, call](jobentry::JobAnswer answer) {
-          NoteAnswer(call, answer.verdict);
+        id, kCallTimeout, [this, id, call](jobentry::JobAnswer answer) {
+          RecordAnswer(call, answer.verdict);
           ++cancel_answers_[id];
           if (answer.verdict == coordinator::JobVerdict::kDone) {
             cancelled_.insert(id);
           }
-          // Told that there is no such job, the caller takes it for ended as
-          // well.
+          // A caller that gets "no such job" for an accepted job assumes that
+          // it has ended as well.
           const bool ended =
               answer.verdict == coordinator::JobVerdict::kNoSuchJob &&
               accepted_.count(id) > 0;
@@ -331,28 +331,28 @@
 }
 
 std::optional<JobState> JobCell::State(JobId id) {
-  // An answer may come after this has returned.
-  struct Asked {
+  // An answer may arrive after this function has returned.
+  struct Query {
     bool answered = false;
     std::optional<JobState> state;
   };
   for (const auto& [name, process] : processes_) {
     if (!process || process->executor.paused()) continue;
-    auto asked = std::make_shared<Asked>();
+    auto query = std::make_shared<Query>();
     auto* target = process->entry.get();
-    process->executor.Post([asked, target, id] {
-      target->State(id, Millis(500), [asked](jobentry::JobAnswer answer) {
-        asked->answered = true;
+    process->executor.Post([query, target, id] {
+      target->State(id, Millis(500), [query](jobentry::JobAnswer answer) {
+        query->answered = true;
         if (answer.verdict == coordinator::JobVerdict::kDone) {
-          asked->state = answer.state;
+          query->state = answer.state;
         }
       });
     });
-    constexpr int kLooks = 350;
-    for (int i = 0; i < kLooks && !asked->answered; ++i) {
+    constexpr int kMaxPolls = 350;
+    for (int i = 0; i < kMaxPolls && !query->answered; ++i) {
       clock_.RunFor(Millis(10));
     }
-    if (asked->state) return asked->state;
+    if (query->state) return query->state;
   }
   return std::nullopt;
 }
@@ -372,7 +372,7 @@
   out.insert(out.end(), hosts_.violations().begin(), hosts_.violations().end());
   for (const auto& [id, answers] : answers_) {
     if (refused(id) && upstreams_.HasRun(id)) {
-      out.push_back("refused, and ran: " + JobIdText(id));
+      out.push_back("job ran although it was refused: " + JobIdText(id));
     }
   }
   return out;
@@ -405,8 +405,8 @@
   const std::string name = address.substr(0, address.find(':'));
   const auto found = cell_.processes_.find(name);
   if (found == cell_.processes_.end() || !found->second) {
-    // Nobody listens: the connection is refused.
-    return executor_.RunAfter(2 * kWay, [done] {
+    // No process listens: the connection is refused.
+    return executor_.RunAfter(2 * kNetworkDelay, [done] {
       done(Result<Reply>(Errc::kUnavailable, "refused"));
     });
   }
@@ -420,26 +420,29 @@
   if (cell_.partition_.count(name) != cell_.partition_.count(self_)) return;
   auto* process = found->second.get();
   const Millis way =
-      kWay + cell_.peer_latency_[name] + cell_.peer_latency_[self_];
-  MachineFake& here = cell_.Machine(self_);
-  MachineFake& there = cell_.Machine(name);
-  const auto give = [answered, done](const Reply& reply) {
+      kNetworkDelay + cell_.peer_latency_[name] + cell_.peer_latency_[self_];
+  MachineFake& caller_machine = cell_.Machine(self_);
+  MachineFake& callee_machine = cell_.Machine(name);
+  const auto deliver = [answered, done](const Reply& reply) {
     if (std::exchange(*answered, true)) return;
     done(reply);
   };
-  const auto answer = [this, &here, &there, give, way](const Reply& reply) {
-    there.out.Transfer(WireBytes(reply), [this, &here, give, way, reply] {
-      here.Receive(WireBytes(reply), [this, give, way, reply] {
-        executor_.RunAfter(way, [give, reply] { give(reply); });
-      });
-    });
+  const auto answer = [this, &caller_machine, &callee_machine, deliver,
+                       way](const Reply& reply) {
+    callee_machine.out.Transfer(
+        WireBytes(reply), [this, &caller_machine, deliver, way, reply] {
+          caller_machine.Receive(WireBytes(reply), [this, deliver, way, reply] {
+            executor_.RunAfter(way, [deliver, reply] { deliver(reply); });
+          });
+        });
   };
-  const auto arrive = [process, serve, answer, way] {
+  const auto deliver_call = [process, serve, answer, way] {
     process->executor.RunAfter(
         way, [process, serve, answer] { serve(*process->entry, answer); });
   };
-  here.out.Transfer(bytes,
-                    [&there, bytes, arrive] { there.Receive(bytes, arrive); });
+  caller_machine.out.Transfer(bytes, [&callee_machine, bytes, deliver_call] {
+    callee_machine.Receive(bytes, deliver_call);
+  });
 }
 
 void PeerClientFake::Heartbeat(const std::string& address,
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cell.h
@@ -20,7 +20,7 @@
 
 class JobCell;
 
-/// One entry's way to the other entries of the cell.
+/// The client of one entry for the other entries of the cell.
 class PeerClientFake final : public leadership::JobPeerPort {
  public:
   PeerClientFake(JobCell& cell, Executor& executor, std::string self)
@@ -43,7 +43,8 @@
               Millis timeout, Callback<wire::AdviseReply> done) override;
 
  private:
-  /// `bytes` of the call on the wire.
+  /// Sends a call of `bytes` on the wire to the entry at `address`; `serve`
+  /// handles it there.
   template <typename Reply>
   void Call(const std::string& address, size_t bytes, Millis timeout,
             Callback<Reply> done,
@@ -60,73 +61,75 @@
   int upstreams = 6;
   int32_t millicores = 8000;
   int32_t memory_mb = 16000;
-  /// Processor share of an entry's machine in percent, by number; 100 else.
+  /// Processor share of an entry's machine in percent, by the entry's name; 100
+  /// for the others.
   std::map<std::string, int32_t> fitness{};
-  /// Names of entries that each one asks for the leader.
+  /// Names of the entries that every entry asks for the leader.
   std::vector<std::string> seeds{};
-  /// Hosts have an API: host-N is up-N at first.
+  /// Provides the host API; host-N initially runs up-N.
   bool hosts = false;
-  /// After a crash of an upstream its entry leaves the list after this, if
-  /// another life has not taken its place before.
+  /// How long after the crash of an upstream its list entry is removed, unless
+  /// another incarnation has replaced it before.
   Millis list_entry_ttl{4000};
   Millis replacement_delay{3000};
   bool replacement_at_new_address = false;
-  /// Each way of an entry's link, and its processor.
+  /// Rates of each direction of an entry's link, and of its processor.
   LinkRate link{};
   LinkRate processor{};
 };
 
-/// What a caller asked for.
 enum class CallKind { kSubmit, kCancel };
 
-/// One call of a caller, and what became of it.
+/// One call of a caller and its result.
 struct CallerCall {
   CallKind kind = CallKind::kSubmit;
   JobId job = 0;
   std::string entry;
   TimePoint sent{};
-  /// The entry's process ended before it had answered, or was not there.
+  /// The entry's process ended before it answered, or was not running.
   bool connection_lost = false;
-  /// The entry's process stood still meanwhile.
+  /// The entry's process was paused during the call.
   bool entry_paused = false;
   int answers = 0;
-  /// When it was answered or broken off.
+  /// When the call was answered or its connection was lost.
   TimePoint ended{};
   coordinator::JobVerdict verdict = coordinator::JobVerdict::kUnknown;
 };
 
-/// Whole entry instances over fakes of the platform and a manual clock.
+/// Complete entry instances over fakes of the platform and a manual clock.
 class JobCell {
  public:
   explicit JobCell(CellOptions options);
   ~JobCell();
 
-  /// A process with no memory of an earlier one takes the entry's place.
+  /// Replaces the entry's process by one without its memory.
   void Restart(const std::string& entry);
   void Kill(const std::string& entry);
   void Pause(const std::string& entry);
   void Resume(const std::string& entry);
-  /// Cuts the entry off from all other entries, both ways.
+  /// Makes the entry and all other entries unreachable for each other.
   void SetIsolated(const std::string& entry, bool isolated);
-  /// From now on these entries and upstreams reach each other only, and not the
-  /// store; with none, all reach all.
+  /// Partitions the network: these entries and upstreams reach only each other,
+  /// and not the store. Empty sets end the partition.
   void SetPartition(const std::set<std::string>& entries,
                     const std::set<std::string>& upstreams);
-  /// Every call to or from the entry takes this much longer each way; its way
-  /// to the store stays as it is.
+  /// Adds `way` to each direction of every call to or from the entry. Calls to
+  /// the store keep their delay.
   void SetPeerLatency(const std::string& entry, Millis way) {
     peer_latency_[entry] = way;
   }
-  /// The entry that believes to lead with the highest term; empty if none.
+  /// The running entry with the highest term among those that act as leader;
+  /// empty if there is none.
   std::string Leader();
   std::vector<std::string> names() const;
   jobentry::JobEntry* entry(const std::string& name);
 
-  /// Hands a job in at an entry and keeps what became of it.
+  /// Submits a job to an entry and records the answer.
   void Submit(const std::string& entry, wire::JobSpec spec);
-  /// Asks for cancelling and keeps whether that was acknowledged.
+  /// Asks an entry to cancel the job and records the answer.
   void Cancel(const std::string& entry, JobId id);
-  /// State as any live entry tells it now; empty if none does in time.
+  /// State of the job as reported by any running entry; empty if none answers
+  /// in time.
   std::optional<JobState> State(JobId id);
   /// Asks one entry for the job's state. `done` runs once unless the entry's
   /// process ends before.
@@ -135,24 +138,24 @@
   /// All calls of callers so far, in order.
   const std::vector<CallerCall>& calls() const { return calls_; }
   bool accepted(JobId id) const { return accepted_.count(id) > 0; }
-  /// Somebody has asked for cancelling it, whatever came of that.
+  /// Whether a caller has asked to cancel the job, whatever the result.
   bool cancel_called(JobId id) const { return cancels_.count(id) > 0; }
   bool cancelled(JobId id) const { return cancelled_.count(id) > 0; }
-  /// Every call for cancelling it had an answer, whatever it was.
+  /// Whether every call to cancel the job was answered, whatever the answer.
   bool cancel_answered(JobId id) const;
-  /// Every call had an answer, whatever it was.
+  /// Whether every submission of the job was answered, whatever the answer.
   bool answered(JobId id) const;
-  /// Every answer was a refusal.
+  /// Whether every submission of the job was answered by a refusal.
   bool refused(JobId id) const;
 
-  /// Counters of the entry's process, as text; empty if none runs.
+  /// Metrics of the entry's process as text; empty if it does not run.
   std::string Metrics(const std::string& entry) const;
 
   void RunFor(Millis span) { clock_.RunFor(span); }
-  /// Until the job is final as told by an entry, or the time is over.
+  /// Runs until an entry reports a final state of the job, or for `limit`.
   bool RunUntilFinal(JobId id, Millis limit);
 
-  /// What the entry has sent to other entries and to the store so far.
+  /// Bytes that the entry has sent to other entries and to the store so far.
   int64_t BytesSent(const std::string& entry) {
     return Machine(entry).out.bytes_transferred();
   }
@@ -160,14 +163,14 @@
   sim::ManualClock& clock() { return clock_; }
   StoreFake& store() { return store_; }
   UpstreamsFake& upstreams() { return upstreams_; }
-  /// What the upstream's own entry in the list says.
+  /// The record of an initial upstream in the list of upstreams.
   wire::UpstreamRecord ListEntry(int number) const;
-  /// The same of any life of an upstream. Precondition: it was listed.
+  /// The same for any incarnation of an upstream. Precondition: it was listed.
   const wire::UpstreamRecord& ListEntryOf(const std::string& id) const {
-    return listed_.at(id);
+    return list_entries_.at(id);
   }
   HostsFake& hosts() { return hosts_; }
-  /// Rules broken, as upstreams and callers saw it.
+  /// Violations of the rules that upstreams, hosts and callers observed.
   std::vector<std::string> Violations() const;
 
  private:
@@ -176,14 +179,14 @@
 
   void Start(const std::string& name);
   MachineFake& Machine(const std::string& entry);
-  /// Notes a call at an entry and tells its place among calls().
-  size_t NoteCall(CallKind kind, const std::string& entry, JobId id);
-  void NoteAnswer(size_t call, coordinator::JobVerdict verdict);
+  /// Records a call at an entry and returns its index in calls().
+  size_t RecordCall(CallKind kind, const std::string& entry, JobId id);
+  void RecordAnswer(size_t call, coordinator::JobVerdict verdict);
   void AddUpstream(int number);
-  /// Lists the next life of an upstream that has crashed.
+  /// Lists the next incarnation of an upstream that has crashed.
   void ReplaceUpstream(const std::string& crashed);
-  /// Looks again and again whether anything is out of order, and whether what
-  /// was cancelled is gone.
+  /// Checks periodically whether a fault is active, and whether the tasks of
+  /// cancelled jobs have ended.
   void CheckPeriodically();
   bool HasActiveFault() const;
 
@@ -193,26 +196,27 @@
   UpstreamsFake upstreams_{clock_};
   HostsFake hosts_{clock_, store_, upstreams_};
   std::map<std::string, std::unique_ptr<Process>> processes_;
-  /// Processes that were killed; their executors may still be pointed at.
-  std::vector<std::unique_ptr<Process>> ended_;
+  /// Processes that were killed; pending callbacks still point at their
+  /// executors.
+  std::vector<std::unique_ptr<Process>> killed_processes_;
   std::set<std::string> isolated_;
   std::set<std::string> partition_;
   std::map<std::string, Millis> peer_latency_;
-  /// What the list says of each life of an upstream.
-  std::map<std::string, wire::UpstreamRecord> listed_;
+  /// The list entry of each incarnation of an upstream.
+  std::map<std::string, wire::UpstreamRecord> list_entries_;
   int upstreams_created_ = 0;
   std::map<std::string, std::unique_ptr<MachineFake>> machines_;
   std::vector<CallerCall> calls_;
   std::set<JobId> accepted_;
   std::set<JobId> cancelled_;
   std::map<JobId, size_t> submits_;
-  /// Calls for cancelling that were made and that were answered.
+  /// Number of cancel calls that were made and that were answered.
   std::map<JobId, size_t> cancels_;
   std::map<JobId, size_t> cancel_answers_;
   std::map<JobId, std::vector<coordinator::JobVerdict>> answers_;
 };
 
-/// A job of one step for the cell's only queue.
+/// A job with one step for the cell's only queue.
 wire::JobSpec OneStepJob(JobId id, int32_t tasks, int32_t millicores,
                          bool gang = false);
 
--- a/tests/jobsim/log_fixture.h
+++ b/tests/jobsim/log_fixture.h
@@ -6,7 +6,8 @@
 
 namespace mimosarail::jobsim {
 
-/// MIMOSARAIL_TRACE=1 prints the log lines of a run. A global fixture.
+/// Global fixture that prints the log lines of a run if MIMOSARAIL_TRACE is
+/// set.
 struct LogFixture {
   LogFixture() {
     if (std::getenv("MIMOSARAIL_TRACE") != nullptr) {
--- a/tests/jobsim/store_fake.cc
+++ b/tests/jobsim/store_fake.cc
@@ -7,23 +7,24 @@
 namespace mimosarail::jobsim {
 namespace {
 
-constexpr Millis kDelay{4};
-constexpr size_t kPage = 500;
+constexpr Millis kReplyDelay{4};
+constexpr size_t kPageRecords = 500;
 constexpr size_t kPageBytes = 1 << 20;
-/// So many of a writer's newest appends are answered again when repeated.
-constexpr size_t kRepeats = 5;
-/// Most bytes of a record and of all records of an append.
-constexpr size_t kMostRecordBytes = 256 << 10;
-constexpr size_t kMostAppendBytes = 2 << 20;
-/// Of a call or an answer without records.
+/// Number of a writer's newest appends whose replies are kept for repetitions.
+constexpr size_t kKeptReplies = 5;
+/// Maximum size of a record, and of all records of an append.
+constexpr size_t kMaxRecordBytes = 256 << 10;
+constexpr size_t kMaxAppendBytes = 2 << 20;
+/// Size of a call or a reply without records.
 constexpr size_t kMessageBytes = 200;
 
-/// A page as text, in which a value takes four characters for three bytes.
+/// Size of a page as text, in which a value takes four characters for three
+/// bytes.
 size_t PageBytes(const std::vector<ports::KeyedRecord>& records) {
-  constexpr size_t kAround = 40;
+  constexpr size_t kRecordOverhead = 40;
   size_t bytes = kMessageBytes;
   for (const ports::KeyedRecord& record : records) {
-    bytes += kAround + record.key.size() + record.value.size() * 4 / 3;
+    bytes += kRecordOverhead + record.key.size() + record.value.size() * 4 / 3;
   }
   return bytes;
 }
@@ -59,10 +60,10 @@
   size_t total = 0;
   for (const ports::KeyedRecord& record : records) {
     const size_t bytes = 1 + record.key.size() + record.value.size();
-    if (bytes > kMostRecordBytes) return true;
+    if (bytes > kMaxRecordBytes) return true;
     total += bytes;
   }
-  return total > kMostAppendBytes;
+  return total > kMaxAppendBytes;
 }
 
 std::vector<std::string> ValuesOf(
@@ -117,8 +118,7 @@
   if (call.writer) {
     Writer& writer = table.writers[call.writer->name];
     if (const auto denied = Check(*call.writer, writer)) return *denied;
-    // An empty append sets the epoch and is none of the appends that are
-    // counted.
+    // An empty append sets the epoch but takes no sequence number.
     if (!call.records.empty()) writer.sequence = call.writer->sequence;
   }
   for (const auto& record : call.records) {
@@ -129,7 +129,7 @@
   if (call.writer && !call.records.empty()) {
     auto& answers = table.writers[call.writer->name].answers;
     answers[call.writer->sequence] = done;
-    if (answers.size() > kRepeats) answers.erase(answers.begin());
+    if (answers.size() > kKeptReplies) answers.erase(answers.begin());
   }
   return done;
 }
@@ -151,13 +151,13 @@
 }
 
 Millis StoreFake::NextAppendRequestDelay(const std::string& table) {
-  const auto given = faults_.append_request_delays.find(table);
-  if (given == faults_.append_request_delays.end() || given->second.empty()) {
+  const auto delays = faults_.append_request_delays.find(table);
+  if (delays == faults_.append_request_delays.end() || delays->second.empty()) {
     return faults_.append_latency / 2 + Jitter();
   }
-  const Millis way = given->second.front();
-  given->second.pop_front();
-  return way;
+  const Millis delay = delays->second.front();
+  delays->second.pop_front();
+  return delay;
 }
 
 ports::NewestPage StoreFake::Newest(const std::string& table,
@@ -167,7 +167,7 @@
   out.end_offset = t.end;
   size_t bytes = 0;
   for (auto at = t.newest.upper_bound(after); at != t.newest.end(); ++at) {
-    if (out.records.size() == kPage || bytes >= kPageBytes) {
+    if (out.records.size() == kPageRecords || bytes >= kPageBytes) {
       out.more = true;
       break;
     }
@@ -181,7 +181,7 @@
 Result<ports::TailReply> StoreFake::Tail(const std::string& table,
                                          int64_t from) {
   const Table& t = tables_[table];
-  if (from < t.first) return {Errc::kInvalid, "history is gone"};
+  if (from < t.first) return {Errc::kInvalid, "history was dropped"};
   ports::TailReply out;
   out.start_offset = t.first;
   out.end_offset = t.end;
@@ -196,9 +196,9 @@
   return !faults.down && faults.partitioned_entries.count(entry_) == 0;
 }
 
-void StoreClientFake::Send(size_t bytes, std::function<void()> there) {
-  if (machine_ == nullptr) return there();
-  machine_->out.Transfer(bytes, std::move(there));
+void StoreClientFake::Send(size_t bytes, std::function<void()> done) {
+  if (machine_ == nullptr) return done();
+  machine_->out.Transfer(bytes, std::move(done));
 }
 
 void StoreClientFake::Receive(size_t bytes, std::function<void()> done,
@@ -218,13 +218,13 @@
     });
   }
   StoreFaults& faults = store_.faults();
-  const auto lost = [this, done, timeout] {
+  const auto time_out = [this, done, timeout] {
     executor_.RunAfter(timeout, [done] {
       done({.verdict = ports::AppendVerdict::kUnknown, .detail = "lost"});
     });
   };
   if (store_.ShouldRefuseAppend()) {
-    return executor_.RunAfter(kDelay, [done] {
+    return executor_.RunAfter(kReplyDelay, [done] {
       done({.verdict = ports::AppendVerdict::kRefused, .detail = "refused"});
     });
   }
@@ -232,35 +232,39 @@
     --faults.delayed_appends;
     store_.clock().At(store_.clock().now() + faults.execution_delay,
                       [this, call] { store_.Append(call); });
-    return lost();
+    return time_out();
   }
-  // The store acts whatever becomes of the caller meanwhile.
-  const bool silent = faults.drop_replies > 0;
-  if (silent) --faults.drop_replies;
-  if (silent) lost();
-  auto answered = std::make_shared<bool>(silent);
-  const auto give = [answered, done](const ports::AppendReply& reply) {
+  // The store executes the append even if the caller ends meanwhile.
+  const bool reply_dropped = faults.drop_replies > 0;
+  if (reply_dropped) --faults.drop_replies;
+  if (reply_dropped) time_out();
+  auto answered = std::make_shared<bool>(reply_dropped);
+  const auto deliver = [answered, done](const ports::AppendReply& reply) {
     if (!std::exchange(*answered, true)) done(reply);
   };
-  if (!silent) {
-    executor_.RunAfter(timeout, [give] {
-      give({.verdict = ports::AppendVerdict::kUnknown, .detail = "no answer"});
+  if (!reply_dropped) {
+    executor_.RunAfter(timeout, [deliver] {
+      deliver(
+          {.verdict = ports::AppendVerdict::kUnknown, .detail = "no answer"});
     });
   }
-  const Millis there = store_.NextAppendRequestDelay(call.table);
-  const Millis way_back = faults.append_latency / 2 + store_.Jitter();
-  Send(RecordBytes(call.records), [this, call, there, way_back, give] {
-    store_.clock().At(
-        store_.clock().now() + there, [this, call, way_back, give] {
-          const ports::AppendReply reply = store_.Append(call);
-          const auto& late = store_.faults().append_reply_delays;
-          const auto found = late.find(entry_);
-          const Millis back =
-              way_back + (found == late.end() ? Millis(0) : found->second);
-          store_.clock().At(store_.clock().now() + back, [this, reply, give] {
-            Receive(kMessageBytes, [give, reply] { give(reply); });
-          });
-        });
+  const Millis request_delay = store_.NextAppendRequestDelay(call.table);
+  const Millis reply_delay = faults.append_latency / 2 + store_.Jitter();
+  Send(RecordBytes(call.records), [this, call, request_delay, reply_delay,
+                                   deliver] {
+    store_.clock().At(store_.clock().now() + request_delay, [this, call,
+                                                             reply_delay,
+                                                             deliver] {
+      const ports::AppendReply reply = store_.Append(call);
+      const auto& reply_delays = store_.faults().append_reply_delays;
+      const auto found = reply_delays.find(entry_);
+      const Millis back =
+          reply_delay +
+          (found == reply_delays.end() ? Millis(0) : found->second);
+      store_.clock().At(store_.clock().now() + back, [this, reply, deliver] {
+        Receive(kMessageBytes, [deliver, reply] { deliver(reply); });
+      });
+    });
   });
 }
 
@@ -274,27 +278,28 @@
   if (store_.faults().jitter == Millis(0)) {
     return executor_.RunAfter(delay, [done, read] { done(read()); });
   }
-  const Millis there = store_.Jitter();
+  const Millis request_delay = store_.Jitter();
   const Millis back = delay + store_.Jitter();
-  if (there + back > timeout) {
+  if (request_delay + back > timeout) {
     return executor_.RunAfter(
         timeout, [done] { done(Result<T>(Errc::kTimeout, "no answer")); });
   }
-  store_.clock().At(store_.clock().now() + there, [this, done, read, back] {
-    executor_.RunAfter(back, [done, answer = read()] { done(answer); });
-  });
+  store_.clock().At(
+      store_.clock().now() + request_delay, [this, done, read, back] {
+        executor_.RunAfter(back, [done, answer = read()] { done(answer); });
+      });
 }
 
-void StoreClientFake::WatchSilence(Millis timeout,
-                                   std::shared_ptr<TimePoint> heard,
-                                   Callback<ports::NewestPage> give) {
-  const auto left =
-      std::chrono::ceil<Millis>(*heard + timeout - executor_.Now());
-  if (left <= Millis(0)) {
-    return give(Result<ports::NewestPage>(Errc::kTimeout, "no answer"));
+void StoreClientFake::WatchProgress(Millis timeout,
+                                    std::shared_ptr<TimePoint> last_progress,
+                                    Callback<ports::NewestPage> deliver) {
+  const auto remaining =
+      std::chrono::ceil<Millis>(*last_progress + timeout - executor_.Now());
+  if (remaining <= Millis(0)) {
+    return deliver(Result<ports::NewestPage>(Errc::kTimeout, "no answer"));
   }
-  executor_.RunAfter(left, [this, timeout, heard, give] {
-    WatchSilence(timeout, heard, give);
+  executor_.RunAfter(remaining, [this, timeout, last_progress, deliver] {
+    WatchProgress(timeout, last_progress, deliver);
   });
 }
 
@@ -302,24 +307,24 @@
                                  const std::string& after, Millis timeout,
                                  Callback<ports::NewestPage> done) {
   auto answered = std::make_shared<bool>(false);
-  const auto give = [answered, done](Result<ports::NewestPage> page) {
+  const auto deliver = [answered, done](Result<ports::NewestPage> page) {
     if (!std::exchange(*answered, true)) done(std::move(page));
   };
-  const auto heard = std::make_shared<TimePoint>(executor_.Now());
-  if (machine_ != nullptr) WatchSilence(timeout, heard, give);
+  const auto last_progress = std::make_shared<TimePoint>(executor_.Now());
+  if (machine_ != nullptr) WatchProgress(timeout, last_progress, deliver);
   Answer<ports::NewestPage>(
       timeout,
-      [this, give, heard](Result<ports::NewestPage> page) {
+      [this, deliver, last_progress](Result<ports::NewestPage> page) {
         const size_t bytes =
             page.ok() ? PageBytes(page.value().records) : kMessageBytes;
         Receive(
-            bytes, [give, page] { give(page); },
-            [this, heard] { *heard = executor_.Now(); });
+            bytes, [deliver, page] { deliver(page); },
+            [this, last_progress] { *last_progress = executor_.Now(); });
       },
       [this, table, after]() -> Result<ports::NewestPage> {
         return store_.Newest(table, after);
       },
-      kDelay);
+      kReplyDelay);
 }
 
 void StoreClientFake::ReadTail(const std::string& table, int64_t from, Millis,
@@ -327,7 +332,7 @@
                                Callback<ports::TailReply> done) {
   Answer<ports::TailReply>(
       timeout, std::move(done),
-      [this, table, from] { return store_.Tail(table, from); }, kDelay);
+      [this, table, from] { return store_.Tail(table, from); }, kReplyDelay);
 }
 
 void StoreClientFake::ReadNewest(Millis timeout,
@@ -340,7 +345,7 @@
                                    .documents = ValuesOf(page.records),
                                    .waves = store_.Waves(page.records)};
       },
-      kDelay);
+      kReplyDelay);
 }
 
 void StoreClientFake::ReadChange(int64_t cursor, Millis, Millis timeout,
@@ -361,7 +366,7 @@
 
 Result<ports::CellConfig> StoreClientFake::Decode(
     const std::string& document) const {
-  // The fake's documents are just their version; there is one queue.
+  // A document of the fake is only its version; there is one queue.
   ports::CellConfig out;
   const char* const end = document.data() + document.size();
   const auto read = std::from_chars(document.data(), end, out.version);
@@ -392,7 +397,7 @@
         }
         return out;
       },
-      kDelay);
+      kReplyDelay);
 }
 
 void StoreClientFake::ReadChanges(int64_t cursor, Millis timeout,
@@ -409,7 +414,7 @@
         }
         return out;
       },
-      kDelay);
+      kReplyDelay);
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/jobsim/store_fake.h
+++ b/tests/jobsim/store_fake.h
@@ -17,31 +17,32 @@
 
 namespace mimosarail::jobsim {
 
-/// Faults of the store, switched by tests. An entry is named as in its calls.
+/// Faults of the store, set by tests. Entries are named as in their calls.
 struct StoreFaults {
   bool down = false;
   std::set<std::string> partitioned_entries;
-  /// So many appends are done and not answered.
+  /// Number of upcoming appends that are executed without a reply.
   int drop_replies = 0;
-  /// So many appends are done this much later and not answered.
+  /// Number of upcoming appends that are executed after `execution_delay`
+  /// without a reply.
   int delayed_appends = 0;
   Millis execution_delay{2000};
-  /// How long an append takes until it is answered; half of it there.
+  /// Round-trip time of an append, half of it in each direction.
   Millis append_latency{4};
-  /// Each way of a call takes up to this much longer, by chance, so that calls
-  /// and answers overtake one another.
+  /// Maximum random delay added to each direction of a call, so that calls and
+  /// replies overtake one another.
   Millis jitter{0};
-  /// Of a hundred appends so many are refused, by chance: nothing is done.
+  /// Percentage of appends that are refused at random, without effect.
   uint64_t refused_percent = 0;
-  /// How long the next appends of a table are on their way to the store, in the
-  /// order in which they leave; as usual after these.
+  /// Request delays of the next appends to a table, in the order of sending;
+  /// later appends have the usual delay.
   std::map<std::string, std::deque<Millis>> append_request_delays{};
-  /// Answers to appends of these entries come so much later.
+  /// Additional delay of replies to appends, by entry.
   std::map<std::string, Millis> append_reply_delays{};
 };
 
-/// The platform's store: tables whose newest record of a key counts, fenced
-/// writers, and the history that may be dropped.
+/// The platform's store: tables that keep the newest record of each key, fenced
+/// writers, and a history that may be dropped.
 class StoreFake {
  public:
   explicit StoreFake(sim::ManualClock& clock) : clock_(clock) {}
@@ -53,7 +54,7 @@
     for (auto& [name, table] : tables_) table.first = table.end;
   }
 
-  /// Puts an operator's wave beside the configuration.
+  /// Writes an operator's wave next to the configuration.
   void RequestWave(const ports::WaveRequest& wave);
   /// The waves among these records.
   std::vector<ports::WaveRequest> Waves(
@@ -68,28 +69,29 @@
   const StoreFaults& faults() const { return faults_; }
   sim::ManualClock& clock() { return clock_; }
   int64_t appends() const { return appends_; }
-  /// Appends refused for their numbers: they have overtaken others.
+  /// Number of appends refused for their sequence numbers: they have overtaken
+  /// others.
   int64_t out_of_order() const { return out_of_order_; }
-  /// What is left to chance follows from the seed alone.
+  /// Seeds all random decisions.
   void Seed(uint64_t seed) { random_.seed(seed); }
-  /// What chance adds to one way of a call.
+  /// Random delay of one direction of a call.
   Millis Jitter() {
-    const auto most = static_cast<uint64_t>(faults_.jitter.count());
-    return Millis(most == 0 ? 0 : random_() % (most + 1));
+    const auto max_jitter = static_cast<uint64_t>(faults_.jitter.count());
+    return Millis(max_jitter == 0 ? 0 : random_() % (max_jitter + 1));
   }
-  /// Whether chance has the store refuse an append.
+  /// Decides at random whether the store refuses an append.
   bool ShouldRefuseAppend() {
     return faults_.refused_percent > 0 &&
            random_() % 100 < faults_.refused_percent;
   }
-  /// How long an append is on its way to the store.
+  /// Delay of the next append on the way to the store.
   Millis NextAppendRequestDelay(const std::string& table);
 
  private:
   struct Writer {
     int64_t epoch = 0;
-    /// Of the last append with records; none yet in this epoch, so that the
-    /// first may have any number.
+    /// Sequence number of the last append with records. Unset until the first
+    /// one of an epoch, which may have any number.
     std::optional<int64_t> sequence;
     std::map<int64_t, ports::AppendReply> answers;
   };
@@ -101,8 +103,8 @@
     std::map<std::string, Writer> writers;
   };
 
-  /// The answer to a writer whose append is not to be done, or was done before;
-  /// nothing if it is to be done. Takes its epoch.
+  /// Adopts the writer's epoch. Returns the reply if the append is denied or
+  /// was executed before; nothing if it is to be executed.
   std::optional<ports::AppendReply> Check(const ports::WriterIdentity& who,
                                           Writer& writer);
 
@@ -115,12 +117,13 @@
   std::map<std::string, ports::WaveRequest> waves_;
 };
 
-/// One entry's way to the store.
+/// The client of one entry for the store.
 class StoreClientFake final : public ports::RecordStorePort,
                               public ports::CellConfigPort,
                               public ports::UpstreamListPort {
  public:
-  /// Everything given outlives it. Without a machine nothing takes its link.
+  /// All arguments must outlive the client. Without a machine, messages use no
+  /// link.
   StoreClientFake(StoreFake& store, Executor& executor, std::string entry,
                   MachineFake* machine = nullptr)
       : store_(store),
@@ -145,16 +148,16 @@
 
  private:
   bool Reachable() const;
-  /// Runs `there` when so many bytes have left the entry's machine.
-  void Send(size_t bytes, std::function<void()> there);
-  /// Runs `done` at the entry when so many bytes have come over its link.
-  /// `progress` as in LinkFake::Transfer().
+  /// Runs `done` when `bytes` have left the entry's machine.
+  void Send(size_t bytes, std::function<void()> done);
+  /// Runs `done` at the entry when `bytes` have arrived over its link.
+  /// `progress` is as in LinkFake::Transfer().
   void Receive(size_t bytes, std::function<void()> done,
                const std::function<void()>& progress = {});
-  /// Fails a read that nothing was heard of for the timeout.
-  void WatchSilence(Millis timeout, std::shared_ptr<TimePoint> heard,
-                    Callback<ports::NewestPage> give);
-  /// Runs `answer` after the store's delay, or fails with the timeout.
+  /// Fails a read that makes no progress for `timeout`.
+  void WatchProgress(Millis timeout, std::shared_ptr<TimePoint> last_progress,
+                     Callback<ports::NewestPage> deliver);
+  /// Answers with the result of `read` after `delay`, or fails after `timeout`.
   template <typename T>
   void Answer(Millis timeout, Callback<T> done, std::function<Result<T>()> read,
               Millis delay);
@@ -165,7 +168,7 @@
   MachineFake* machine_;
 };
 
-/// Tables of the fake that stand for the operators' and the upstreams' own.
+/// Tables that operators and upstreams write.
 inline constexpr const char* kConfigTable = "config";
 inline constexpr const char* kUpstreamTable = "upstreams";
 
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -11,21 +11,22 @@
 using ports::CallVerdict;
 using ports::EndKind;
 
-constexpr Millis kWay{1};
-constexpr Millis kLongestLease{6000};
-constexpr Millis kGangPatience{3000};
-/// A cancelled job's tasks may start and run for this long, and a late one for
-/// this long after its start; then they have this long to be gone. Both bounds
-/// count anew from the last disturbance.
+constexpr Millis kNetworkDelay{1};
+constexpr Millis kMaxLease{6000};
+constexpr Millis kGangWaitTimeout{3000};
+/// How long after its cancellation the tasks of a job may still start and run;
+/// a run that starts late counts from its own start.
 constexpr Millis kCancelBound{3000};
+/// How long after kCancelBound the runs may take to end. Both bounds start
+/// again with the last fault.
 constexpr Millis kStopBound{900};
 constexpr int kMaxAttempts = 2;
-/// So many ends are listed in one answer.
-constexpr size_t kEndsAnAnswer = 500;
-/// A task under which so many upstreams have crashed is started no more than so
-/// many times after it.
-constexpr int kCrashesBorne = 3;
-constexpr int kStartsAfter = 2;
+/// Maximum number of ends listed in one reply.
+constexpr size_t kMaxEndsPerReply = 500;
+/// A task that was running on this many upstreams when they crashed may be
+/// started only kMaxStartsAfterCrashes more times.
+constexpr int kCrashLimit = 3;
+constexpr int kMaxStartsAfterCrashes = 2;
 
 }  // namespace
 
@@ -79,7 +80,8 @@
   if (cancelled == cancelled_at_.end()) return;
   const TimePoint since = std::max(cancelled->second, last_fault_at_);
   if (clock_.now() <= since + kCancelBound) return;
-  violations_.push_back("ordered after its cancelling: " + TaskIdText(task));
+  violations_.push_back("start ordered after the job was cancelled: " +
+                        TaskIdText(task));
 }
 
 void UpstreamsFake::CheckCancelled() {
@@ -92,8 +94,8 @@
           std::max({cancelled->second, run.started, last_fault_at_});
       if (clock_.now() <= since + kCancelBound + kStopBound) continue;
       if (!reported_overruns_.insert(run.id).second) continue;
-      violations_.push_back("runs on though cancelled: " + TaskIdText(task) +
-                            " on " + id);
+      violations_.push_back("still running after its job was cancelled: " +
+                            TaskIdText(task) + " on " + id);
     }
   }
 }
@@ -148,9 +150,9 @@
 void UpstreamsFake::CheckCrashes(const TaskId& task) {
   const auto behavior = behaviors_.find(task);
   if (behavior == behaviors_.end() || !behavior->second.crash_delay) return;
-  if (Crashes(task) < kCrashesBorne) return;
-  if (++starts_after_crashes_[task] <= kStartsAfter) return;
-  violations_.push_back("crashes its upstreams and is started on: " +
+  if (Crashes(task) < kCrashLimit) return;
+  if (++starts_after_crashes_[task] <= kMaxStartsAfterCrashes) return;
+  violations_.push_back("started again although it crashes its upstreams: " +
                         TaskIdText(task));
 }
 
@@ -192,8 +194,9 @@
     if (i != task.index && ended_by_order_.count(other) > 0) ++away;
   }
   if (away >= step->max_unavailable) {
-    violations_.push_back("one too many away: " + TaskIdText(task) + ", " +
-                          std::to_string(away) + " others at " +
+    violations_.push_back("max_unavailable exceeded: " + TaskIdText(task) +
+                          ", " + std::to_string(away) +
+                          " other tasks unavailable at " +
                           std::to_string(ClockMs()));
   }
   ended_by_order_.insert(task);
@@ -220,9 +223,10 @@
 }
 
 void UpstreamsFake::ExtendLease(Upstream& upstream, int64_t until_ms) {
-  const TimePoint asked(Millis{until_ms});
-  const TimePoint most = clock_.now() + kLongestLease;
-  upstream.lease_end = std::max(upstream.lease_end, std::min(asked, most));
+  const TimePoint requested_end(Millis{until_ms});
+  const TimePoint max_end = clock_.now() + kMaxLease;
+  upstream.lease_end =
+      std::max(upstream.lease_end, std::min(requested_end, max_end));
 }
 
 void UpstreamsFake::CheckStart(const std::string& id, const Upstream& upstream,
@@ -239,37 +243,40 @@
   add(call.task);
   for (const auto& [task, run] : upstream.running) add(task);
   if (cores > upstream.millicores || memory > upstream.memory_mb) {
-    violations_.push_back("room: " + what);
+    violations_.push_back("capacity exceeded: " + what);
   }
   CheckCrashes(call.task);
   for (const auto& [other_id, other] : upstreams_) {
     if (other.faults.terminated) continue;
     if (other.running.count(call.task) > 0) {
-      violations_.push_back("two runs: " + what + " and on " + other_id);
+      violations_.push_back("task runs twice: " + what + " and on " + other_id);
     }
   }
   if (acknowledged_done_.count(call.task) > 0) {
-    violations_.push_back("started after its end was taken note of: " + what);
+    violations_.push_back("started after its completion was acknowledged: " +
+                          what);
   }
   if (failed_runs_[call.task] >= kMaxAttempts) {
     violations_.push_back("too many attempts: " + what);
   }
   const wire::StepSpec* step = StepOf(call.task);
   if (step == nullptr) {
-    violations_.push_back("nobody asked for it: " + what);
+    violations_.push_back("started without being requested: " + what);
     return;
   }
   for (const int32_t before : step->after) {
     const auto& spec = specs_.at(call.task.job);
-    const wire::StepSpec& earlier = spec.steps[static_cast<size_t>(before)];
+    const wire::StepSpec& required_step =
+        spec.steps[static_cast<size_t>(before)];
     int done = 0;
-    for (int32_t i = 0; i < earlier.tasks; ++i) {
+    for (int32_t i = 0; i < required_step.tasks; ++i) {
       const TaskId task{call.task.job, call.task.occurrence, before, i};
       done += DoneRuns(task) > 0 ? 1 : 0;
     }
-    // The end of one member of a gang stands for all.
-    if (done < (earlier.gang ? 1 : earlier.tasks)) {
-      violations_.push_back("before its turn: " + what);
+    // One completed member of a gang counts for the whole gang.
+    if (done < (required_step.gang ? 1 : required_step.tasks)) {
+      violations_.push_back(
+          "started before the steps it depends on were done: " + what);
     }
   }
 }
@@ -306,7 +313,7 @@
   CrashLater(target.id, call.task, run);
   const wire::StepSpec* step = StepOf(call.task);
   if (step != nullptr && step->gang) {
-    clock_.At(clock_.now() + kGangPatience,
+    clock_.At(clock_.now() + kGangWaitTimeout,
               [this, id = target.id, task = call.task, run] {
                 const auto& running = upstreams_[id].running;
                 const auto found = running.find(task);
@@ -334,8 +341,8 @@
     }
   }
   if (gang && static_cast<int32_t>(members.size()) < step->tasks) return;
-  // The members of a gang end together, with the slowest; one that fails
-  // breaks the others.
+  // The members of a gang end together with the slowest one. If one fails, the
+  // others end with it.
   Millis run_time{0};
   bool any_fails = false;
   for (const auto& [id, member] : members) {
@@ -350,7 +357,8 @@
     const bool fails = failed_runs_[member] < behaviors_[member].failing_runs;
     if (any_fails && !fails) continue;
     if (step != nullptr && step->lasting) {
-      // At work again: what ended it before is over, whatever ends it later.
+      // The task works again, so an earlier order that ended it no longer
+      // counts against the budget.
       clock_.At(clock_.now() + run_time, [this, member = member] {
         if (IsWorking(member)) ended_by_order_.erase(member);
       });
@@ -406,7 +414,7 @@
     for (const auto& [task, run] : upstream.running) {
       all.emplace_back(task, run.id);
     }
-    // What ended before counts as never ended, if nobody took note of it.
+    // Ends before the expiry that no leader has acknowledged no longer count.
     upstream.last_end_before_expiry = upstream.last_end;
     for (const auto& [task, run] : all)
       End(id, task, run, EndKind::kLeaseExpired);
@@ -472,10 +480,10 @@
     reply.running.push_back(
         {.task = task, .attempt = run.attempt, .percent = percent});
   }
-  const size_t listed = std::min(upstream.ended.size(), kEndsAnAnswer);
+  const size_t listed = std::min(upstream.ended.size(), kMaxEndsPerReply);
   reply.ended.assign(upstream.ended.begin(),
                      upstream.ended.begin() + static_cast<ptrdiff_t>(listed));
-  reply.more_ends = listed == kEndsAnAnswer;
+  reply.more_ends = listed == kMaxEndsPerReply;
   return reply;
 }
 
@@ -484,35 +492,35 @@
                                std::function<void(ports::CallReply)> done) {
   upstreams_.CheckStartOrder(call.task);
   UpstreamFaults& faults = upstreams_.faults(target.id);
-  const auto lost = [&] {
+  const auto time_out = [&] {
     executor_.RunAfter(timeout, [done] {
       done({.verdict = CallVerdict::kUnknown, .detail = "no answer"});
     });
   };
-  if (!upstreams_.Reachable(target.id, entry_)) return lost();
+  if (!upstreams_.Reachable(target.id, entry_)) return time_out();
   if (const auto verdict = upstreams_.CrashVerdict(target.id)) {
-    return executor_.RunAfter(2 * kWay, [done, verdict] {
+    return executor_.RunAfter(2 * kNetworkDelay, [done, verdict] {
       done({.verdict = *verdict, .detail = "Connection refused"});
     });
   }
-  const auto act = [this, target, call] {
-    // What was on its way when the upstream crashed has no answer.
+  const auto execute = [this, target, call] {
+    // A call in flight when the upstream crashes gets no reply.
     if (upstreams_.CrashVerdict(target.id)) return ports::CallReply{};
     return upstreams_.Start(target, call);
   };
   if (faults.delayed_starts > 0) {
     --faults.delayed_starts;
     upstreams_.clock().At(upstreams_.clock().now() + faults.execution_delay,
-                          act);
-    return lost();
+                          execute);
+    return time_out();
   }
-  const bool silent = faults.drop_start_replies > 0;
-  if (silent) --faults.drop_start_replies;
+  const bool reply_dropped = faults.drop_start_replies > 0;
+  if (reply_dropped) --faults.drop_start_replies;
   auto reply = std::make_shared<ports::CallReply>();
-  upstreams_.clock().At(upstreams_.clock().now() + kWay,
-                        [act, reply] { *reply = act(); });
-  if (silent) return lost();
-  executor_.RunAfter(2 * kWay, [done, reply] { done(*reply); });
+  upstreams_.clock().At(upstreams_.clock().now() + kNetworkDelay,
+                        [execute, reply] { *reply = execute(); });
+  if (reply_dropped) return time_out();
+  executor_.RunAfter(2 * kNetworkDelay, [done, reply] { done(*reply); });
 }
 
 void UpstreamClientFake::Stop(const ports::UpstreamTarget& target,
@@ -527,15 +535,15 @@
     });
   }
   if (const auto verdict = upstreams_.CrashVerdict(target.id)) {
-    return executor_.RunAfter(2 * kWay, [done, verdict] {
+    return executor_.RunAfter(2 * kNetworkDelay, [done, verdict] {
       done({.verdict = *verdict, .detail = "Connection refused"});
     });
   }
-  upstreams_.clock().At(upstreams_.clock().now() + kWay, [=, this] {
+  upstreams_.clock().At(upstreams_.clock().now() + kNetworkDelay, [=, this] {
     if (upstreams_.CrashVerdict(target.id)) return;
     upstreams_.Stop(target, task, attempt, fence);
   });
-  executor_.RunAfter(2 * kWay,
+  executor_.RunAfter(2 * kNetworkDelay,
                      [done] { done({.verdict = CallVerdict::kDone}); });
 }
 
@@ -550,7 +558,7 @@
     });
   }
   if (const auto verdict = upstreams_.CrashVerdict(target.id)) {
-    return executor_.RunAfter(2 * kWay, [done, verdict] {
+    return executor_.RunAfter(2 * kNetworkDelay, [done, verdict] {
       ports::RenewReply reply;
       reply.call = {.verdict = *verdict, .detail = "Connection refused"};
       done(reply);
@@ -558,8 +566,9 @@
   }
   auto reply = std::make_shared<ports::RenewReply>();
   UpstreamFaults& faults = upstreams_.faults(target.id);
-  const Millis delay = call.wait > Millis(0) ? faults.long_poll_wait : kWay;
-  Millis back = kWay;
+  const Millis delay =
+      call.wait > Millis(0) ? faults.long_poll_wait : kNetworkDelay;
+  Millis back = kNetworkDelay;
   if (faults.delayed_renew_replies > 0) {
     --faults.delayed_renew_replies;
     back += faults.renew_reply_delay;
@@ -575,16 +584,16 @@
 void UpstreamClientFake::Ask(const StepId& step,
                              const std::vector<std::string>& upstreams, Millis,
                              Callback<ports::Advice> done) {
-  constexpr Millis kDecide{10};
+  constexpr Millis kAdviceDelay{10};
   ports::Advice advice;
   advice.valid = Millis(1500);
   for (const std::string& upstream : upstreams) {
-    // At least every other upstream, so that no job is impossible.
+    // Allows at least every other upstream, so that every job can be placed.
     const bool even = (upstream.back() - '0') % 2 == 0;
     const bool allowed = even || Hash64(upstream + StepIdText(step)) % 3 != 0;
     if (allowed) advice.allowed.push_back({upstream, "ticket"});
   }
-  executor_.RunAfter(kDecide, [done, advice] { done(advice); });
+  executor_.RunAfter(kAdviceDelay, [done, advice] { done(advice); });
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -19,56 +19,60 @@
 /// What one task of a test's job does when it runs.
 struct TaskBehavior {
   Millis run_time{500};
-  /// So many of its runs fail.
+  /// Number of runs of the task that fail, from the first one on.
   int failing_runs = 0;
-  /// Each upstream that starts it crashes this much later.
+  /// Each upstream that starts the task crashes after this delay.
   std::optional<Millis> crash_delay{};
 };
 
-/// Faults of one upstream, switched by tests.
+/// Faults of one upstream, set by tests.
 struct UpstreamFaults {
-  /// Gone with all that it ran; never comes back under this id.
+  /// The upstream has ended with all of its runs. It never comes back under
+  /// this id.
   bool terminated = false;
-  /// Runs on, but no call gets through.
+  /// The upstream keeps running, but no call reaches it.
   bool unreachable = false;
-  /// So many starts are carried out and not answered.
+  /// Number of upcoming starts that are executed without a reply.
   int drop_start_replies = 0;
-  /// So many starts are carried out this much later and not answered.
+  /// Number of upcoming starts that are executed after `execution_delay`
+  /// without a reply.
   int delayed_starts = 0;
   Millis execution_delay{2500};
-  /// So many stops never get there.
+  /// Number of upcoming stops that never arrive.
   int drop_stops = 0;
-  /// So many answers to renewals come this much after they were given.
+  /// Number of upcoming replies to renewals that arrive `renew_reply_delay`
+  /// late.
   int delayed_renew_replies = 0;
   Millis renew_reply_delay{1000};
-  /// How long a renewal that waits is held, and a stop takes.
+  /// How long the upstream holds a renewal that waits.
   Millis long_poll_wait{50};
+  /// Time from a stop to the end of the run.
   Millis stop_time{200};
 };
 
-/// All upstreams of a test's cell, and the checks of what they see. They trust
-/// what they are told: room is not guarded.
+/// All upstreams of a test's cell, with checks of the calls that reach them. A
+/// start that exceeds the capacity is executed and recorded as a violation.
 class UpstreamsFake {
  public:
   explicit UpstreamsFake(sim::ManualClock& clock) : clock_(clock) {}
 
   void Add(const std::string& id, int32_t millicores, int32_t memory_mb);
-  /// What it may run changes while it runs.
+  /// Changes the capacity of a running upstream.
   void Resize(const std::string& id, int32_t millicores) {
     upstreams_[id].millicores = millicores;
   }
   UpstreamFaults& faults(const std::string& id) {
     return upstreams_[id].faults;
   }
-  /// The highest fencing token that it has seen.
+  /// The highest fencing token that the upstream has seen.
   int64_t fence(const std::string& id) const { return upstreams_.at(id).fence; }
-  /// The job that tasks belong to, and how its tasks behave.
+  /// Registers the specification of a job, which the checks of its tasks use.
   void RegisterJob(const wire::JobSpec& spec);
   TaskBehavior& behavior(const TaskId& task) { return behaviors_[task]; }
 
-  /// This life of it is over at once, with all that ran there and all ends that
-  /// nobody took note of. Its address refuses connections until another life
-  /// answers there, which `OnReplacement` is told of.
+  /// Ends this incarnation at once, with its runs and all ends that no leader
+  /// has acknowledged. Its address refuses connections until another
+  /// incarnation answers there, which `OnReplacement` reports.
   void Crash(const std::string& id);
   void OnReplacement(
       std::function<void(const std::string& id)> on_replacement) {
@@ -77,27 +81,30 @@
   void OnCrash(std::function<void(const std::string& id)> crash) {
     crash_ = std::move(crash);
   }
-  /// How long after a crash another life answers, and whether at the address of
-  /// the one before or elsewhere.
+  /// How long after a crash the next incarnation answers, and whether it has
+  /// the address of the previous one or a new one.
   void SetReplacement(Millis after, bool elsewhere) {
     replacement_delay_ = after;
     replacement_at_new_address_ = elsewhere;
   }
-  /// Upstreams that have crashed while they ran the task.
+  /// Number of upstreams that have crashed while they ran the task.
   int Crashes(const TaskId& task) const;
-  /// How often the task was started.
+  /// Number of starts of the task.
   int Starts(const TaskId& task) const;
 
-  /// Its host ended this life of it, with all that ran there.
+  /// Ends this incarnation together with its runs, on behalf of its host.
   void TerminateUpstream(const std::string& id);
-  /// Checks that an order which ends all there ends no lasting task of a step
-  /// that has as many away already as it allows.
+  /// Checks that an order which ends all runs of the upstream ends no
+  /// long-running task of a step that already has max_unavailable tasks
+  /// unavailable.
   void CheckTerminationAllowed(const std::string& id);
-  /// Ends "done" there that nobody took note of are lost with the upstream.
+  /// Counts ends "done" that no leader has acknowledged as lost with the
+  /// upstream.
   void DropUnacknowledgedEnds(const std::string& id);
-  /// Runs that ended "done" and were not lost so.
+  /// Number of runs that ended "done", without those that were lost by
+  /// DropUnacknowledgedEnds().
   int DurableDoneRuns(const TaskId& task) const;
-  /// Tasks that run there now.
+  /// Number of tasks that run on the upstream now.
   size_t Running(const std::string& id) const {
     return upstreams_.at(id).running.size();
   }
@@ -108,35 +115,37 @@
                         int64_t attempt, int64_t fence);
   ports::RenewReply Renew(const ports::UpstreamTarget& target,
                           const ports::RenewCall& call);
-  /// Whoever asked was told that the job is cancelled, or that there is none.
+  /// Records that a caller got the answer that the job is cancelled or does not
+  /// exist.
   void NoteCancelled(JobId job) { cancelled_at_.emplace(job, clock_.now()); }
-  /// Something is out of order now; time bounds begin anew.
+  /// Records that a fault is active now; time bounds start again.
   void RecordFault() { last_fault_at_ = clock_.now(); }
-  /// Some upstream is disturbed by its faults.
+  /// Whether any upstream has a fault that affects calls.
   bool HasActiveFault() const;
-  /// An order to start is on its way: none of a job cancelled long ago.
+  /// Checks a start that an entry sends: its job was not cancelled longer ago
+  /// than the bound.
   void CheckStartOrder(const TaskId& task);
-  /// Nothing of a cancelled job runs on past its bound.
+  /// Checks that no task of a cancelled job runs past its bound.
   void CheckCancelled();
-  /// Whether a call of this entry gets there and back.
+  /// Whether calls of the entry reach the upstream and replies come back.
   bool Reachable(const std::string& id, const std::string& entry);
-  /// The entries and upstreams named reach each other and nobody else does;
-  /// with none, all reach all.
+  /// Partitions the network: the members of `island` reach only each other. An
+  /// empty set ends the partition.
   void SetPartition(std::set<std::string> island) {
     partition_ = std::move(island);
   }
-  /// What a call to an upstream that has crashed is answered; unset for others.
+  /// The verdict on a call to an upstream that has crashed; unset for others.
   std::optional<ports::CallVerdict> CrashVerdict(const std::string& id) const;
   sim::ManualClock& clock() { return clock_; }
 
-  /// Rules broken so far, each with what was seen.
+  /// Violations of the rules so far, each with a description.
   const std::vector<std::string>& violations() const { return violations_; }
-  /// Runs that ended "done", by task.
+  /// Number of runs of the task that ended "done".
   int DoneRuns(const TaskId& task) const;
   int starts() const { return starts_; }
-  /// Whether anybody ever called it.
+  /// Whether any entry ever called the upstream.
   bool WasCalled(const std::string& id) const { return called_.count(id) > 0; }
-  /// The upstream that runs the task; empty if none does.
+  /// The upstream that runs the task; empty if there is none.
   std::string UpstreamRunning(const TaskId& task) const;
   bool HasRun(JobId job) const { return ran_.count(job) > 0; }
   std::vector<std::string> ids() const;
@@ -158,7 +167,7 @@
     int64_t fence = 0;
     int64_t last_end = 0;
     TimePoint lease_end{};
-    /// Ends up to this number came before a lease ran out.
+    /// Number of the last end before a lease expired.
     int64_t last_end_before_expiry = 0;
     std::map<TaskId, Run> running;
     std::vector<ports::EndedTask> ended;
@@ -172,7 +181,7 @@
   void BeginWork(const TaskId& task, int64_t attempt);
   void End(const std::string& id, const TaskId& task, uint64_t run,
            ports::EndKind kind);
-  /// The other members that work end with one that ended early.
+  /// Ends the other working members of a gang after one member ended early.
   void BreakGang(const TaskId& task, int64_t attempt);
   void ExpireLease(const std::string& id);
   const wire::StepSpec* StepOf(const TaskId& task) const;
@@ -196,15 +205,15 @@
   std::function<void(const std::string& id)> crash_;
   Millis replacement_delay_{3000};
   bool replacement_at_new_address_ = false;
-  /// Ends "done" that a leader has taken note of, in tasks.
+  /// Tasks with an end "done" that a leader has acknowledged.
   std::set<TaskId> acknowledged_done_;
   std::set<JobId> ran_;
   std::set<std::string> called_;
   std::map<JobId, TimePoint> cancelled_at_;
   TimePoint last_fault_at_{};
-  /// Runs that were found to outlast the cancelling of their job.
+  /// Runs already reported as outlasting the cancellation of their job.
   std::set<uint64_t> reported_overruns_;
-  /// Bound tasks that were at work when an order ended them.
+  /// Tasks under a disruption budget that worked when an order ended them.
   std::set<TaskId> ended_by_order_;
   std::vector<std::string> violations_;
   uint64_t last_run_ = 0;
@@ -212,11 +221,11 @@
   std::set<std::string> partition_;
 };
 
-/// One entry's way to the upstreams.
+/// The client of one entry for the upstreams.
 class UpstreamClientFake final : public ports::TaskPort,
                                  public ports::AdvicePort {
  public:
-  /// Everything given outlives it.
+  /// All arguments must outlive the client.
   UpstreamClientFake(UpstreamsFake& upstreams, Executor& executor,
                      std::string entry)
       : upstreams_(upstreams), executor_(executor), entry_(std::move(entry)) {}
