--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -8,48 +8,49 @@
 
 using Json = nlohmann::json;
 
-/// Below what an entry keeps an idle connection for, so that it is the entry's
-/// end that ends it.
+/// Below the idle timeout of an entry, so that the entry closes a connection
+/// only when its process ends.
 constexpr Millis kMaxIdle{50000};
-constexpr size_t kMostConnections = 200;
-/// A request that comes this long before its connection ends may be unread.
-constexpr Millis kLossSlack{200};
-/// What an entry does is judged when no signal but SIGTERM came for this long.
+constexpr size_t kMaxConnections = 200;
+/// The entry may not have read a request sent this shortly before its
+/// connection closed.
+constexpr Millis kUnreadGrace{200};
+/// Answers of an entry are checked strictly if it got no signal but SIGTERM for
+/// this long.
 constexpr Millis kRecoveryTime{3000};
 
-constexpr Millis kShortestThought{5};
-constexpr Millis kLongestThought{60};
-constexpr Millis kShortestLimit{1000};
-constexpr Millis kLongestLimit{4000};
-constexpr Millis kShortestRetry{20};
-constexpr Millis kLongestRetry{200};
-constexpr int kMostTries = 6;
-constexpr size_t kMostSteps = 2;
-constexpr size_t kMostTasks = 3;
+constexpr Millis kMinThinkTime{5};
+constexpr Millis kMaxThinkTime{60};
+constexpr Millis kMinCallTimeout{1000};
+constexpr Millis kMaxCallTimeout{4000};
+constexpr Millis kMinRetryDelay{20};
+constexpr Millis kMaxRetryDelay{200};
+constexpr int kMaxRetries = 6;
+constexpr size_t kMaxSteps = 2;
+constexpr size_t kMaxTasks = 3;
 constexpr int kTaskMillicores = 400;
 constexpr int kEstimateMs = 200;
-/// Shares of calls; the rest hands in new jobs.
-constexpr size_t kAboutPercent = 40;
-/// Of the calls about an accepted job; the rest asks for its state.
+/// Share of calls about accepted jobs; the rest submits new jobs.
+constexpr size_t kAcceptedJobPercent = 40;
+/// Shares among the calls about accepted jobs; the rest queries the state.
 constexpr size_t kCancelPercent = 10;
-constexpr size_t kRepeatPercent = 8;
-constexpr size_t kAwayFromHomePercent = 15;
-constexpr size_t kGiveUpRefusedPercent = 50;
-/// A job need not be known to all entries sooner after its acceptance.
-constexpr Millis kVisible{3000};
+constexpr size_t kResubmitPercent = 8;
+constexpr size_t kOtherEntryPercent = 15;
+constexpr size_t kAbandonRefusedPercent = 50;
+/// All entries must know a job this long after its acceptance.
+constexpr Millis kVisibilityLimit{3000};
 
-/// Entries have all started anew, and nothing disturbs them: far above what a
-/// take-over and the jobs that are left need.
-constexpr Millis kLimit{60000};
-constexpr Millis kAskAgain{200};
-constexpr size_t kParallel = 16;
+/// Limit of the final check. All entries have restarted and no fault is active,
+/// so this is far more than a takeover and the remaining jobs need.
+constexpr Millis kFinalCheckLimit{60000};
+constexpr Millis kPollInterval{200};
+constexpr size_t kParallelQueries = 16;
 
 }  // namespace
 
 CallerClient::CallerClient(asio::io_context& io, ConsistencyChecker& checker)
     : checker_(checker),
-      client_(io, {.max_connections = kMostConnections, .max_idle = kMaxIdle}) {
-}
+      client_(io, {.max_connections = kMaxConnections, .max_idle = kMaxIdle}) {}
 
 void CallerClient::Call(Entry& entry, const CallerRequest& call,
                         std::function<void(CallerReply)> done) {
@@ -78,19 +79,20 @@
   if (!response.ok()) {
     const std::error_code code = response.error().code;
     out.unsent = code == Errc::kUnavailable;
-    // A signal may end it, and so may an entry that has not read the request.
+    // A signal may have broken the connection, or the entry may have closed it
+    // before it read the request.
     const bool excused = entry.last_fault_at() > sent - kRecoveryTime ||
-                         Clock::now() - sent <= kLossSlack;
+                         Clock::now() - sent <= kUnreadGrace;
     const bool broken = code == Errc::kDisconnected && !excused;
     if (code == Errc::kMalformed || broken) {
-      checker_.AddFinding("no whole answer, sent at " +
+      checker_.AddFinding("incomplete answer to a request sent at " +
                           checker_.ElapsedText(sent) + ": " + what);
     }
     return out;
   }
   out.status = response.value().status;
-  const bool denies_new = out.status == 410 && call.method == "POST";
-  if (kStatuses.count(out.status) == 0 || denies_new) {
+  const bool submission_unknown = out.status == 410 && call.method == "POST";
+  if (kStatuses.count(out.status) == 0 || submission_unknown) {
     checker_.AddFinding("status " + std::to_string(out.status) + ": " + what);
   }
   if (call.method != "GET" || out.status != 200) return out;
@@ -105,33 +107,33 @@
 }
 
 Entry& Callers::Home(size_t caller) {
-  const size_t at = random_.Percent(kAwayFromHomePercent)
+  const size_t at = random_.Percent(kOtherEntryPercent)
                         ? random_.Below(entries_.size())
                         : caller % entries_.size();
   return *entries_[at];
 }
 
 void Callers::Start(size_t callers) {
-  at_work_ = callers;
+  active_ = callers;
   for (size_t i = 0; i < callers; ++i) Next(i);
 }
 
 void Callers::Next(size_t caller) {
-  executor_.RunAfter(random_.Between(kShortestThought, kLongestThought),
+  executor_.RunAfter(random_.Between(kMinThinkTime, kMaxThinkTime),
                      [this, caller] { Act(caller); });
 }
 
 void Callers::Act(size_t caller) {
   if (ending_) {
-    --at_work_;
+    --active_;
     return;
   }
-  if (accepted_.empty() || !random_.Percent(kAboutPercent)) {
+  if (accepted_.empty() || !random_.Percent(kAcceptedJobPercent)) {
     return SubmitNew(caller);
   }
   const JobId id = accepted_[random_.Below(accepted_.size())];
-  if (random_.Percent(kRepeatPercent)) {
-    return Submit(caller, id, Home(caller), kMostTries);
+  if (random_.Percent(kResubmitPercent)) {
+    return Submit(caller, id, Home(caller), kMaxRetries);
   }
   QueryOrCancel(caller, id, random_.Percent(kCancelPercent));
 }
@@ -140,9 +142,9 @@
   const JobId id = random_.Any();
   JobRecord& job = checker_.jobs()[id];
   Json steps = Json::array();
-  const size_t count = 1 + random_.Below(kMostSteps);
+  const size_t count = 1 + random_.Below(kMaxSteps);
   for (size_t i = 0; i < count; ++i) {
-    job.tasks.push_back(static_cast<int32_t>(1 + random_.Below(kMostTasks)));
+    job.tasks.push_back(static_cast<int32_t>(1 + random_.Below(kMaxTasks)));
     steps.push_back({{"count", job.tasks.back()},
                      {"cpu", kTaskMillicores},
                      {"estMs", kEstimateMs}});
@@ -159,7 +161,7 @@
                {.method = "POST",
                 .job = id,
                 .body = job.body,
-                .limit = random_.Between(kShortestLimit, kLongestLimit)},
+                .limit = random_.Between(kMinCallTimeout, kMaxCallTimeout)},
                [this, caller, id, &entry, tries](const CallerReply& reply) {
                  OnSubmitReply(caller, id, entry, tries, reply);
                });
@@ -177,12 +179,12 @@
     return Next(caller);
   }
   if (reply.refused()) ++job.refusals;
-  const bool gives_up =
-      reply.refused() && random_.Percent(kGiveUpRefusedPercent);
-  if (gives_up || tries >= kMostTries) return Next(caller);
+  const bool abandons =
+      reply.refused() && random_.Percent(kAbandonRefusedPercent);
+  if (abandons || tries >= kMaxRetries) return Next(caller);
   // Retries reach other entries.
   Entry& other = *entries_[random_.Below(entries_.size())];
-  executor_.RunAfter(random_.Between(kShortestRetry, kLongestRetry),
+  executor_.RunAfter(random_.Between(kMinRetryDelay, kMaxRetryDelay),
                      [this, caller, id, &other, tries] {
                        Submit(caller, id, other, tries + 1);
                      });
@@ -191,24 +193,25 @@
 void Callers::QueryOrCancel(size_t caller, JobId id, bool cancel) {
   Entry& entry = Home(caller);
   JobRecord& job = checker_.jobs()[id];
-  const bool wanted = !job.cancel_asked;
-  job.cancel_asked = job.cancel_asked || cancel;
+  const bool uncancelled = !job.cancel_requested;
+  job.cancel_requested = job.cancel_requested || cancel;
   const CallerRequest call{.method = cancel ? "DELETE" : "GET", .job = id};
-  client_.Call(entry, call,
-               [this, caller, call, &entry, wanted](const CallerReply& reply) {
-                 if (reply.status == 410 && wanted) OnJobNotFound(call, entry);
-                 Next(caller);
-               });
+  client_.Call(
+      entry, call,
+      [this, caller, call, &entry, uncancelled](const CallerReply& reply) {
+        if (reply.status == 410 && uncancelled) OnJobNotFound(call, entry);
+        Next(caller);
+      });
 }
 
 void Callers::OnJobNotFound(const CallerRequest& call, const Entry& entry) {
   const JobRecord& job = checker_.jobs()[call.job];
-  // Another caller may have cancelled it meanwhile.
-  if (call.method == "GET" && job.cancel_asked) return;
-  const std::string text = checker_.Describe(call.job) + ", denied by " +
-                           entry.name() + " to a " + call.method;
+  // Another caller may have cancelled the job meanwhile.
+  if (call.method == "GET" && job.cancel_requested) return;
+  const std::string text = checker_.Describe(call.job) + ", unknown at " +
+                           entry.name() + " for a " + call.method;
   const TimePoint now = Clock::now();
-  const bool excused = now - job.accepted_at < kVisible ||
+  const bool excused = now - job.accepted_at < kVisibilityLimit ||
                        now - entry.last_fault_at() < kRecoveryTime;
   if (excused) return checker_.Log("excused: " + text);
   checker_.AddFinding(text);
@@ -216,29 +219,29 @@
 
 void FinalCheck::Start(std::function<void()> done) {
   done_ = std::move(done);
-  limit_ = Clock::now() + kLimit;
-  asking_ = entries_.size() * kParallel;
+  limit_ = Clock::now() + kFinalCheckLimit;
+  active_queries_ = entries_.size() * kParallelQueries;
   for (auto& entry : entries_) {
     for (const auto& [id, job] : checker_.jobs()) {
-      left_[entry.get()].push_back(id);
+      remaining_[entry.get()].push_back(id);
     }
-    for (size_t i = 0; i < kParallel; ++i) AskNext(*entry);
+    for (size_t i = 0; i < kParallelQueries; ++i) QueryNext(*entry);
   }
 }
 
-void FinalCheck::AskNext(Entry& entry) {
-  std::vector<JobId>& left = left_[&entry];
-  if (!left.empty()) {
-    const JobId id = left.back();
-    left.pop_back();
-    return Ask(entry, id);
+void FinalCheck::QueryNext(Entry& entry) {
+  std::vector<JobId>& remaining = remaining_[&entry];
+  if (!remaining.empty()) {
+    const JobId id = remaining.back();
+    remaining.pop_back();
+    return Query(entry, id);
   }
-  if (--asking_ > 0) return;
-  for (const auto& [id, job] : checker_.jobs()) Judge(id, job);
+  if (--active_queries_ > 0) return;
+  for (const auto& [id, job] : checker_.jobs()) CheckAnswers(id, job);
   done_();
 }
 
-void FinalCheck::Ask(Entry& entry, JobId id) {
+void FinalCheck::Query(Entry& entry, JobId id) {
   client_.Call(entry, {.job = id},
                [this, &entry, id](const CallerReply& reply) {
                  OnReply(entry, id, reply);
@@ -247,34 +250,35 @@
 
 void FinalCheck::OnReply(Entry& entry, JobId id, const CallerReply& reply) {
   if (reply.status == 410) {
-    answers_[id].denied_by += " " + entry.name();
-    return AskNext(entry);
+    answers_[id].unknown_at += " " + entry.name();
+    return QueryNext(entry);
   }
   if (reply.status == 200 && !checker_.jobs()[id].final_state.empty()) {
     answers_[id].known_at += " " + entry.name();
-    return AskNext(entry);
+    return QueryNext(entry);
   }
   if (Clock::now() > limit_) {
-    checker_.AddFinding("job " + JobIdText(id) + " at the end at " +
-                        entry.name() + ": status " +
-                        std::to_string(reply.status) + " " + reply.state);
-    return AskNext(entry);
+    checker_.AddFinding("job " + JobIdText(id) +
+                        " not final in the last check at " + entry.name() +
+                        ": status " + std::to_string(reply.status) + " " +
+                        reply.state);
+    return QueryNext(entry);
   }
-  executor_.RunAfter(kAskAgain, [this, &entry, id] { Ask(entry, id); });
+  executor_.RunAfter(kPollInterval, [this, &entry, id] { Query(entry, id); });
 }
 
-void FinalCheck::Judge(JobId id, const JobRecord& job) {
+void FinalCheck::CheckAnswers(JobId id, const JobRecord& job) {
   const Answers& answers = answers_[id];
   if (job.started && job.submissions == job.refusals) {
     checker_.AddFinding("job " + JobIdText(id) + " ran though it was refused");
   }
-  if (answers.denied_by.empty() || job.cancel_asked) return;
+  if (answers.unknown_at.empty() || job.cancel_requested) return;
   const bool lost = !job.accepted_by.empty();
   lost_ += lost ? 1 : 0;
-  // Of one whose acceptance nobody was told, entries must agree.
+  // If no caller got the acceptance of the job, the entries must agree.
   if (!lost && answers.known_at.empty()) return;
   checker_.AddFinding((lost ? "LOST " : "") + checker_.Describe(id) +
-                      ", denied by" + answers.denied_by + ", known at" +
+                      ", unknown at" + answers.unknown_at + ", known at" +
                       answers.known_at);
 }
 
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -19,26 +19,26 @@
   std::string method = "GET";
   JobId job = 0;
   std::string body{};
-  /// How long the caller waits.
+  /// How long the caller waits for an answer.
   Millis limit{3000};
 };
 
-/// What a caller has of an entry.
+/// The answer of an entry to a caller.
 struct CallerReply {
-  /// 0 without an answer.
+  /// HTTP status; 0 without an answer.
   int status = 0;
-  /// Nothing was sent.
+  /// The request was not sent.
   bool unsent = false;
-  /// Of a job that was asked for.
+  /// State of the job, if the request asked for it.
   std::string state{};
 
-  /// Not accepted: it never runs.
+  /// The job was not accepted and must never run.
   bool refused() const { return status == 429 || status == 503 || unsent; }
 };
 
-/// Calls of the platform's clients, over connections that are kept until the
-/// entry ends them. Holds each answer against the interface. One thread runs
-/// `io`, which outlives the client, as do the ledger and the entries.
+/// HTTP client of the callers. Keeps connections open until the entry closes
+/// them, and checks each answer against the interface. One thread runs `io`,
+/// which outlives the client, as do the checker and the entries.
 class CallerClient {
  public:
   static constexpr const char* kHost = "soak.example";
@@ -56,9 +56,9 @@
   http::Client client_;
 };
 
-/// Callers that hand in jobs, ask for them and cancel a few, each one call
-/// after the other, mostly at the entry that it began with. Executor's thread
-/// only; what it is given outlives it.
+/// Callers that submit jobs, query them and cancel a few. Each caller sends one
+/// call after the other, mostly to its home entry. Executor's thread only; all
+/// arguments must outlive the object.
 class Callers {
  public:
   Callers(Executor& executor, CallerClient& client, ConsistencyChecker& checker,
@@ -70,9 +70,9 @@
         random_(seed) {}
 
   void Start(size_t callers);
-  /// Each ends with the call that it is at.
+  /// Each caller ends after its current call.
   void End() { ending_ = true; }
-  size_t active() const { return at_work_; }
+  size_t active() const { return active_; }
 
  private:
   Entry& Home(size_t caller);
@@ -82,9 +82,9 @@
   void Submit(size_t caller, JobId id, Entry& entry, int tries);
   void OnSubmitReply(size_t caller, JobId id, Entry& entry, int tries,
                      const CallerReply& reply);
-  /// Asks for an accepted job, or cancels it.
+  /// Queries or cancels an accepted job.
   void QueryOrCancel(size_t caller, JobId id, bool cancel);
-  /// An entry denies an accepted job.
+  /// An entry reports an accepted job as unknown.
   void OnJobNotFound(const CallerRequest& call, const Entry& entry);
 
   Executor& executor_;
@@ -94,11 +94,11 @@
   SeededRandom random_;
   std::vector<JobId> accepted_;
   bool ending_ = false;
-  size_t at_work_ = 0;
+  size_t active_ = 0;
 };
 
-/// Asks every entry for every job that was handed in, until each answer is
-/// final. Executor's thread only; what it is given outlives it.
+/// Queries every submitted job at every entry until each answer is final.
+/// Executor's thread only; all arguments must outlive the object.
 class FinalCheck {
  public:
   FinalCheck(Executor& executor, CallerClient& client,
@@ -109,20 +109,22 @@
         entries_(entries) {}
 
   void Start(std::function<void()> done);
-  /// Jobs that were accepted, that nobody cancelled, and that are denied.
+  /// Number of jobs that were accepted, that no caller cancelled, and that an
+  /// entry reports as unknown.
   size_t lost() const { return lost_; }
 
  private:
-  /// Names of the entries that know a job, and of those that deny it.
+  /// Names of the entries that know a job, and of those that report it as
+  /// unknown.
   struct Answers {
     std::string known_at;
-    std::string denied_by;
+    std::string unknown_at;
   };
 
-  void AskNext(Entry& entry);
-  void Ask(Entry& entry, JobId id);
+  void QueryNext(Entry& entry);
+  void Query(Entry& entry, JobId id);
   void OnReply(Entry& entry, JobId id, const CallerReply& reply);
-  void Judge(JobId id, const JobRecord& job);
+  void CheckAnswers(JobId id, const JobRecord& job);
 
   Executor& executor_;
   CallerClient& client_;
@@ -130,9 +132,9 @@
   Entries& entries_;
   std::function<void()> done_;
   TimePoint limit_{};
-  /// What each entry is still to be asked for.
-  std::map<Entry*, std::vector<JobId>> left_;
-  size_t asking_ = 0;
+  /// Jobs still to be queried at each entry.
+  std::map<Entry*, std::vector<JobId>> remaining_;
+  size_t active_queries_ = 0;
   std::map<JobId, Answers> answers_;
   size_t lost_ = 0;
 };
--- a/tests/soak/entries.cc
+++ b/tests/soak/entries.cc
@@ -10,30 +10,31 @@
 
 using Json = nlohmann::json;
 
-/// The term of a line that tells of a new leader; 0 for any other line.
+/// The term of a log line that reports a new leader; 0 for other lines.
 int64_t TermLed(const std::string& line) {
   if (line.find("\"event\":\"leading\"") == std::string::npos) return 0;
   return std::stoll(Json::parse(line).value("term", "0"));
 }
 
 constexpr Millis kPollInterval{20};
-constexpr Millis kShortestGap{600};
-constexpr Millis kLongestGap{2400};
-constexpr Millis kShortestRestart{100};
-constexpr Millis kLongestRestart{1500};
-constexpr Millis kShortestFreeze{300};
-constexpr Millis kLongestFreeze{3500};
-/// A process that was told to end is killed after this.
-constexpr Millis kGrace{6000};
+constexpr Millis kMinFaultInterval{600};
+constexpr Millis kMaxFaultInterval{2400};
+constexpr Millis kMinRestartDelay{100};
+constexpr Millis kMaxRestartDelay{1500};
+constexpr Millis kMinPause{300};
+constexpr Millis kMaxPause{3500};
+/// Time after SIGTERM until the process is killed.
+constexpr Millis kShutdownTimeout{6000};
 constexpr size_t kLeaderPercent = 75;
-/// Of what strikes an entry, and then of the rest; what is left freezes it.
+/// Share of kills among the faults, and of SIGTERM among the others; the rest
+/// pauses the entry.
 constexpr size_t kKillPercent = 45;
 constexpr size_t kTerminatePercent = 55;
-/// Another entry is struck in the same moment.
-constexpr size_t kSecondPercent = 20;
-constexpr size_t kAllPercent = 3;
-/// So many are left alone, but when all are killed.
-constexpr int64_t kFewestCalm = 2;
+/// Share of faults that come with a second fault at the same time.
+constexpr size_t kSecondFaultPercent = 20;
+constexpr size_t kKillAllPercent = 3;
+/// At least this many entries stay healthy, except when all are killed.
+constexpr int64_t kMinHealthy = 2;
 
 }  // namespace
 
@@ -59,7 +60,7 @@
       std::vector<std::string>{options_.daemon, "jobs", "--settings",
                                Path(".json")},
       Path(".log"));
-  ++life_;
+  ++incarnation_;
   stopped_ = stop_requested_ = killed_ = false;
   last_fault_at_ = Clock::now();
 }
@@ -76,7 +77,7 @@
 std::string Entry::UnexpectedExit() {
   const int code = process_->Wait();
   if (killed_ || (stop_requested_ && code == 0)) return {};
-  return name() + " ended by itself, code " + std::to_string(code);
+  return name() + " ended unexpectedly, exit code " + std::to_string(code);
 }
 
 int64_t Entry::last_term_led() {
@@ -91,8 +92,8 @@
 }
 
 void ProcessFaultInjector::Start() {
-  RunEvery(executor_, kPollInterval, [this] { Watch(); });
-  Next();
+  RunEvery(executor_, kPollInterval, [this] { RestartEnded(); });
+  ScheduleNextFault();
 }
 
 void ProcessFaultInjector::End() {
@@ -113,7 +114,7 @@
                             });
 }
 
-void ProcessFaultInjector::Watch() {
+void ProcessFaultInjector::RestartEnded() {
   for (auto& entry : entries_) {
     const bool ended = !entry->alive();
     if (ended && restarting_.insert(entry.get()).second) Restart(*entry);
@@ -123,7 +124,7 @@
 void ProcessFaultInjector::Restart(Entry& entry) {
   const std::string unexpected_exit = entry.UnexpectedExit();
   if (!unexpected_exit.empty()) checker_.AddFinding(unexpected_exit);
-  executor_.RunAfter(random_.Between(kShortestRestart, kLongestRestart),
+  executor_.RunAfter(random_.Between(kMinRestartDelay, kMaxRestartDelay),
                      [this, &entry] {
                        checker_.Log("start " + entry.name());
                        entry.Start();
@@ -131,17 +132,19 @@
                      });
 }
 
-void ProcessFaultInjector::Next() {
-  executor_.RunAfter(random_.Between(kShortestGap, kLongestGap), [this] {
-    if (ending_) return;
-    if (random_.Percent(kAllPercent)) {
-      KillAll();
-    } else {
-      InjectFault();
-      if (random_.Percent(kSecondPercent)) InjectFault();
-    }
-    Next();
-  });
+void ProcessFaultInjector::ScheduleNextFault() {
+  executor_.RunAfter(random_.Between(kMinFaultInterval, kMaxFaultInterval),
+                     [this] {
+                       if (ending_) return;
+                       if (random_.Percent(kKillAllPercent)) {
+                         KillAll();
+                       } else {
+                         InjectFault();
+                         if (random_.Percent(kSecondFaultPercent))
+                           InjectFault();
+                       }
+                       ScheduleNextFault();
+                     });
 }
 
 void ProcessFaultInjector::InjectFault() {
@@ -151,22 +154,22 @@
   const auto healthy =
       std::count_if(entries_.begin(), entries_.end(),
                     [](const auto& one) { return one->healthy(); });
-  if (entry.healthy() && healthy <= kFewestCalm) return;
+  if (entry.healthy() && healthy <= kMinHealthy) return;
   if (random_.Percent(kKillPercent)) return Signal(entry, SIGKILL);
   if (random_.Percent(kTerminatePercent)) {
     Signal(entry, SIGTERM);
-    return SignalLater(entry, SIGKILL, kGrace);
+    return SignalLater(entry, SIGKILL, kShutdownTimeout);
   }
   if (entry.stopped()) return;
   Signal(entry, SIGSTOP);
-  SignalLater(entry, SIGCONT, random_.Between(kShortestFreeze, kLongestFreeze));
+  SignalLater(entry, SIGCONT, random_.Between(kMinPause, kMaxPause));
 }
 
 void ProcessFaultInjector::Signal(Entry& entry, int signal) {
   if (!entry.alive()) return;
   ++signals_;
   checker_.Log("signal " + std::to_string(signal) + " to " + entry.name() +
-               (&entry == &Leader() ? ", which led last" : ""));
+               (&entry == &Leader() ? ", the last leader" : ""));
   entry.Signal(signal);
 }
 
--- a/tests/soak/entries.h
+++ b/tests/soak/entries.h
@@ -16,20 +16,20 @@
 struct EntryOptions {
   std::string name;
   std::string daemon;
-  /// Folder of settings and logs.
+  /// Directory of settings and logs.
   std::string folder;
-  /// "ip:port" of callers and of other entries.
+  /// "ip:port" for callers and for other entries.
   std::string front;
   std::string peer;
   std::string store;
   std::vector<std::string> seeds;
 };
 
-/// "ip:port" that stays free for this process and its children.
+/// "ip:port" that is reserved for this process and its children.
 std::string FreeAddress();
 
-/// One entry instance as a process of its own, started again and again at the
-/// same addresses. Not thread-safe.
+/// One entry instance as a separate process, restarted at the same addresses.
+/// Not thread-safe.
 class Entry {
  public:
   explicit Entry(EntryOptions options);
@@ -38,26 +38,27 @@
   /// SIGKILL, SIGTERM, SIGSTOP or SIGCONT.
   void Signal(int signal);
   bool alive() { return process_->Alive(); }
-  /// It runs, and nobody has told it to end.
+  /// The process runs, is not paused, and was not asked to end.
   bool healthy() { return alive() && !stopped_ && !stop_requested_; }
-  /// How its last life ended, if by itself; empty if it was told to.
+  /// Describes the last exit of the process if it was not requested; empty
+  /// otherwise. Waits for the exit.
   std::string UnexpectedExit();
-  /// Read from the log; 0 if it has not led yet.
+  /// Last term in which the entry led, read from its log; 0 if none.
   int64_t last_term_led();
 
   const std::string& name() const { return options_.name; }
   const std::string& front() const { return options_.front; }
   bool stopped() const { return stopped_; }
-  /// When it was last started, or got a signal other than SIGTERM.
+  /// When the process was last started or got a signal other than SIGTERM.
   TimePoint last_fault_at() const { return last_fault_at_; }
-  int incarnation() const { return life_; }
+  int incarnation() const { return incarnation_; }
 
  private:
   std::string Path(const char* suffix) const;
 
   EntryOptions options_;
   std::unique_ptr<scenarios::Process> process_;
-  int life_ = 0;
+  int incarnation_ = 0;
   bool stopped_ = false;
   bool stop_requested_ = false;
   bool killed_ = false;
@@ -68,9 +69,9 @@
 
 using Entries = std::vector<std::unique_ptr<Entry>>;
 
-/// Signals to entries that overlap, the leader first, and restarts of those
-/// that have ended, as drawn from a seed. Executor's thread only; what it is
-/// given outlives it.
+/// Sends overlapping signals to entries, preferably to the leader, and restarts
+/// entries that have ended; all decisions follow from the seed. Executor's
+/// thread only; all arguments must outlive the object.
 class ProcessFaultInjector {
  public:
   ProcessFaultInjector(Executor& executor, ConsistencyChecker& checker,
@@ -81,20 +82,20 @@
         random_(seed) {}
 
   void Start();
-  /// No further signals; those that stand still go on. Restarts go on.
+  /// Sends no further signals and resumes paused entries. Restarts continue.
   void End();
   void KillAll();
   size_t signals() const { return signals_; }
 
  private:
-  /// The entry that led last.
+  /// The entry that last became the leader.
   Entry& Leader();
-  void Watch();
+  void RestartEnded();
   void Restart(Entry& entry);
-  void Next();
+  void ScheduleNextFault();
   void InjectFault();
   void Signal(Entry& entry, int signal);
-  /// Signals it again after `delay`, if it lives on.
+  /// Signals the entry after `delay`, unless its process was restarted.
   void SignalLater(Entry& entry, int signal, Millis delay);
 
   Executor& executor_;
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -10,7 +10,7 @@
 
 namespace mimosarail::soak {
 
-/// Draws from a seed. Not thread-safe.
+/// Random numbers that follow from a seed. Not thread-safe.
 class SeededRandom {
  public:
   explicit SeededRandom(uint64_t seed) : random_(seed) {}
@@ -30,58 +30,60 @@
   std::mt19937_64 random_;
 };
 
-/// Delays of calls to a stand-in, and shares of faults in percent.
+/// Delays of calls to a fake server, and shares of faults in percent.
 struct CallFaultOptions {
   Millis min_latency{5};
   Millis max_latency{40};
-  /// Calls that take up to `max_slow_latency` to arrive, so that one sent later
-  /// on another connection overtakes them.
+  /// Share of calls that take up to `max_slow_latency` to execute, so that a
+  /// later one on another connection overtakes them.
   size_t slow_percent = 0;
   Millis max_slow_latency{40};
-  /// Refused; nothing is done.
+  /// Share of calls that are refused without effect.
   size_t refused_percent = 1;
-  /// Carried out; nobody hears of it.
+  /// Share of calls that are executed without a reply.
   size_t dropped_reply_percent = 1;
-  /// Carried out up to `max_execution_delay` after; nobody hears of it.
+  /// Share of calls that are executed after a delay of up to
+  /// `max_execution_delay`, without a reply.
   size_t delayed_percent = 1;
   Millis max_execution_delay{2500};
 };
 
-/// Delays calls, and refuses, loses or puts off some, as drawn from a seed.
-/// Executor's thread only; the executor outlives it.
+/// Delays calls, and refuses, drops or postpones some of them; all decisions
+/// follow from the seed. Executor's thread only; the executor must outlive the
+/// object.
 class CallFaultInjector {
  public:
-  /// Carries a call out; the responder that it is given carries the answer
-  /// back, at once or later.
-  using Arrive = std::function<void(http::Responder)>;
+  /// Executes a call; the responder sends the reply, at once or later.
+  using Execute = std::function<void(http::Responder)>;
 
   CallFaultInjector(Executor& executor, CallFaultOptions options, uint64_t seed)
       : executor_(executor), options_(options), random_(seed) {}
 
-  void Deliver(Arrive arrive, http::Responder respond,
+  void Deliver(Execute execute, http::Responder respond,
                Millis transit_delay = Millis(0)) {
-    Millis way = Latency() + (stopped_ ? Millis(0) : transit_delay);
-    const auto strikes = [this](size_t share) {
+    Millis delay = Latency() + (stopped_ ? Millis(0) : transit_delay);
+    const auto injects = [this](size_t share) {
       return !stopped_ && random_.Percent(share);
     };
-    if (strikes(options_.refused_percent))
-      return Answer(way, respond, {.status = 503});
-    const bool late = strikes(options_.delayed_percent);
-    if (late) way += random_.Between(Millis(0), options_.max_execution_delay);
-    http::Responder back = [this, way_back = Latency(),
-                            respond](http::Response response) {
-      Answer(way_back, respond, std::move(response));
+    if (injects(options_.refused_percent))
+      return Answer(delay, respond, {.status = 503});
+    const bool delayed = injects(options_.delayed_percent);
+    if (delayed)
+      delay += random_.Between(Millis(0), options_.max_execution_delay);
+    http::Responder reply = [this, reply_delay = Latency(),
+                             respond](http::Response response) {
+      Answer(reply_delay, respond, std::move(response));
     };
-    if (late || strikes(options_.dropped_reply_percent)) {
-      // The connection stays open, until its caller has surely given up.
-      constexpr Millis kForgotten{10000};
-      Answer(kForgotten, respond, {.status = 504});
-      back = [](const http::Response&) {};
+    if (delayed || injects(options_.dropped_reply_percent)) {
+      // The connection stays open until the caller has certainly timed out.
+      constexpr Millis kDroppedReplyTimeout{10000};
+      Answer(kDroppedReplyTimeout, respond, {.status = 504});
+      reply = [](const http::Response&) {};
     }
-    executor_.RunAfter(way, [arrive = std::move(arrive),
-                             back = std::move(back)] { arrive(back); });
+    executor_.RunAfter(delay, [execute = std::move(execute),
+                               reply = std::move(reply)] { execute(reply); });
   }
-  /// Only short delays from now on.
+  /// Injects only the minimum delay from now on.
   void StopInjecting() { stopped_ = true; }
 
  private:
@@ -92,10 +94,11 @@
                                  options_.max_slow_latency)
                : random_.Between(options_.min_latency, options_.max_latency);
   }
-  void Answer(Millis way, const http::Responder& respond,
+  void Answer(Millis delay, const http::Responder& respond,
               http::Response response) {
-    executor_.RunAfter(
-        way, [respond, response = std::move(response)] { respond(response); });
+    executor_.RunAfter(delay, [respond, response = std::move(response)] {
+      respond(response);
+    });
   }
 
   Executor& executor_;
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -15,9 +15,9 @@
 
 DEFINE_uint64(seed, 1, "seed of faults and calls");
 DEFINE_int32(entries, 5, "entry instances, 3 to 20");
-DEFINE_int32(seconds, 20, "how long faults and calls go on, 1 to 3600");
-DEFINE_string(logs, "soak-logs", "folder; a run's logs are under seed-SEED");
-DEFINE_string(daemon, "", "program of the daemon, mimosaraild");
+DEFINE_int32(seconds, 20, "duration of faults and calls, 1 to 3600");
+DEFINE_string(logs, "soak-logs", "directory; a run writes logs to seed-SEED");
+DEFINE_string(daemon, "", "path of the daemon, mimosaraild");
 
 namespace mimosarail::soak {
 namespace {
@@ -28,10 +28,11 @@
 constexpr size_t kUpstreams = 4;
 constexpr size_t kCallers = 24;
 constexpr size_t kSeeds = 3;
-constexpr Millis kCallersLook{50};
-constexpr size_t kTopicSeeds = 100;
+constexpr Millis kCallersPollInterval{50};
+constexpr size_t kSeedsPerRun = 100;
 
-/// A store that is slow enough for the journal to have two appends under way.
+/// Faults of a store that is slow enough for the journal to have two appends in
+/// flight.
 constexpr CallFaultOptions kStoreFaults{.slow_percent = 30,
                                         .max_slow_latency = Millis(220)};
 constexpr CallFaultOptions kUpstreamFaults{.min_latency = Millis(1),
@@ -51,7 +52,8 @@
       .dump();
 }
 
-/// One run: stand-ins and callers on one thread, entries as processes.
+/// One run: fakes of the platform and callers on one thread, entries as
+/// processes.
 class Soak {
  public:
   explicit Soak(const std::string& folder)
@@ -64,14 +66,14 @@
     if (!StartPlatform()) return Report();
     StartEntries();
     callers_.Start(kCallers);
-    series_.Start();
+    fault_injector_.Start();
     executor_.RunAfter(std::chrono::seconds(FLAGS_seconds), [this] { End(); });
     io_.run();
     return Report();
   }
 
  private:
-  uint64_t Seed() { return FLAGS_seed * kTopicSeeds + ++seeds_drawn_; }
+  uint64_t Seed() { return FLAGS_seed * kSeedsPerRun + ++seeds_drawn_; }
 
   bool StartPlatform() {
     store_address_ = store_.Start();
@@ -106,16 +108,17 @@
 
   void End() {
     callers_.End();
-    series_.End();
+    fault_injector_.End();
     if (callers_.active() > 0) {
-      return executor_.RunAfter(kCallersLook, [this] { End(); });
+      return executor_.RunAfter(kCallersPollInterval, [this] { End(); });
     }
     store_.faults().StopInjecting();
     for (auto& upstream : upstreams_) upstream->faults().StopInjecting();
-    // What only a leader's memory held is gone with it.
-    series_.KillAll();
-    checker_.Log("closing check");
-    closing_.Start([this] { io_.stop(); });
+    // Discards state that exists only in a leader's memory, so that the final
+    // check sees only what was stored.
+    fault_injector_.KillAll();
+    checker_.Log("final check");
+    final_check_.Start([this] { io_.stop(); });
   }
 
   bool Report() {
@@ -129,15 +132,17 @@
     for (auto& entry : entries_) {
       terms = std::max(terms, entry->last_term_led());
     }
-    // A run in which nothing was at stake proves nothing.
-    if (accepted == 0 || terms < 2) checker_.AddFinding("nothing was at stake");
+    // Without an accepted job and a change of the leader the run tests nothing.
+    if (accepted == 0 || terms < 2) {
+      checker_.AddFinding("no job was accepted or the leader never changed");
+    }
     std::printf(
-        "seed %lu: %zu jobs handed in, %zu accepted, %zu complete, %zu "
+        "seed %lu: %zu jobs submitted, %zu accepted, %zu complete, %zu "
         "signals, %ld terms, %ld appends out of sequence, %zu lost, %zu "
         "findings\n",
         FLAGS_seed, checker_.jobs().size(), accepted, complete,
-        series_.signals(), terms, store_.log().out_of_sequence(),
-        closing_.lost(), checker_.findings().size());
+        fault_injector_.signals(), terms, store_.log().out_of_sequence(),
+        final_check_.lost(), checker_.findings().size());
     for (const std::string& finding : checker_.findings()) {
       std::printf("  %s\n", finding.c_str());
     }
@@ -157,15 +162,17 @@
   CallerClient client_;
   Entries entries_;
   Callers callers_{executor_, client_, checker_, entries_, Seed()};
-  ProcessFaultInjector series_{executor_, checker_, entries_, Seed()};
-  FinalCheck closing_{executor_, client_, checker_, entries_};
+  ProcessFaultInjector fault_injector_{executor_, checker_, entries_, Seed()};
+  FinalCheck final_check_{executor_, client_, checker_, entries_};
 };
 
 std::string MakeFolder() {
   namespace fs = std::filesystem;
   const fs::path folder =
       fs::path(FLAGS_logs) / ("seed-" + std::to_string(FLAGS_seed));
-  std::error_code ignored;  // without a folder the run has no entries
+  // Errors are ignored: without the directory the run fails anyway, since no
+  // entry can start.
+  std::error_code ignored;
   fs::remove_all(folder, ignored);
   fs::create_directories(folder, ignored);
   return folder.string();
@@ -176,8 +183,8 @@
 
 int main(int argc, char** argv) {
   gflags::SetUsageMessage(
-      "runs entries as processes beside a stand-in of the platform, changes "
-      "their leader under load, and checks what callers were told");
+      "runs entries as processes against fakes of the platform, forces changes "
+      "of their leader under load, and checks the answers that callers got");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   constexpr int kUsageError = 2;
   if (FLAGS_entries < 3 || FLAGS_entries > 20 || FLAGS_seconds < 1 ||
@@ -185,8 +192,9 @@
     std::fprintf(stderr, "%s: see --help\n", argv[0]);
     return kUsageError;
   }
-  // Never destroyed: idle connections of an HTTP client outlive it.
+  // Never destroyed, because idle connections of an HTTP client outlive the
+  // client.
   using mimosarail::soak::Soak;
-  static Soak* const kept = new Soak(mimosarail::soak::MakeFolder());
-  return kept->Run() ? 0 : 1;
+  static Soak* const soak = new Soak(mimosarail::soak::MakeFolder());
+  return soak->Run() ? 0 : 1;
 }
--- a/tests/soak/store_server_fake.cc
+++ b/tests/soak/store_server_fake.cc
@@ -13,19 +13,19 @@
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kOffsetBytes = 8;
 constexpr unsigned kBitsPerByte = 8;
-constexpr size_t kKeptAnswers = 5;
+constexpr size_t kKeptReplies = 5;
 constexpr size_t kPageItems = 500;
 constexpr size_t kPageBytes = 1 << 20;
-/// What a read returns at most where it names no bound.
+/// Maximum size of a read reply.
 constexpr size_t kReadBytes = 1 << 20;
 
-void PutNumber(std::string& out, uint64_t value, size_t bytes) {
+void AppendNumber(std::string& out, uint64_t value, size_t bytes) {
   for (size_t at = bytes; at-- > 0;) {
     out.push_back(static_cast<char>(value >> (kBitsPerByte * at) & 0xffU));
   }
 }
 
-size_t TakeLength(std::string_view in) {
+size_t ReadLength(std::string_view in) {
   size_t out = 0;
   for (size_t i = 0; i < kLengthBytes; ++i) {
     out = out << kBitsPerByte | static_cast<unsigned char>(in[i]);
@@ -74,11 +74,11 @@
           .body = body.dump()};
 }
 
-/// The records of an append's body; empty if it is no whole list of them.
-std::optional<std::vector<std::string>> Split(std::string_view body) {
+/// The records of an append's body; empty if the body is malformed.
+std::optional<std::vector<std::string>> ParseRecords(std::string_view body) {
   std::vector<std::string> out;
   while (!body.empty()) {
-    const size_t length = body.size() < kLengthBytes ? 0 : TakeLength(body);
+    const size_t length = body.size() < kLengthBytes ? 0 : ReadLength(body);
     if (length == 0 || length > body.size() - kLengthBytes) return {};
     out.emplace_back(body.substr(kLengthBytes, length));
     if (static_cast<unsigned char>(out.back()[0]) >= length) return {};
@@ -87,15 +87,16 @@
   return out;
 }
 
-constexpr int64_t kLongestWaitMs = 30000;
-/// How often a read that waits looks for records.
-constexpr Millis kReadLook{15};
-/// Above the store's bound on one append.
+constexpr int64_t kMaxWaitMs = 30000;
+/// Interval at which a waiting read checks for records.
+constexpr Millis kReadPollInterval{15};
+/// Above the store's limit for one append.
 constexpr size_t kMaxBody = 4 << 20;
-/// The journal of the service takes a store for slow from 60 ms on, and sends
-/// its next append half of what the last one took after the one before.
-constexpr Millis kFirstHeldUp{120};
-constexpr Millis kSecondHeldUp{350};
+/// The service's journal regards the store as slow if an append takes 60 ms or
+/// more. It then sends the next append before the previous one is answered,
+/// after half the duration of the last append.
+constexpr Millis kFirstAppendDelay{120};
+constexpr Millis kSecondAppendDelay{350};
 
 }  // namespace
 
@@ -128,8 +129,8 @@
   const size_t length = static_cast<unsigned char>(record[0]);
   const std::string key = record.substr(1, length);
   topic.newest.erase(key);
-  const bool dropped = record.size() == 1 + length;
-  if (!dropped) topic.newest[key] = topic.records.size();
+  const bool removed = record.size() == 1 + length;
+  if (!removed) topic.newest[key] = topic.records.size();
   topic.records.push_back(std::move(record));
 }
 
@@ -140,7 +141,7 @@
   const int64_t sequence = target.Number("sequence");
   if (epoch < writer.epoch) return Answer(409, {{"reason", "fenced"}});
   if (epoch > writer.epoch) writer = {.epoch = epoch};
-  for (const auto& [number, answer] : writer.answers) {
+  for (const auto& [number, answer] : writer.replies) {
     if (number == sequence) return answer;
   }
   if (empty || !writer.last || sequence == *writer.last + 1) return {};
@@ -150,7 +151,7 @@
 
 http::Response LogStore::Append(const Target& target, const std::string& body) {
   Topic& topic = topics_[target.Text("topic")];
-  const auto records = Split(body);
+  const auto records = ParseRecords(body);
   if (!records) return Answer(400, Json::object());
   const auto end = static_cast<int64_t>(topic.records.size());
   const std::string producer = target.Text("producer");
@@ -167,8 +168,8 @@
       Answer(200, {{"offset", end}, {"endOffset", topic.records.size()}});
   if (producer.empty() || records->empty()) return out;
   writer.last = target.Number("sequence");
-  writer.answers.emplace_back(*writer.last, out);
-  if (writer.answers.size() > kKeptAnswers) writer.answers.pop_front();
+  writer.replies.emplace_back(*writer.last, out);
+  if (writer.replies.size() > kKeptReplies) writer.replies.pop_front();
   return out;
 }
 
@@ -176,12 +177,12 @@
   http::Response out{.headers = {{"Content-Type", "application/octet-stream"}}};
   const std::vector<std::string>& records =
       topics_[target.Text("topic")].records;
-  PutNumber(out.body, records.size(), kOffsetBytes);
-  PutNumber(out.body, 0, kOffsetBytes);
+  AppendNumber(out.body, records.size(), kOffsetBytes);
+  AppendNumber(out.body, 0, kOffsetBytes);
   for (auto at = static_cast<size_t>(target.Number("from"));
        at < records.size() && out.body.size() < kReadBytes; ++at) {
     const std::string& record = records[at];
-    PutNumber(out.body, record.size(), kLengthBytes);
+    AppendNumber(out.body, record.size(), kLengthBytes);
     out.body += record;
   }
   return out;
@@ -230,8 +231,8 @@
   if (target.Text("producer").empty()) return Millis(0);
   auto& seen = seen_[target.Text("producer") + " " + target.Text("epoch")];
   if (!seen.insert(target.Text("sequence")).second) return Millis(0);
-  if (seen.size() == 1) return kFirstHeldUp;
-  return seen.size() == 2 ? kSecondHeldUp : Millis(0);
+  if (seen.size() == 1) return kFirstAppendDelay;
+  return seen.size() == 2 ? kSecondAppendDelay : Millis(0);
 }
 
 void StoreServerFake::HandleRequest(const http::Request& request,
@@ -243,7 +244,7 @@
         if (call == "POST /log-append") return back(log_.Append(target, body));
         if (call == "GET /log-newest") return back(log_.Newest(target));
         if (call != "GET /log-read") return back({.status = 404});
-        const int64_t wait = std::min(target.Number("waitMs"), kLongestWaitMs);
+        const int64_t wait = std::min(target.Number("waitMs"), kMaxWaitMs);
         Read(target, Clock::now() + Millis(wait), back);
       },
       std::move(respond), ExtraDelay(target));
@@ -251,9 +252,9 @@
 
 void StoreServerFake::Read(const Target& target, TimePoint limit,
                            const http::Responder& respond) {
-  const bool there = target.Number("from") < log_.End(target.Text("topic"));
-  if (there || Clock::now() >= limit) return respond(log_.Read(target));
-  executor_.RunAfter(kReadLook, [this, target, limit, respond] {
+  const bool available = target.Number("from") < log_.End(target.Text("topic"));
+  if (available || Clock::now() >= limit) return respond(log_.Read(target));
+  executor_.RunAfter(kReadPollInterval, [this, target, limit, respond] {
     Read(target, limit, respond);
   });
 }
--- a/tests/soak/store_server_fake.h
+++ b/tests/soak/store_server_fake.h
@@ -21,40 +21,40 @@
   std::string path;
   std::map<std::string, std::string> query;
 
-  /// Empty without the parameter.
+  /// Value of the parameter; empty if there is none.
   std::string Text(const std::string& name) const;
-  /// 0 without the parameter.
+  /// Value of the parameter as a number; 0 if there is none.
   int64_t Number(const std::string& name) const;
 };
 
 Target ParseTarget(const std::string& target);
 
-/// State of the platform's store: topics of one partition each, which nothing
-/// expires from. Strict about writers as its page says: an append without
-/// records sets the epoch and is no append of that epoch, so that the first one
-/// with records may carry any sequence number. Not thread-safe.
+/// State of the platform's store: topics of one partition each, without expiry.
+/// Checks writers as strictly as the store's documentation requires. An append
+/// without records sets the epoch but is no append of that epoch, so the first
+/// one with records may have any sequence number. Not thread-safe.
 class LogStore {
  public:
   http::Response Append(const Target& target, const std::string& body);
   http::Response Read(const Target& target);
   http::Response Newest(const Target& target);
-  /// Writes as the operator or an upstream would.
+  /// Writes a record as the operator or an upstream would.
   void Put(const std::string& topic, const std::string& key,
            const std::string& value);
   /// Offset of the next record.
   int64_t End(const std::string& topic) {
     return static_cast<int64_t>(topics_[topic].records.size());
   }
-  /// Appends refused for their sequence number.
+  /// Number of appends refused for their sequence number.
   int64_t out_of_sequence() const { return out_of_sequence_; }
 
  private:
   struct Writer {
     int64_t epoch = 0;
-    /// Of the last append with records.
+    /// Sequence number of the last append with records.
     std::optional<int64_t> last;
-    /// First answers of the last appends, by their numbers.
-    std::deque<std::pair<int64_t, http::Response>> answers;
+    /// Replies to the last appends, by their sequence numbers.
+    std::deque<std::pair<int64_t, http::Response>> replies;
   };
   struct Topic {
     std::vector<std::string> records;
@@ -63,7 +63,8 @@
     std::map<std::string, Writer> writers;
   };
 
-  /// The answer that keeps a writer from appending; empty if it may.
+  /// The reply to an append that is denied or repeated; empty if the append is
+  /// to be executed.
   std::optional<http::Response> CheckWriter(Writer& writer,
                                             const Target& target, bool empty);
   static void Add(Topic& topic, std::string record);
@@ -73,20 +74,21 @@
 };
 
 /// The platform's store over HTTP. One thread runs `io`, which the executor
-/// runs on as well; both outlive it.
+/// uses as well; both must outlive the server.
 class StoreServerFake {
  public:
   StoreServerFake(asio::io_context& io, Executor& executor,
                   CallFaultOptions faults, uint64_t seed);
 
-  /// "ip:port" where it listens; empty if it can't.
+  /// Starts to listen. Returns "ip:port", or an empty string on failure.
   std::string Start();
   LogStore& log() { return log_; }
   CallFaultInjector& faults() { return faults_; }
 
  private:
-  /// The first appends of a writer's epoch are held up, the second most: the
-  /// writer then takes the store for slow, and its third overtakes the second.
+  /// Delays the first two appends of a writer's epoch, the second one most: the
+  /// writer then regards the store as slow, and its third append overtakes the
+  /// second.
   Millis ExtraDelay(const Target& target);
   void HandleRequest(const http::Request& request, http::Responder respond);
   void Read(const Target& target, TimePoint limit,
@@ -96,7 +98,7 @@
   CallFaultInjector faults_;
   LogStore log_;
   http::Server server_;
-  /// Sequence numbers seen, by the writer and its epoch.
+  /// Sequence numbers seen, by writer and epoch.
   std::map<std::string, std::set<std::string>> seen_;
 };
 
--- a/tests/soak/upstream_server_fake.cc
+++ b/tests/soak/upstream_server_fake.cc
@@ -8,17 +8,17 @@
 
 using Json = nlohmann::json;
 
-/// Room for all tasks at once.
+/// Enough capacity for all tasks at once.
 constexpr int64_t kCapacityMillicores = 64000;
-constexpr Millis kShortestTask{20};
-constexpr Millis kLongestTask{300};
-constexpr int64_t kLongestLeaseMs = 6000;
-constexpr int64_t kLongestWaitMs = 2000;
-constexpr Millis kLapseLook{50};
-/// How often a renewal that waits looks for an end.
-constexpr Millis kEndsLook{10};
-constexpr size_t kReportedEnds = 500;
-constexpr int kHalfWay = 50;
+constexpr Millis kMinRunTime{20};
+constexpr Millis kMaxRunTime{300};
+constexpr int64_t kMaxLeaseMs = 6000;
+constexpr int64_t kMaxWaitMs = 2000;
+constexpr Millis kLeaseCheckInterval{50};
+/// Interval at which a waiting renewal checks for ends.
+constexpr Millis kEndsPollInterval{10};
+constexpr size_t kMaxEndsPerReply = 500;
+constexpr int kReportedPercent = 50;
 
 int64_t ClockMs() {
   return std::chrono::duration_cast<Millis>(Clock::now().time_since_epoch())
@@ -56,7 +56,7 @@
   const auto port = server_.Listen("127.0.0.1:0");
   if (!port.ok()) return false;
   address_ = "127.0.0.1:" + std::to_string(port.value());
-  RunEvery(executor_, kLapseLook, [this] { ExpireLease(); });
+  RunEvery(executor_, kLeaseCheckInterval, [this] { ExpireLease(); });
   return true;
 }
 
@@ -80,7 +80,7 @@
   }
   faults_.Deliver(
       [this, body, path = request.target](const http::Responder& back) {
-        if (path == "/hold") return Hold(body, back);
+        if (path == "/hold") return RenewLease(body, back);
         if (path == "/run-start") return back(StartTask(body));
         back(path == "/run-stop" ? StopTask(body) : Answer(404));
       },
@@ -91,9 +91,9 @@
   const int64_t fence = body.value("fenceToken", int64_t{0});
   if (fence < fence_) return false;
   fence_ = fence;
-  const int64_t asked = body.value("deadlineMs", int64_t{0});
+  const int64_t requested_end = body.value("deadlineMs", int64_t{0});
   lease_end_ms_ =
-      std::max(lease_end_ms_, std::min(asked, ClockMs() + kLongestLeaseMs));
+      std::max(lease_end_ms_, std::min(requested_end, ClockMs() + kMaxLeaseMs));
   return true;
 }
 
@@ -104,14 +104,14 @@
   const int64_t attempt = body.value("attempt", int64_t{0});
   const auto id = ParseTaskId(task);
   if (!id || attempt <= 0) return Answer(400);
-  const auto there = running_.find(task);
-  if (there != running_.end() && there->second == attempt) return Answer(200);
+  const auto run = running_.find(task);
+  if (run != running_.end() && run->second == attempt) return Answer(200);
   if (attempt <= last_attempt_[task]) return Refuse("old");
-  if (there != running_.end()) return Refuse("room");
+  if (run != running_.end()) return Refuse("room");
   last_attempt_[task] = attempt;
   running_[task] = attempt;
   checker_.OnStart(id_, *id, body.value("spec", ""));
-  executor_.RunAfter(random_.Between(kShortestTask, kLongestTask),
+  executor_.RunAfter(random_.Between(kMinRunTime, kMaxRunTime),
                      [this, task, attempt] { Finish(task, attempt, "done"); });
   return Answer(200);
 }
@@ -127,9 +127,9 @@
 
 void UpstreamServerFake::Finish(const std::string& task, int64_t attempt,
                                 const char* how) {
-  const auto there = running_.find(task);
-  if (there == running_.end() || there->second != attempt) return;
-  running_.erase(there);
+  const auto run = running_.find(task);
+  if (run == running_.end() || run->second != attempt) return;
+  running_.erase(run);
   ++last_end_;
   ended_[last_end_] = {last_end_, task, attempt, how, ""};
   const bool done = std::string_view(how) == "done";
@@ -143,15 +143,14 @@
   for (const auto& [task, attempt] : all) Finish(task, attempt, "lapsed");
 }
 
-void UpstreamServerFake::Hold(const Json& body,
-                              const http::Responder& respond) {
+void UpstreamServerFake::RenewLease(const Json& body,
+                                    const http::Responder& respond) {
   if (!AcceptsFence(body)) return respond(Refuse("fence"));
-  const int64_t noted =
+  const int64_t acknowledged =
       std::min(body.value("ackCursor", int64_t{0}), last_end_);
-  ended_.erase(ended_.begin(), ended_.upper_bound(noted));
-  checker_.OnAcknowledged(id_, noted);
-  const int64_t wait =
-      std::min(body.value("waitMs", int64_t{0}), kLongestWaitMs);
+  ended_.erase(ended_.begin(), ended_.upper_bound(acknowledged));
+  checker_.OnAcknowledged(id_, acknowledged);
+  const int64_t wait = std::min(body.value("waitMs", int64_t{0}), kMaxWaitMs);
   Report(Clock::now() + Millis(wait), respond);
 }
 
@@ -159,15 +158,15 @@
                                 const http::Responder& respond) {
   if (ended_.empty() && Clock::now() < limit) {
     return executor_.RunAfter(
-        kEndsLook, [this, limit, respond] { Report(limit, respond); });
+        kEndsPollInterval, [this, limit, respond] { Report(limit, respond); });
   }
   Json running = Json::array();
   for (const auto& [task, attempt] : running_) {
-    running.push_back({task, attempt, "", kHalfWay});
+    running.push_back({task, attempt, "", kReportedPercent});
   }
   Json ended = Json::array();
   for (const auto& [number, row] : ended_) {
-    if (ended.size() < kReportedEnds) ended.push_back(row);
+    if (ended.size() < kMaxEndsPerReply) ended.push_back(row);
   }
   respond(Answer(200, {{"running", running}, {"finished", ended}}));
 }
--- a/tests/soak/upstream_server_fake.h
+++ b/tests/soak/upstream_server_fake.h
@@ -12,9 +12,9 @@
 
 namespace mimosarail::soak {
 
-/// One upstream over HTTP: takes tasks under a lease and fences, and has each
-/// done after a short time. One thread runs `io`, which the executor runs on as
-/// well; both and the ledger outlive it.
+/// One upstream over HTTP. Runs tasks under a lease and checks fencing tokens;
+/// each task completes after a short time. One thread runs `io`, which the
+/// executor uses as well; both and the checker must outlive the server.
 class UpstreamServerFake {
  public:
   UpstreamServerFake(asio::io_context& io, Executor& executor,
@@ -22,7 +22,7 @@
                      CallFaultOptions faults, uint64_t seed);
 
   bool Start();
-  /// Its entry in the list of upstreams.
+  /// The record of this upstream in the list of upstreams.
   std::string ListEntry(const std::string& pool) const;
   const std::string& id() const { return id_; }
   CallFaultInjector& faults() { return faults_; }
@@ -33,10 +33,11 @@
   void HandleRequest(const http::Request& request, http::Responder respond);
   http::Response StartTask(const Json& body);
   http::Response StopTask(const Json& body);
-  void Hold(const Json& body, const http::Responder& respond);
-  /// Answers when there is an end to tell of, or the limit is reached.
+  void RenewLease(const Json& body, const http::Responder& respond);
+  /// Answers when there is an end to report, or at the limit.
   void Report(TimePoint limit, const http::Responder& respond);
-  /// Whether a call is obeyed; its token and its deadline then count.
+  /// Whether the call's fencing token is current. If so, adopts the token and
+  /// extends the lease to the call's deadline.
   bool AcceptsFence(const Json& body);
   void ExpireLease();
   void Finish(const std::string& task, int64_t attempt, const char* how);
@@ -50,11 +51,11 @@
   http::Server server_;
   int64_t fence_ = 0;
   int64_t lease_end_ms_ = 0;
-  /// The run of each task that runs.
+  /// The attempt of each running task.
   std::map<std::string, int64_t> running_;
-  /// The highest run of a task that was started or stopped here.
+  /// The highest attempt of each task that was started or stopped here.
   std::map<std::string, int64_t> last_attempt_;
-  /// Rows of ends by their numbers.
+  /// Ends that are not acknowledged yet, by their numbers.
   std::map<int64_t, Json> ended_;
   int64_t last_end_ = 0;
 };
