--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -34,7 +34,7 @@
 struct CallFaultOptions {
   Millis min_latency{5};
   Millis max_latency{40};
-  /// Share of calls that take up to `max_slow_latency` to execute, so that a
+  /// Share of calls that take up to `max_slow_latency` to arrive, so that a
   /// later one on another connection overtakes them.
   size_t slow_percent = 0;
   Millis max_slow_latency{40};
