--- a/tests/standins/history.h
+++ b/tests/standins/history.h
@@ -6,7 +6,7 @@
 
 namespace mimosarail::standins {
 
-/// What really happened at the stand-ins, for the checkers. One thread only.
+/// Events at the fakes, in order, for the checkers. Used by one thread only.
 class History {
  public:
   void Add(nlohmann::json event, int64_t at_ms) {
--- a/tests/standins/instance_list_fake.h
+++ b/tests/standins/instance_list_fake.h
@@ -9,7 +9,7 @@
 
 namespace mimosarail::standins {
 
-/// The platform's instance list, which tells changes late.
+/// The platform's instance list, which publishes changes with a lag.
 class InstanceListFake {
  public:
   InstanceListFake(Executor& executor,
@@ -32,8 +32,8 @@
   std::map<std::string, wire::ListedInstance> instances_;
 };
 
-/// Reads a cell: {"entries": [...], "upstreams": [...]}; see
-/// examples/*.cell.json.
+/// Parses the description of a cell: {"entries": [...], "upstreams": [...]};
+/// see examples/*.cell.json.
 std::vector<wire::ListedInstance> ParseCell(const std::string& text);
 
 }  // namespace mimosarail::standins
--- a/tests/standins/log_server_fake.cc
+++ b/tests/standins/log_server_fake.cc
@@ -5,12 +5,12 @@
 
 namespace mimosarail::standins {
 namespace {
-constexpr Millis kExpireEvery{50};
+constexpr Millis kExpiryInterval{50};
 }  // namespace
 
 LogServerFake::LogServerFake(Executor& executor, Millis retention)
     : executor_(executor), retention_(retention) {
-  RunEvery(executor_, kExpireEvery, [this] { Expire(); });
+  RunEvery(executor_, kExpiryInterval, [this] { Expire(); });
 }
 
 template <typename Reply>
@@ -39,7 +39,7 @@
     entry.at = executor_.Now();
     stream.entries.push_back(std::move(entry));
   }
-  for (const Waiting& reader : std::exchange(stream.readers, {})) {
+  for (const WaitingReader& reader : std::exchange(stream.readers, {})) {
     Send(reader.answer, MakeReply(stream, reader.call));
   }
   if (faults_.drop_append_replies > 0) {
@@ -78,9 +78,9 @@
   executor_.RunAfter(Millis(call.wait_ms), [this, &stream, id] {
     const auto found =
         std::find_if(stream.readers.begin(), stream.readers.end(),
-                     [id](const Waiting& w) { return w.id == id; });
+                     [id](const WaitingReader& w) { return w.id == id; });
     if (found == stream.readers.end()) return;
-    const Waiting waiting = std::move(*found);
+    const WaitingReader waiting = std::move(*found);
     stream.readers.erase(found);
     Send(waiting.answer, MakeReply(stream, waiting.call));
   });
--- a/tests/standins/log_server_fake.h
+++ b/tests/standins/log_server_fake.h
@@ -11,15 +11,15 @@
 
 namespace mimosarail::standins {
 
-/// Faults of the log, switched by tests.
+/// Faults of the log, set by tests.
 struct LogFaults {
-  bool down = false;            ///< Calls are swallowed.
-  int64_t reply_delay_ms = 0;   ///< Replies come so much later.
-  int drop_append_replies = 0;  ///< So many appends work, replies are lost.
-  int drop_appends = 0;  ///< So many appends are lost before their effect.
+  bool down = false;            ///< Calls are dropped without a reply.
+  int64_t reply_delay_ms = 0;   ///< Delay of every reply.
+  int drop_append_replies = 0;  ///< Appends to execute without a reply.
+  int drop_appends = 0;         ///< Appends to drop without executing them.
 };
 
-/// The platform's append-only log: offsets, retention, outages.
+/// The platform's append-only log, with offsets, retention and outages.
 class LogServerFake {
  public:
   LogServerFake(Executor& executor, Millis retention);
@@ -42,7 +42,7 @@
     wire::LogRecord record;
     TimePoint at{};
   };
-  struct Waiting {
+  struct WaitingReader {
     wire::ReadCall call;
     Answer<wire::ReadReply> answer;
     uint64_t id = 0;
@@ -51,7 +51,7 @@
     int64_t first = 0;
     int64_t next = 0;
     std::deque<Entry> entries;
-    std::vector<Waiting> readers;
+    std::vector<WaitingReader> readers;
   };
 
   void Expire();
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -1,6 +1,6 @@
-// The platform's stand-ins in one process: any of log, instance list and a
-// group of upstreams, with a control endpoint over HTTP that switches faults
-// and tells the history.
+// Fakes of the platform in one process: any of the log, the instance list and a
+// group of upstreams. An HTTP control endpoint sets faults and returns the
+// history.
 
 #include <gflags/gflags.h>
 #include <httplib.h>
@@ -20,13 +20,13 @@
 #include "tests/standins/log_server_fake.h"
 #include "tests/standins/upstream_server_fake.h"
 
-DEFINE_string(cell, "", "file that describes the cell");
+DEFINE_string(cell, "", "file with the description of the cell");
 DEFINE_string(log, "", "ip:port to serve the log on");
 DEFINE_string(list, "", "ip:port to serve the instance list on");
 DEFINE_string(upstreams, "",
-              "ip:port; serves the cell's upstreams of this address");
+              "ip:port to serve the cell's upstreams with this address on");
 DEFINE_string(upstreams_as, "",
-              "address by which the cell knows them; --upstreams if empty");
+              "address of these upstreams in the cell; --upstreams if empty");
 DEFINE_string(control, "", "ip:port of the control endpoint");
 DEFINE_int64(retention_ms, 600000, "how long the log keeps records");
 
@@ -97,9 +97,9 @@
   void ServeUpstreams(const std::vector<wire::ListedInstance>& cell) {
     for (const wire::ListedInstance& listed : cell) {
       if (listed.role != wire::ListedRole::kUpstream) continue;
-      const std::string& known =
+      const std::string& cell_address =
           FLAGS_upstreams_as.empty() ? FLAGS_upstreams : FLAGS_upstreams_as;
-      if (listed.address != known) continue;
+      if (listed.address != cell_address) continue;
       upstreams[listed.name] =
           std::make_unique<UpstreamServerFake>(executor, history, listed);
     }
@@ -170,7 +170,7 @@
   }
 }
 
-/// Runs on the stand-ins' thread and waits.
+/// Runs `work` on the fakes' thread and waits for its result.
 json OnStandins(Standins& standins, const std::function<json()>& work) {
   std::promise<json> promise;
   standins.executor.Post([&] {
--- a/tests/standins/upstream_server_fake.cc
+++ b/tests/standins/upstream_server_fake.cc
@@ -7,13 +7,13 @@
 namespace mimosarail::standins {
 namespace {
 
-/// A task that crashes the instance does so this long after its start, and the
-/// instance answers again this much later.
-constexpr Millis kCrash{10};
-constexpr Millis kBack{1000};
+/// A task that crashes the instance does so this long after its start.
+constexpr Millis kCrashDelay{10};
+/// A crashed instance answers calls again after this time.
+constexpr Millis kRestartDelay{1000};
 
-constexpr Millis kTick{10};
-constexpr size_t kInlineAnswer = 16384;
+constexpr Millis kTickInterval{10};
+constexpr size_t kMaxInlineAnswerBytes = 16384;
 
 /// Value of "name=value" in a payload, or the fallback.
 int64_t Parameter(const std::string& payload, const std::string& name,
@@ -23,7 +23,8 @@
   return std::atoll(payload.c_str() + at + name.size() + 1);
 }
 
-/// Names its request and task, so that a crossed answer shows.
+/// The answer of a task. Contains the request and the task, so that an answer
+/// delivered to the wrong request is detected.
 std::string MakeAnswer(const wire::TaskSpec& task) {
   std::string out = task.work + " of " + task.request_id + " #" +
                     std::to_string(task.index) + ": " + task.payload;
@@ -58,7 +59,7 @@
 UpstreamServerFake::UpstreamServerFake(Executor& executor, History& history,
                                        wire::ListedInstance self)
     : executor_(executor), history_(history), self_(std::move(self)) {
-  RunEvery(executor_, kTick, [this] { Tick(); });
+  RunEvery(executor_, kTickInterval, [this] { Tick(); });
 }
 
 int64_t UpstreamServerFake::NowMs() const { return ToMs(executor_.Now()); }
@@ -98,8 +99,8 @@
   if (faults_.down) return;
   Tick();
   wire::AttachReply reply;
-  const bool again = call.term == term_ && call.controller == holder_;
-  if (call.term <= term_ && !again) {
+  const bool repeated = call.term == term_ && call.controller == holder_;
+  if (call.term <= term_ && !repeated) {
     reply.status = wire::CallStatus::kStaleTerm;
     reply.term = term_;
     reply.holder = holder_;
@@ -110,7 +111,7 @@
   reply.inventory = Snapshot();
   reply.capacity = self_.capacity;
   reply.slots = self_.slots;
-  if (again) return Send(answer, reply);
+  if (repeated) return Send(answer, reply);
   term_ = call.term;
   holder_ = call.controller;
   history_.Add({{"event", "attach"},
@@ -158,14 +159,14 @@
         task.started +
         Millis(fails ? 1 : Parameter(call.task.payload, "actual_ms", declared));
     task.lease_until = task.started + Millis(call.lease_ms);
-    // Ends are seen at once, not with the next tick.
+    // Detects the end immediately instead of at the next tick.
     executor_.RunAfter(
         std::chrono::duration_cast<Millis>(task.ends - task.started),
         [this] { Tick(); });
     Log("start", call.task);
     if (Parameter(call.task.payload, "crash", 0) != 0) {
-      executor_.RunAfter(kCrash, [this] { Crash(); });
-      executor_.RunAfter(kCrash + kBack, [this] { Restart(); });
+      executor_.RunAfter(kCrashDelay, [this] { Crash(); });
+      executor_.RunAfter(kCrashDelay + kRestartDelay, [this] { Restart(); });
     }
   }
   reply.status = wire::CallStatus::kOk;
@@ -300,10 +301,11 @@
     std::string answer = MakeAnswer(task.status.spec);
     task.status.answer_length = static_cast<int64_t>(answer.size());
     task.status.answer_digest = Digest(answer);
-    if (answer.size() <= kInlineAnswer) task.status.answer = std::move(answer);
+    if (answer.size() <= kMaxInlineAnswerBytes)
+      task.status.answer = std::move(answer);
   }
-  // A frozen instance notes the lapse when it wakes, but nothing of the task
-  // ran after its lease.
+  // A paused instance detects the expiry only when it resumes, but the task did
+  // not run after its lease.
   const bool lapsed = state == wire::TaskState::kLapsed;
   Log(StateName(state), task.status.spec,
       lapsed ? ToMs(task.lease_until) : NowMs());
@@ -313,7 +315,8 @@
   const TimePoint now = executor_.Now();
   for (auto& [id, task] : tasks_) {
     if (task.status.state != wire::TaskState::kRunning) continue;
-    // A frozen instance wakes with both behind it; the lease comes first.
+    // An instance that resumes after a pause may find both times passed; the
+    // lease is checked first.
     if (now >= task.lease_until) {
       EndTask(task, wire::TaskState::kLapsed);
     } else if (now >= task.ends) {
@@ -335,7 +338,8 @@
   }
   tasks_.clear();
   poller_ = nullptr;
-  // A new machine under the old name would have a new name; terms survive.
+  // The term is kept: the same instance restarts. A replacement would have a
+  // new name.
 }
 
 void UpstreamServerFake::Restart() { faults_.down = false; }
--- a/tests/standins/upstream_server_fake.h
+++ b/tests/standins/upstream_server_fake.h
@@ -12,20 +12,21 @@
 
 namespace mimosarail::standins {
 
-/// Faults of one upstream, switched by tests.
+/// Faults of one upstream, set by tests.
 struct UpstreamFaults {
-  bool down = false;           ///< Calls are swallowed without effect.
-  bool fail_all = false;       ///< Every task fails at once.
-  int drop_start_replies = 0;  ///< So many starts work, their replies are lost.
-  int drop_starts = 0;         ///< So many starts are lost before their effect.
-  int drop_renew_replies = 0;
-  int64_t reply_delay_ms = 0;  ///< Replies come so much later.
-  double run_factor = 1.0;     ///< Real run time over the declared one.
+  bool down = false;           ///< Calls are dropped without effect.
+  bool fail_all = false;       ///< Every task fails immediately.
+  int drop_start_replies = 0;  ///< Starts to execute without a reply.
+  int drop_starts = 0;         ///< Starts to drop without executing them.
+  int drop_renew_replies = 0;  ///< Renewals to execute without a reply.
+  int64_t reply_delay_ms = 0;  ///< Delay of every reply.
+  double run_factor = 1.0;     ///< Ratio of real to declared run time.
 };
 
-/// One upstream as the platform promises it (docs/PLATFORM.md): terms fence,
-/// leases lapse by its own clock, ends stay until released. It does not
-/// refuse what does not fit: the checkers look for that in the history.
+/// One upstream with the guarantees of the platform (docs/PLATFORM.md): calls
+/// with an old term are fenced, leases expire by the upstream's own clock, and
+/// ended tasks are kept until they are released. It does not refuse starts that
+/// exceed its capacity: the checkers find them in the history.
 class UpstreamServerFake {
  public:
   UpstreamServerFake(Executor& executor, History& history,
@@ -45,7 +46,8 @@
                Answer<wire::CollectReply> answer);
 
   UpstreamFaults& faults() { return faults_; }
-  /// The instance dies: tasks are gone, and it answers no more until reborn.
+  /// Crashes the instance: its tasks are lost, and it answers no calls until
+  /// Restart().
   void Crash();
   void Restart();
 
