--- a/bench/arrivals.h
+++ b/bench/arrivals.h
@@ -10,7 +10,7 @@
 
 namespace mimosarail::bench {
 
-/// What a job is, in the users' mix.
+/// Kinds of jobs in the users' load.
 enum class JobKind { kUrgent, kBatch, kGang, kService };
 
 struct Job {
@@ -19,26 +19,27 @@
   int tasks = 1;
   int priority = 4;
   double arrival_time = 0;       ///< Seconds.
-  double run_time = 0;           ///< Seconds, in truth.
-  double declared_run_time = 0;  ///< Seconds, as the caller says.
+  double run_time = 0;           ///< Seconds, actual.
+  double declared_run_time = 0;  ///< Seconds, as the caller declares.
   std::string team;
   bool repeatable = true;
 };
 
-/// A load shaped on one of the users.
+/// A load modelled on one of the users.
 struct Load {
   std::string name;
-  double utilisation = 0.9;  ///< Offered core-seconds over capacity.
+  double utilisation = 0.9;  ///< Offered core-seconds / capacity.
   double seconds = 3600;
-  double declared_spread = 1;  ///< Declared run times are off by up to this.
-  bool burst = false;          ///< 400 urgent jobs at once in the middle.
-  bool overnight = false;      ///< Half of the batch work comes in one minute.
-  double gang_share = 0.1;     ///< Of the offered core-seconds.
-  double failing = 0;          ///< Share of upstreams that fail everything.
-  bool rack_outage = false;    ///< One rack dies in the middle.
+  double declared_spread = 1;  ///< Maximum error factor of declared times.
+  bool burst = false;          ///< 400 urgent jobs within 0.5 s, halfway.
+  bool overnight = false;      ///< Half of the batch jobs in one minute.
+  double gang_share = 0.1;     ///< Share of gangs in the core-seconds.
+  double failing = 0;          ///< Share of upstreams that fail all tasks.
+  bool rack_outage = false;    ///< One rack is lost halfway.
 };
 
-/// Jobs of a load on `cores` cores, in order of arrival. Seeded.
+/// Generates the jobs of a load on `cores` cores, in order of arrival. The same
+/// seed gives the same jobs.
 inline std::vector<Job> MakeJobs(const Load& load, double cores,
                                  uint64_t seed) {
   std::mt19937_64 random(seed);
--- a/bench/leader_bench.cc
+++ b/bench/leader_bench.cc
@@ -1,8 +1,8 @@
-// What leading costs, without a network: whole entries over fakes of the
-// platform, upstreams and links, under a steady load. Prints the processor time
-// of a task's start, fakes included; meant to be read beside a profile
-// (`perf record build/bench/leader_bench`).
-// leader_bench [UPSTREAMS [SECONDS]]
+// Measures the cost of being the leader, without a network: complete entries
+// over fakes of the platform, the upstreams and the links, under a steady load.
+// Prints the processor time per task, including the fakes. Use it together with
+// a profile (`perf record build/bench/leader_bench`).
+// Usage: leader_bench [UPSTREAMS [SECONDS]]
 
 #include <cstdio>
 #include <cstdlib>
@@ -19,7 +19,7 @@
 constexpr Millis kStep{20};
 constexpr int kStepsPerSecond = 50;
 
-/// A kind of job as users send it.
+/// A kind of job that users submit.
 struct Kind {
   const char* queue;
   int32_t priority;
@@ -32,7 +32,8 @@
   double advice_each_ms;
 };
 
-/// For 540 upstreams of 16 cores; scaled with their number.
+/// Rates are for 540 upstreams with 16 cores; they scale with the number of
+/// upstreams.
 const std::vector<Kind> kKinds{
     {"render", 1, true, 7.3, 24, 4500, 5000, 455, 6.5},
     {"report", 2, false, 12.2, 22, 2800, 3400, 104, 1.43},
--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -1,5 +1,5 @@
-// The decision core against baselines, in the same run: seeded arrivals shaped
-// on both users, a manual clock, and a Room in place of the upstreams.
+// Compares the placement policy with baselines in the same run: seeded arrivals
+// modelled on both users, a manual clock, and a Room in place of the upstreams.
 
 #include <algorithm>
 #include <chrono>
@@ -30,11 +30,11 @@
                       std::chrono::duration<double>(seconds));
 }
 
-/// Order and policy under test.
+/// Queue order and placement policy under test.
 struct Contender {
   std::string name;
   std::function<std::unique_ptr<placement::Policy>()> policy;
-  bool product = false;  ///< Priorities, ageing, reserve and guard.
+  bool product = false;  ///< Priorities, ageing, reserve, guard.
 };
 
 struct Figures {
@@ -48,11 +48,11 @@
   int overcommits = 0;
 };
 
-/// Plays one load against one contender.
-class Play {
+/// Simulates one load with one contender.
+class Simulation {
  public:
-  Play(const Load& load, const Contender& contender, int racks, double cores,
-       uint64_t seed)
+  Simulation(const Load& load, const Contender& contender, int racks,
+             double cores, uint64_t seed)
       : load_(load),
         contender_(contender),
         policy_(contender.policy()),
@@ -105,7 +105,7 @@
   };
 
   void Advance(double when) {
-    // Packing counts while work waits and new work still comes.
+    // Packing is measured only while jobs wait and new ones still arrive.
     if (queue_.size() > 0 && now_ < load_.seconds) {
       const double span = std::min(when, load_.seconds) - now_;
       const Amount free = room_.total_free();
@@ -307,7 +307,7 @@
   double best_packing = 0;
   double best_max = 1e18;
   for (const Contender& contender : contenders) {
-    const Figures f = Play(load, contender, racks, cores, 42).Run();
+    const Figures f = Simulation(load, contender, racks, cores, 42).Run();
     PrintFigures(load.name, contender.name, f);
     const double urgent = Percentile(f.waits.at(JobKind::kUrgent), 0.99);
     const double packing = f.packed_time > 0 ? f.packed / f.packed_time : 0;
@@ -329,7 +329,8 @@
   }
 }
 
-/// Time of one decision at a size, with `running` tasks in place.
+/// Measures the time of one decision with `upstreams` upstreams and `running`
+/// running tasks.
 void DecisionSpeed(int upstreams, int running) {
   placement::Room room;
   for (int i = 0; i < upstreams; ++i) {
--- a/bench/system_bench.cc
+++ b/bench/system_bench.cc
@@ -1,6 +1,7 @@
-// Real processes: request throughput and added delay, time without service
-// after a kill and a freeze, time of a publish to be in force, cost at rest.
-// system_bench BUILD_DIR [direct|peak|takeover|publish|rest]
+// Benchmarks real processes: request throughput and added latency, time without
+// service after a process is killed or paused, time until published rules are
+// in force at all entries, and cost when idle.
+// Usage: system_bench BUILD_DIR [direct|peak|takeover|publish|rest]
 
 #include <httplib.h>
 
@@ -53,7 +54,7 @@
   return reply.status == 200 ? reply.body.value("revision", -1) : -1;
 }
 
-/// Upstreams that the entry has attached.
+/// Names of the upstreams that the entry has attached.
 std::vector<std::string> Attached(RealCell& cell, const std::string& entry) {
   std::vector<std::string> out;
   const HttpReply reply = cell.Http(entry, "GET", "/v1/upstreams", nullptr);
@@ -70,7 +71,7 @@
   return sum;
 }
 
-void Settle(RealCell& cell, size_t upstreams) {
+void WaitUntilReady(RealCell& cell, size_t upstreams) {
   Eventually([&] {
     cell.Http("entry-0", "POST", "/v1/rules",
               {{"author", "bench"}, {"base", 0}, {"text", kRules}});
@@ -89,10 +90,11 @@
   return out;
 }
 
-/// Closed loop of `clients`, each on one connection, for `seconds`.
-void Throughput(RealCell& cell, const std::vector<int>& ports,
-                const std::string& name, int clients, double seconds,
-                bool keyed) {
+/// Measures the throughput of `clients` clients for `seconds`. Each client
+/// sends one request after the other on one connection.
+void MeasureThroughput(RealCell& cell, const std::vector<int>& ports,
+                       const std::string& name, int clients, double seconds,
+                       bool keyed) {
   std::vector<std::vector<double>> delays(static_cast<size_t>(clients));
   std::atomic<int> failed{0};
   std::atomic<int> serial{0};
@@ -175,7 +177,7 @@
   std::fflush(stdout);
 }
 
-/// Settings as shipped, not the fast ones of the scenarios.
+/// The shipped settings, instead of the shorter times of the scenarios.
 json ShippedTimes() {
   return {{"heartbeat_ms", 500},      {"suspect_ms", 1500},
           {"dead_ms", 2500},          {"return_ms", 2000},
@@ -185,16 +187,18 @@
           {"checkpoint_ms", 60000},   {"shutdown_ms", 20000}};
 }
 
-/// Cost of one daemon at rest, by upstreams under it and by entries.
-void Rest(const std::string& bin, int entries, int racks, int per_rack,
-          int tasks) {
+/// Measures the cost of one idle daemon, by its upstreams and by the number of
+/// entries.
+void MeasureIdleCost(const std::string& bin, int entries, int racks,
+                     int per_rack, int tasks) {
   RealCell cell(bin, {{"entries", entries},
                       {"racks", racks},
                       {"upstreams_per_rack", per_rack},
                       {"cores", 64},
                       {"slots", 64},
                       {"settings", ShippedTimes()}});
-  Settle(cell, static_cast<size_t>(racks) * static_cast<size_t>(per_rack));
+  WaitUntilReady(cell,
+                 static_cast<size_t>(racks) * static_cast<size_t>(per_rack));
   for (int i = 0; i < tasks; ++i) {
     cell.Http("entry-0", "POST", "/v1/requests", Request(600000, ""));
   }
@@ -210,9 +214,9 @@
   PrintCost(cell, name, before, kSpan);
 }
 
-/// Delay of the upstream stand-in called without the system: start, then the
-/// end by renewal.
-void Direct(const std::string& bin) {
+/// Measures the latency of the fake upstream without the system: a start, then
+/// the end reported by a renewal.
+void MeasureDirectCalls(const std::string& bin) {
   asio::io_context io;
   rpc::AsioExecutor executor(io);
   rpc::Client client(io);
@@ -279,9 +283,10 @@
   return out;
 }
 
-void Peak(const std::string& bin) {
+void MeasurePeak(const std::string& bin) {
   json settings = ShippedTimes();
-  // The bench keeps more outcomes within their window than a daemon should.
+  // The benchmark produces more outcomes within their window than a daemon
+  // should keep.
   settings["max_requests"] = 1000000;
   settings["max_answer_bytes"] = 1 << 28;
   RealCell cell(bin, {{"entries", 6},
@@ -290,27 +295,29 @@
                       {"cores", 16},
                       {"slots", 8},
                       {"settings", settings}});
-  Settle(cell, 48);
+  WaitUntilReady(cell, 48);
   const auto ports = HttpPorts(cell);
-  Throughput(cell, ports, "one_client", 1, 4, false);
-  Throughput(cell, ports, "one_client_keyed", 1, 4, true);
+  MeasureThroughput(cell, ports, "one_client", 1, 4, false);
+  MeasureThroughput(cell, ports, "one_client_keyed", 1, 4, true);
   Cost before = CostOf(cell, "entry-0");
-  Throughput(cell, ports, "peak", 48, 6, false);
+  MeasureThroughput(cell, ports, "peak", 48, 6, false);
   PrintCost(cell, "peak", before, 6);
   before = CostOf(cell, "entry-0");
-  Throughput(cell, ports, "peak_keyed", 48, 6, true);
+  MeasureThroughput(cell, ports, "peak_keyed", 48, 6, true);
   PrintCost(cell, "peak_keyed", before, 6);
 }
 
-/// From the signal until every upstream of the entry is attached elsewhere.
-void TakeOver(const std::string& bin, int signal, const std::string& name) {
+/// Measures the time from the signal until all upstreams of the entry are
+/// attached to other entries.
+void MeasureTakeover(const std::string& bin, int signal,
+                     const std::string& name) {
   RealCell cell(bin, {{"entries", 6},
                       {"racks", 6},
                       {"upstreams_per_rack", 8},
                       {"cores", 16},
                       {"slots", 8},
                       {"settings", ShippedTimes()}});
-  Settle(cell, 48);
+  WaitUntilReady(cell, 48);
   const double before = Now();
   cell.Signal("entry-5", signal);
   const bool done = Eventually([&] {
@@ -341,12 +348,12 @@
   return done ? Now() - before : -1;
 }
 
-void Publishing(const std::string& bin) {
+void MeasurePublishing(const std::string& bin) {
   RealCell cell(bin, {{"entries", 6},
                       {"racks", 6},
                       {"upstreams_per_rack", 1},
                       {"settings", ShippedTimes()}});
-  Settle(cell, 6);
+  WaitUntilReady(cell, 6);
   std::vector<double> times;
   for (int64_t base = 1; base <= 100; ++base) {
     times.push_back(PublishEverywhere(cell, base));
@@ -371,16 +378,16 @@
   const auto wanted = [&only](const std::string& part) {
     return only.empty() || only == part;
   };
-  if (wanted("direct")) Direct(bin);
-  if (wanted("peak")) Peak(bin);
-  if (wanted("takeover")) TakeOver(bin, SIGKILL, "kill");
-  if (wanted("takeover")) TakeOver(bin, SIGSTOP, "freeze");
-  if (wanted("publish")) Publishing(bin);
+  if (wanted("direct")) MeasureDirectCalls(bin);
+  if (wanted("peak")) MeasurePeak(bin);
+  if (wanted("takeover")) MeasureTakeover(bin, SIGKILL, "kill");
+  if (wanted("takeover")) MeasureTakeover(bin, SIGSTOP, "freeze");
+  if (wanted("publish")) MeasurePublishing(bin);
   if (!wanted("rest")) return 0;
-  Rest(bin, 1, 1, 8, 0);
-  Rest(bin, 1, 10, 8, 0);
-  Rest(bin, 1, 10, 8, 400);
-  Rest(bin, 6, 6, 1, 0);
-  Rest(bin, 12, 12, 1, 0);
+  MeasureIdleCost(bin, 1, 1, 8, 0);
+  MeasureIdleCost(bin, 1, 10, 8, 0);
+  MeasureIdleCost(bin, 1, 10, 8, 400);
+  MeasureIdleCost(bin, 6, 6, 1, 0);
+  MeasureIdleCost(bin, 12, 12, 1, 0);
   return 0;
 }
