--- a/tests/job_fault_injection_test.cc
+++ b/tests/job_fault_injection_test.cc
@@ -11,38 +11,39 @@
 namespace mimosarail::jobsim {
 namespace {
 
-/// Seeds that failed once, with what was seen. They stay.
-/// 1549, 2931: a run ended "done" on an upstream that was cut off, whose lease
-/// ran out before its holder took note of the end; such an end counts as never
-/// seen, and the check took it for seen.
-/// 2059, 2550: a call was refused and a second one had no answer, since its
-/// entry died; the check took both for refused.
-const std::vector<uint64_t> kFailedOnce{1549, 2931, 2059, 2550};
-constexpr uint64_t kFreshSeeds = 60;
+/// Seeds that have failed before, kept as regression cases.
+/// 1549, 2931: a run ended "done" on an unreachable upstream, and its lease
+/// expired before the holder recorded the end. Such an end counts as never
+/// seen, but the check counted it as seen.
+/// 2059, 2550: one call was refused and a second one got no answer because its
+/// entry died; the check counted both as refused.
+const std::vector<uint64_t> kRegressionSeeds{1549, 2931, 2059, 2550};
+constexpr uint64_t kDefaultSeedCount = 60;
 
 uint64_t SeedCount() {
   const char* text = std::getenv("MIMOSARAIL_SEEDS");
-  return text == nullptr ? kFreshSeeds : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? kDefaultSeedCount : std::strtoull(text, nullptr, 10);
 }
 
 std::vector<uint64_t> Seeds() {
-  std::vector<uint64_t> out = kFailedOnce;
+  std::vector<uint64_t> out = kRegressionSeeds;
   for (uint64_t i = 0; i < SeedCount(); ++i) out.push_back(1000 + i);
   return out;
 }
 
-/// One random day: jobs of several shapes while entries, store and upstreams
-/// fail. Everything heals before its end.
-class Schedule {
+/// Plays one random schedule: jobs of several shapes are submitted while
+/// entries, the store and upstreams fail. All faults are cleared before its
+/// end.
+class FaultSchedule {
  public:
-  explicit Schedule(uint64_t seed) : random_(seed) {}
+  explicit FaultSchedule(uint64_t seed) : random_(seed) {}
 
   void Play() {
     cell_.RunFor(Millis(2000));
     constexpr int kSteps = 60;
     for (int i = 0; i < kSteps; ++i) {
-      SubmitSome();
-      if (Chance(35)) Fault();
+      SubmitRandomJob();
+      if (Chance(35)) InjectFault();
       cell_.RunFor(Millis(50 + Pick(400)));
     }
     Heal();
@@ -54,16 +55,16 @@
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
 
-  std::string SomeEntry() {
+  std::string RandomEntry() {
     const auto names = cell_.names();
     return names[Pick(names.size())];
   }
-  std::string SomeUpstream() {
+  std::string RandomUpstream() {
     const auto ids = cell_.upstreams().ids();
     return ids[Pick(ids.size())];
   }
 
-  void SubmitSome() {
+  void SubmitRandomJob() {
     const JobId id = 0xabc0000 + jobs_.size();
     const bool gang = Chance(25);
     wire::JobSpec spec =
@@ -85,16 +86,16 @@
       }
     }
     jobs_.push_back(id);
-    cell_.Submit(SomeEntry(), spec);
-    // The caller may send it again, elsewhere.
-    if (Chance(20)) cell_.Submit(SomeEntry(), spec);
-    if (Chance(8)) cell_.Cancel(SomeEntry(), jobs_[Pick(jobs_.size())]);
+    cell_.Submit(RandomEntry(), spec);
+    // The caller may resend the job to another entry.
+    if (Chance(20)) cell_.Submit(RandomEntry(), spec);
+    if (Chance(8)) cell_.Cancel(RandomEntry(), jobs_[Pick(jobs_.size())]);
   }
 
-  void Fault() {
+  void InjectFault() {
     const std::string leader = cell_.Leader();
     const std::string entry =
-        Chance(50) && !leader.empty() ? leader : SomeEntry();
+        Chance(50) && !leader.empty() ? leader : RandomEntry();
     switch (Pick(10)) {
       case 0:
         return cell_.Restart(entry);
@@ -123,11 +124,11 @@
         cell_.store().DropHistory();
         return;
       case 8:
-        cell_.upstreams().faults(SomeUpstream()).drop_start_replies = 2;
-        cell_.upstreams().faults(SomeUpstream()).delayed_starts = 1;
+        cell_.upstreams().faults(RandomUpstream()).drop_start_replies = 2;
+        cell_.upstreams().faults(RandomUpstream()).delayed_starts = 1;
         return;
       default:
-        cell_.upstreams().faults(SomeUpstream()).unreachable = Chance(50);
+        cell_.upstreams().faults(RandomUpstream()).unreachable = Chance(50);
     }
   }
 
@@ -148,10 +149,10 @@
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
       BOOST_CHECK_MESSAGE(state.has_value(),
-                          "accepted and not known: " << JobIdText(id));
+                          "accepted but unknown: " << JobIdText(id));
       if (!state) continue;
       BOOST_CHECK_MESSAGE(IsFinal(*state),
-                          "accepted and never ended: " << JobIdText(id));
+                          "accepted but never finished: " << JobIdText(id));
       if (cell_.cancelled(id) || *state != JobState::kComplete) continue;
       int done = 0;
       for (int32_t i = 0; i < 4; ++i) {
@@ -167,11 +168,12 @@
   std::vector<JobId> jobs_;
 };
 
-/// Entries are stopped in series, so that their stops overlap, while callers
-/// send to all of them and the leader, the store or links between entries fail.
-class StopsInSeries {
+/// Stops the entries one after another, so that their shutdowns overlap, while
+/// callers send to all of them and the leader, the store or links between
+/// entries fail.
+class RollingShutdown {
  public:
-  explicit StopsInSeries(uint64_t seed) : random_(seed) {}
+  explicit RollingShutdown(uint64_t seed) : random_(seed) {}
 
   void Play() {
     cell_.RunFor(Millis(2000));
@@ -179,7 +181,7 @@
       BeginStop(name);
       RunFor(Millis(500 + Pick(3000)));
     }
-    RunFor(kShutdown);
+    RunFor(kShutdownTime);
     cell_.store().faults() = {};
     for (const auto& name : cell_.names()) cell_.SetIsolated(name, false);
     cell_.RunFor(Millis(25000));
@@ -188,18 +190,18 @@
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
       BOOST_CHECK_MESSAGE(state && IsFinal(*state),
-                          "accepted and never ended: " << JobIdText(id));
+                          "accepted but never finished: " << JobIdText(id));
     }
   }
 
  private:
-  static constexpr Millis kUnready{2600};
-  static constexpr Millis kShutdown{5200};
+  static constexpr Millis kIntakeTime{2600};
+  static constexpr Millis kShutdownTime{5200};
   static constexpr Millis kGap{100};
 
   struct Stopping {
     TimePoint since;
-    std::vector<JobId> taken;
+    std::vector<JobId> submitted;
     std::vector<JobId> cancelled;
   };
 
@@ -213,7 +215,7 @@
   void RunFor(Millis span) {
     for (Millis passed{0}; passed < span; passed += kGap) {
       for (const std::string& name : cell_.names()) SubmitAt(name);
-      if (Pick(100) < 12) Fault();
+      if (Pick(100) < 12) InjectFault();
       cell_.RunFor(kGap);
       EndProcesses();
     }
@@ -223,14 +225,14 @@
     const auto stopping = stopping_.find(name);
     const TimePoint now = cell_.clock().now();
     if (stopping != stopping_.end() &&
-        now - stopping->second.since >= kUnready) {
-      return;  // its intake has ended
+        now - stopping->second.since >= kIntakeTime) {
+      return;  // the entry accepts no more calls
     }
     const JobId id = 0xdef0000 + jobs_.size();
     jobs_.push_back(id);
     cell_.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(20 + Pick(100));
     cell_.Submit(name, OneStepJob(id, 1, 500));
-    if (stopping != stopping_.end()) stopping->second.taken.push_back(id);
+    if (stopping != stopping_.end()) stopping->second.submitted.push_back(id);
     if (Pick(100) >= 15) return;
     // No job is cancelled at two entries.
     const JobId other = jobs_[Pick(jobs_.size())];
@@ -244,18 +246,18 @@
   void EndProcesses() {
     const TimePoint now = cell_.clock().now();
     for (auto at = stopping_.begin(); at != stopping_.end();) {
-      if (now - at->second.since < kShutdown) {
+      if (now - at->second.since < kShutdownTime) {
         ++at;
         continue;
       }
-      for (const JobId id : at->second.taken) {
-        BOOST_CHECK_MESSAGE(
-            cell_.answered(id),
-            "ended with a call open: " << JobIdText(id) << " at " << at->first);
+      for (const JobId id : at->second.submitted) {
+        BOOST_CHECK_MESSAGE(cell_.answered(id),
+                            "process ended with an open call: "
+                                << JobIdText(id) << " at " << at->first);
       }
       for (const JobId id : at->second.cancelled) {
         BOOST_CHECK_MESSAGE(cell_.cancel_answered(id),
-                            "ended with a cancel open: "
+                            "process ended with an open cancel: "
                                 << JobIdText(id) << " at " << at->first);
       }
       cell_.Restart(at->first);
@@ -263,21 +265,21 @@
     }
   }
 
-  void Fault() {
+  void InjectFault() {
     auto& store = cell_.store().faults();
     const auto names = cell_.names();
-    const std::string& some = names[Pick(names.size())];
+    const std::string& random_name = names[Pick(names.size())];
     switch (Pick(5)) {
       case 0:
         store.down = !store.down;
         return;
       case 1:
-        return cell_.SetIsolated(some, true);
+        return cell_.SetIsolated(random_name, true);
       case 2:
         for (const auto& name : names) cell_.SetIsolated(name, false);
         return;
       case 3:
-        store.partitioned_entries.insert(some);
+        store.partitioned_entries.insert(random_name);
         return;
       default:
         store = {};
@@ -297,15 +299,16 @@
 
 BOOST_DATA_TEST_CASE(InvariantsHoldUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
-  BOOST_TEST_CONTEXT("seed " << seed) { Schedule(seed).Play(); }
+  BOOST_TEST_CONTEXT("seed " << seed) { FaultSchedule(seed).Play(); }
 }
 
 BOOST_DATA_TEST_CASE(RollingStopsAnswerAllAcceptedCalls,
                      boost::unit_test::data::xrange(SeedCount()), seed) {
-  BOOST_TEST_CONTEXT("seed " << seed) { StopsInSeries(seed).Play(); }
+  BOOST_TEST_CONTEXT("seed " << seed) { RollingShutdown(seed).Play(); }
 }
 
-/// A caller sends one job. It is stored, runs once and is shown as complete.
+/// A caller submits one job. It is stored, runs once and is reported as
+/// complete.
 BOOST_AUTO_TEST_CASE(JobRunsOnceWithoutFaults) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -319,10 +322,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A caller's push is accepted, then all entries lose power at once. They come
-/// back with nothing in memory: the job must be known, and what ran before the
-/// loss goes on where it ran instead of running twice.
-BOOST_AUTO_TEST_CASE(AnAcceptedJobSurvivesTheLossOfAllEntries) {
+/// A job is accepted, then all entries lose power at once and restart with
+/// empty memory. The job must still be known, and its run must continue on its
+/// upstream instead of starting a second time.
+BOOST_AUTO_TEST_CASE(AcceptedJobSurvivesLossOfAllEntries) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({9, 0, 0, 0}).run_time = Millis(3000);
@@ -337,17 +340,19 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A job fails for good on its second run. The leader is killed between the two
-/// ends being listed and stored; the next one hears of the second end first and
-/// must still count both, or the task gets a third run.
-BOOST_AUTO_TEST_CASE(FailuresCountInAnyOrderAfterATakeover) {
+/// A job fails permanently with the second failed run of its task. The leader
+/// is lost after the two failures are listed but before they are stored. The
+/// next leader learns of the second failure first and must still count both;
+/// otherwise the task gets a third run.
+BOOST_AUTO_TEST_CASE(FailuresAreCountedInAnyOrderAfterTakeover) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({11, 0, 0, 0}) = {.run_time = Millis(300),
                                               .failing_runs = 9};
   cell.Submit("entry-0", OneStepJob(11, 1, 1000));
   cell.RunFor(Millis(150));
-  // From now on the leader stores nothing; it goes on with what it knows.
+  // From now on the leader stores nothing and continues with its state in
+  // memory.
   cell.store().faults().partitioned_entries.insert(cell.Leader());
   cell.RunFor(Millis(20000));
   BOOST_TEST(cell.Violations().empty());
@@ -357,9 +362,10 @@
   BOOST_TEST(cell.upstreams().starts() == 2);
 }
 
-/// A start is carried out 2.5 s after its upstream left it without an answer.
-/// By then the task runs elsewhere: the late one must be refused by its token.
-BOOST_AUTO_TEST_CASE(ALateStartIsFenced) {
+/// An upstream leaves a start unanswered and executes it 2.5 s later. By then
+/// the task runs elsewhere; the late start must be refused because of its fence
+/// token.
+BOOST_AUTO_TEST_CASE(LateStartIsFenced) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   for (const auto& id : cell.upstreams().ids()) {
@@ -372,8 +378,9 @@
   BOOST_TEST(cell.upstreams().DoneRuns({13, 0, 0, 0}) == 1);
 }
 
-/// The leader stands still for 5 s and wakes up believing that it leads. The
-/// others have taken over; nothing it then orders may start anything.
+/// The leader is paused for 5 s and resumes while it still considers itself the
+/// leader. Another entry has taken over meanwhile, so no order of the resumed
+/// leader may start a task.
 BOOST_AUTO_TEST_CASE(PausedLeaderStartsNothingAfterResume) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -382,72 +389,72 @@
     cell.Submit("entry-3", OneStepJob(id, 1, 4000));
   }
   cell.RunFor(Millis(120));
-  const std::string frozen = cell.Leader();
-  cell.Pause(frozen);
+  const std::string paused = cell.Leader();
+  cell.Pause(paused);
   cell.RunFor(Millis(5000));
-  BOOST_TEST(cell.Leader() != frozen);
+  BOOST_TEST(cell.Leader() != paused);
   BOOST_TEST(!cell.Leader().empty());
-  cell.Resume(frozen);
+  cell.Resume(paused);
   for (JobId id = 20; id < 30; ++id) {
     BOOST_TEST(cell.RunUntilFinal(id, Millis(20000)));
   }
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A caller cancels a push and is told that there is no such job; the push runs
-/// all the same. The entry that it asked had led and stood still; the job was
-/// taken by the next leader meanwhile. Awake, it answered from what it had
-/// known, before it had heard that it leads no more.
+/// A caller cancels a job and is told that there is no such job, but the job
+/// runs. The entry that received the cancel was the leader and was paused; the
+/// next leader accepted the job meanwhile. On resuming, the entry answered from
+/// its outdated state, before it learned that it was no longer the leader.
 BOOST_AUTO_TEST_CASE(ResumedLeaderDoesNotReportJobAsUnknown) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
-  const std::string frozen = cell.Leader();
-  cell.Pause(frozen);
+  const std::string paused = cell.Leader();
+  cell.Pause(paused);
   cell.RunFor(Millis(5000));
   cell.upstreams().behavior({69, 0, 0, 0}).run_time = Millis(9000);
   cell.Submit(cell.Leader(), OneStepJob(69, 1, 1000));
   cell.RunFor(Millis(200));
   BOOST_REQUIRE(cell.accepted(69));
-  std::vector<coordinator::JobVerdict> told;
-  const auto note = [&told](const jobentry::JobAnswer& answer) {
-    told.push_back(answer.verdict);
+  std::vector<coordinator::JobVerdict> verdicts;
+  const auto note = [&verdicts](const jobentry::JobAnswer& answer) {
+    verdicts.push_back(answer.verdict);
   };
-  // What came while it stood still is read first.
-  cell.entry(frozen)->Cancel(69, Millis(3000), note);
-  cell.entry(frozen)->State(69, Millis(3000), note);
-  cell.Resume(frozen);
+  // Messages that arrived during the pause are read first.
+  cell.entry(paused)->Cancel(69, Millis(3000), note);
+  cell.entry(paused)->State(69, Millis(3000), note);
+  cell.Resume(paused);
   cell.RunFor(Millis(4000));
-  BOOST_REQUIRE_EQUAL(told.size(), 2U);
-  for (const auto verdict : told) {
+  BOOST_REQUIRE_EQUAL(verdicts.size(), 2U);
+  for (const auto verdict : verdicts) {
     BOOST_TEST((verdict == coordinator::JobVerdict::kDone));
   }
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The same, but what came while the leader stood still is read before the
-/// cancel: greetings of the others from before they missed it, and at some
-/// moments the answer to a renewal. Dated when they were read, they gave the
-/// leader back its trust in itself, while the next leader's announcement was
-/// lost on the way.
+/// The same, but messages that arrived during the pause are read before the
+/// cancel: heartbeats that the other entries sent before they missed the leader
+/// and, at some moments, the reply to a renewal. Dated by the time of reading,
+/// these messages renewed the leader lease, while the next leader's
+/// announcement was lost.
 BOOST_AUTO_TEST_CASE(MessagesQueuedForPausedLeaderDoNotConfirmIt) {
-  constexpr int kMoments = 210;  // more than one period of renewals
-  for (int moment = 0; moment < kMoments; moment += 3) {
-    BOOST_TEST_CONTEXT("frozen after " << 2000 + moment << " ms") {
+  constexpr int kPauseOffsets = 210;  // longer than one renewal period
+  for (int offset = 0; offset < kPauseOffsets; offset += 3) {
+    BOOST_TEST_CONTEXT("paused after " << 2000 + offset << " ms") {
       JobCell cell({});
-      cell.RunFor(Millis(2000 + moment));
-      const std::string frozen = cell.Leader();
-      cell.Pause(frozen);
+      cell.RunFor(Millis(2000 + offset));
+      const std::string paused = cell.Leader();
+      cell.Pause(paused);
       cell.RunFor(Millis(600));
-      cell.SetIsolated(frozen, true);
+      cell.SetIsolated(paused, true);
       cell.RunFor(Millis(4400));
-      cell.SetIsolated(frozen, false);
+      cell.SetIsolated(paused, false);
       cell.upstreams().behavior({70, 0, 0, 0}).run_time = Millis(9000);
       cell.Submit(cell.Leader(), OneStepJob(70, 1, 1000));
       cell.RunFor(Millis(200));
       BOOST_REQUIRE(cell.accepted(70));
-      cell.Cancel(frozen, 70);
+      cell.Cancel(paused, 70);
       cell.RunFor(Millis(1));
-      cell.Resume(frozen);
+      cell.Resume(paused);
       cell.RunFor(Millis(4000));
       BOOST_TEST(cell.cancelled(70));
       BOOST_TEST(cell.Violations().empty());
@@ -455,8 +462,8 @@
   }
 }
 
-/// Guards against accepted jobs lost as their append was overtaken.
-BOOST_AUTO_TEST_CASE(AnAppendThatIsOvertakenLosesNoAcceptedJob) {
+/// Guards against losing accepted jobs when a later append overtakes theirs.
+BOOST_AUTO_TEST_CASE(OvertakenAppendLosesNoAcceptedJob) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.store().faults().append_latency = Millis(200);
@@ -480,13 +487,13 @@
   cell.RunFor(Millis(4000));
   for (JobId id = 1; id <= kJobs; ++id) {
     if (!cell.accepted(id)) continue;
-    BOOST_TEST(cell.State(id).has_value(), "accepted and lost: " << id);
+    BOOST_TEST(cell.State(id).has_value(), "accepted but lost: " << id);
   }
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// Guards against one job whose record is never stored holding up all others.
-BOOST_AUTO_TEST_CASE(AJobTooLargeForTheStoreHindersNoOther) {
+/// Guards against a job whose record can never be stored blocking all others.
+BOOST_AUTO_TEST_CASE(JobTooLargeForStoreDoesNotBlockOthers) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   wire::JobSpec large = OneStepJob(1, 1, 1000);
@@ -502,13 +509,14 @@
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// The store is away: a new job is refused, and must then never run. Callers
-/// hear of it within the entry's patience instead of at their deadline.
+/// The store is unavailable: a new job is refused and must then never run.
+/// Callers get the refusal within the entry's own time limit instead of at
+/// their deadline.
 BOOST_AUTO_TEST_CASE(JobRefusedDuringStoreOutageNeverRuns) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.store().faults().down = true;
-  // The leader notices with the first append that is not answered.
+  // The leader detects the outage by the first unanswered append.
   cell.Submit("entry-1", OneStepJob(30, 1, 1000));
   cell.RunFor(Millis(1000));
   cell.Submit("entry-1", OneStepJob(31, 1, 1000));
@@ -520,10 +528,11 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The store falls silent. A job handed in just after waits behind an append
-/// without an answer and was told "unknown" when its caller's time was up,
-/// though nothing of it had been sent. It is refused well before that, may be
-/// handed in again, and never runs by the first word alone.
+/// The store stops responding. A job submitted shortly afterwards waits behind
+/// an unanswered append. It was answered "unknown" at its caller's deadline,
+/// although no part of it had been sent. It must be refused well before the
+/// deadline, may be submitted again, and must never run because of the refused
+/// submission alone.
 BOOST_AUTO_TEST_CASE(UnsentJobIsRefusedBeforeItsDeadline) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -543,9 +552,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A caller's cancel is never acknowledged: its record was stored, but what
-/// waited with a job that was taken back before it was sent waited for the
-/// next append, and none came. It waits for the append under way alone.
+/// A caller's cancel is never acknowledged although its record is stored: a
+/// callback registered along with a job that was withdrawn before it was sent
+/// waited for the next append, and none came. The callback must wait only for
+/// the append in flight.
 BOOST_AUTO_TEST_CASE(WithdrawnJobDoesNotBlockOtherRecords) {
   sim::ManualClock clock;
   StoreFake store(clock);
@@ -561,22 +571,23 @@
   journal->Put("first", "a");
   clock.RunFor(Millis(100));
   journal->Put("second", "b");
-  bool told = false;
-  journal->WhenStored([&told](bool stored) { told = stored; });
+  bool notified = false;
+  journal->WhenStored([&notified](bool stored) { notified = stored; });
   BOOST_TEST(!journal->Withdraw("first"));
   BOOST_TEST(journal->Withdraw("second"));
   clock.RunFor(Millis(3000));
-  BOOST_TEST(!told);
+  BOOST_TEST(!notified);
   store.faults().down = false;
   clock.RunFor(Millis(3000));
-  BOOST_TEST(told);
+  BOOST_TEST(notified);
   BOOST_TEST(store.Records("jobs").count("first") == 1U);
   BOOST_TEST(store.Records("jobs").count("second") == 0U);
 }
 
-/// A stopping entry takes a job that it can't hand on, since it is cut off from
-/// the leader. Its process ended with the call open and the caller saw the
-/// connection break; it must give a final answer before it goes.
+/// A stopping entry accepts a job that it can't forward because it is
+/// partitioned from the leader. Its process ended with the call open, and the
+/// caller saw the connection break. The entry must give a final answer before
+/// it exits.
 BOOST_AUTO_TEST_CASE(StoppingEntryAnswersAllAcceptedCalls) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -590,12 +601,13 @@
   BOOST_TEST(cell.answered(36));
 }
 
-/// Callers of an entry that is being stopped see their connections close
-/// without an answer. It led, and resigned while the store answered nobody, so
-/// that for a moment there was no leader; the entry that it greeted then still
-/// named it, and it followed itself. The next leader's announcement did not
-/// reach it, and every request that it took from then on was tried at itself.
-BOOST_AUTO_TEST_CASE(AStoppingLeaderFindsTheNextOne) {
+/// Callers of a stopping entry see their connections close without an answer.
+/// The entry was the leader and resigned while the store was down, so that for
+/// a moment there was no leader. The entry to which it then sent a heartbeat
+/// still named it as the leader, and it followed itself. The next leader's
+/// announcement did not reach it, and it forwarded every later request to
+/// itself.
+BOOST_AUTO_TEST_CASE(StoppingLeaderFindsItsSuccessor) {
   JobCell cell({.seeds = {"entry-0", "entry-1", "entry-2"}});
   cell.RunFor(Millis(2000));
   const std::string stopping = cell.Leader();
@@ -614,11 +626,11 @@
   BOOST_TEST(cell.accepted(61));
 }
 
-/// A caller cancels a report and sees the connection close without an answer.
-/// The entry that it asked led, and was stopped while the cancel's record was
-/// on its way to a slow store; with the office went all that waited for the
-/// record.
-BOOST_AUTO_TEST_CASE(ACancelAtAResigningLeaderIsAnswered) {
+/// A caller cancels a job and sees the connection close without an answer. The
+/// entry that received the cancel was the leader and was stopped while the
+/// cancel's record was on its way to a slow store. When it lost leadership, it
+/// dropped all callbacks that waited for the record.
+BOOST_AUTO_TEST_CASE(CancelAtResigningLeaderIsAnswered) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
@@ -634,9 +646,8 @@
   BOOST_TEST(cell.cancel_answered(64));
 }
 
-/// A caller cancels a report while the store is silent. The leader's own
-/// callers were held for as long as that lasted, long past the time that they
-/// had.
+/// A caller cancels a job while the store is unresponsive. The leader kept its
+/// own callers waiting for as long as that lasted, far beyond their deadlines.
 BOOST_AUTO_TEST_CASE(CancelIsAnsweredWithinItsDeadline) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -653,9 +664,10 @@
   BOOST_TEST(cell.cancel_answered(66));
 }
 
-/// A stopping entry takes a push and holds it until it is too late to ask
-/// elsewhere. Its leader had died, the next one's announcement was lost, and an
-/// entry that may not claim the lead looked for no other leader either.
+/// A stopping entry accepts a job and holds it until it is too late to forward
+/// it. Its leader had died, the next leader's announcement was lost, and an
+/// entry that may not claim leadership did not search for another leader
+/// either.
 BOOST_AUTO_TEST_CASE(StoppingFollowerFindsNewLeaderAfterLeaderFailure) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -673,19 +685,20 @@
   BOOST_TEST(cell.accepted(62));
 }
 
-/// Callers of one entry are refused for as long as the store turns it away,
-/// though a leader is there and reachable. The leader that it followed had
-/// died, the next one's only announcement was lost, and it went on greeting the
-/// dead one: only an entry without any leader asked the others. Stopping or
-/// not, that is the same.
-BOOST_AUTO_TEST_CASE(AFollowerOfADeadLeaderAsksTheOthers) {
-  for (const bool stops : {false, true}) {
-    BOOST_TEST_CONTEXT((stops ? "stopping" : "serving")) {
+/// Callers of one entry are refused while it is partitioned from the store,
+/// although a leader exists and is reachable. The leader that the entry
+/// followed had died, the next leader's only announcement was lost, and the
+/// entry kept sending heartbeats to the dead one: only an entry without any
+/// leader asked the other entries. The same applies to stopping and serving
+/// entries.
+BOOST_AUTO_TEST_CASE(FollowerOfDeadLeaderAsksOtherEntries) {
+  for (const bool stopping_entry : {false, true}) {
+    BOOST_TEST_CONTEXT((stopping_entry ? "stopping" : "serving")) {
       JobCell cell({});
       cell.RunFor(Millis(2000));
       const std::string leader = cell.Leader();
       const std::string follower = leader == "entry-0" ? "entry-1" : "entry-0";
-      if (stops) cell.entry(follower)->BeginShutdown();
+      if (stopping_entry) cell.entry(follower)->BeginShutdown();
       cell.store().faults().partitioned_entries.insert(follower);
       cell.SetIsolated(follower, true);
       cell.Kill(leader);
@@ -700,11 +713,12 @@
   }
 }
 
-/// Callers of the entry that led are refused for as long as the store turns it
-/// away, though another leads and is reachable: it took over while the first
-/// was cut off from the others too, and its only announcement was lost. Deposed
-/// by an upstream, the first had forgotten who its followers were and had
-/// nobody to ask; with no upstream to tell it, it went on as if it led.
+/// Callers of a former leader are refused while it is partitioned from the
+/// store, although its successor is reachable. The successor took over while
+/// the former leader was partitioned from the other entries as well, and its
+/// only announcement was lost. Deposed by an upstream, the former leader had
+/// dropped its list of followers and had no entry to ask; with no upstream to
+/// report the newer term, it continued as the leader.
 BOOST_AUTO_TEST_CASE(FormerLeaderDiscoversItsSuccessor) {
   for (const int upstreams : {6, 0}) {
     BOOST_TEST_CONTEXT(upstreams << " upstreams") {
@@ -726,9 +740,10 @@
   }
 }
 
-/// An entry starts while the store turns it away, and the first of the entries
-/// that it may ask for the leader is gone for good. It asked that one again and
-/// again and never the next, and refused its callers for as long.
+/// An entry starts while it is partitioned from the store, and the first of its
+/// seeds, the entries that it may ask for the leader, is down permanently. The
+/// entry asked that seed repeatedly and never the next one, and refused its
+/// callers all the while.
 BOOST_AUTO_TEST_CASE(UnreachableSeedIsSkipped) {
   JobCell cell({.seeds = {"entry-0", "entry-1", "entry-2"}});
   cell.RunFor(Millis(2000));
@@ -745,10 +760,10 @@
   BOOST_TEST(cell.accepted(63));
 }
 
-/// A push starts late while entries are stopped in turn. The leader went on
-/// asking for advice through an entry that stopped, and its process ended with
-/// the call in hand: nobody saw that it waited for the adviser, and it took
-/// calls until it was gone. What the adviser had worked on was lost.
+/// A job starts late while entries are stopped one after another. The leader
+/// kept requesting advice through a stopping entry, whose process ended with
+/// the call open: the shutdown did not wait for advice in flight, and the entry
+/// accepted calls until its process ended. The adviser's work was lost.
 BOOST_AUTO_TEST_CASE(StoppingEntryReturnsAdviceInFlight) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -765,7 +780,7 @@
   stopping.OnAdvise(call, note);
   BOOST_TEST(stopping.advice_in_flight() == 1);
   stopping.StopAccepting();
-  // The leader hears at once that it has to ask elsewhere.
+  // The leader learns at once that it has to ask another entry.
   stopping.OnAdvise(call, note);
   BOOST_REQUIRE_EQUAL(verdicts.size(), 1U);
   BOOST_TEST(verdicts[0] != 0);
@@ -775,8 +790,9 @@
   BOOST_TEST(stopping.advice_in_flight() == 0);
 }
 
-/// The store turns only the leader away. A job handed in right then is not
-/// refused: another entry takes the lead within its caller's patience.
+/// Only the leader is partitioned from the store. A job submitted at that
+/// moment is not refused: another entry becomes the leader before the caller's
+/// deadline.
 BOOST_AUTO_TEST_CASE(JobIsAcceptedWhenLeaderLosesTheStore) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -793,8 +809,8 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// One member of a gang fails: the others break, and the whole gang starts
-/// anew with one attempt number, never as a mixture of two.
+/// One member of a gang fails: the other members are aborted, and the whole
+/// gang restarts with one attempt number, never as a mixture of two attempts.
 BOOST_AUTO_TEST_CASE(FailedGangRestartsAsAWhole) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
@@ -806,9 +822,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An upstream dies with a task. Nothing says so but its silence; the task may
-/// start elsewhere only when its lease has surely run out, and then must.
-BOOST_AUTO_TEST_CASE(ATaskOfADeadUpstreamRunsElsewhere) {
+/// An upstream dies with a task, and the only sign is that it stops responding.
+/// The task may start elsewhere only once its lease has certainly expired, and
+/// then must.
+BOOST_AUTO_TEST_CASE(TaskOfDeadUpstreamRunsElsewhere) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({50, 0, 0, 0}).run_time = Millis(2000);
@@ -824,9 +841,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An entry is stopped for maintenance while it leads: another leads within
-/// half a second, without waiting for silence.
-BOOST_AUTO_TEST_CASE(AResigningLeaderIsReplacedAtOnce) {
+/// The leader is stopped for maintenance: another entry becomes the leader
+/// within half a second, without waiting for the election timeout.
+BOOST_AUTO_TEST_CASE(ResigningLeaderIsReplacedAtOnce) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string first = cell.Leader();
@@ -836,9 +853,9 @@
   BOOST_TEST(cell.Leader() != first);
 }
 
-/// All machines get power together, and the first process up is on the weakest
-/// one. Leading there, it took 3 s to load what had been accepted, and callers
-/// waited. It hands over as soon as a fitter entry is known.
+/// All machines power on together, and the first process up is on the weakest
+/// machine. As the leader, it took 3 s to load the accepted jobs, and callers
+/// waited. It must hand over leadership as soon as a fitter entry is known.
 BOOST_AUTO_TEST_CASE(LessFitLeaderHandsOver) {
   JobCell cell(
       {.entries = 3,
@@ -856,7 +873,7 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// With nobody fitter known, weak entries replace a dead leader at once.
+/// If no fitter entry is known, weak entries replace a dead leader at once.
 BOOST_AUTO_TEST_CASE(UnfitEntriesElectLeaderWithoutDelay) {
   JobCell cell(
       {.entries = 3,
