--- a/tests/job_durability_test.cc
+++ b/tests/job_durability_test.cc
@@ -22,37 +22,39 @@
 using coordinator::JobVerdict;
 
 constexpr const char* kJobTable = "jobs";
-constexpr uint64_t kFreshSeeds = 300;
+constexpr uint64_t kDefaultSeedCount = 300;
 constexpr uint64_t kFirstSeed = 7000;
-/// Until somebody leads and serves after a calm start.
+/// Time until a leader serves after a start without faults.
 constexpr Millis kStartupTime{2000};
-/// Until all that is owed is done once everything has healed: leases and trust
-/// of earlier leaders run out, and what waits runs.
+/// Time until all accepted jobs are final after the last fault is cleared: task
+/// leases and the leader leases of earlier leaders expire, and the waiting jobs
+/// run.
 constexpr Millis kRecoveryTime{40000};
 constexpr Millis kPollInterval{500};
-/// Every entry has answered within this: callers wait 3 s, and one call to the
-/// leader takes a second at most.
-constexpr Millis kAnswerWait{4000};
-/// A caller that has no answer by then asks elsewhere.
-constexpr Millis kCallerPatience{1500};
-constexpr Millis kLeaderLook{5};
-constexpr Millis kLeaderWait{3000};
-/// After this a stopping entry's process ends.
-constexpr Millis kShutdown{5200};
+/// Every entry answers within this time: callers wait 3 s, and one call to the
+/// leader takes at most 1 s.
+constexpr Millis kAnswerLimit{4000};
+/// A caller without an answer by then asks another entry.
+constexpr Millis kCallerTimeout{1500};
+constexpr Millis kLeaderPollInterval{5};
+constexpr Millis kLeaderWaitLimit{3000};
+/// Time from the start of an entry's shutdown to the end of its process.
+constexpr Millis kShutdownTime{5200};
 constexpr int32_t kMillicores = 500;
 
-/// Seeds that failed once, with what was seen. They stay.
-/// 7482, 8628, 10595, 11580: a job was denied on its cancel 20 ms before the
-/// call that handed it in was answered; the check took that call for over.
-const std::vector<uint64_t> kFailedOnce{7482, 8628, 10595, 11580};
+/// Seeds that have failed before, kept as regression cases.
+/// 7482, 8628, 10595, 11580: a cancel was answered "no such job" 20 ms before
+/// the call that submitted the job was answered; the check treated the
+/// submitting call as finished.
+const std::vector<uint64_t> kRegressionSeeds{7482, 8628, 10595, 11580};
 
 uint64_t SeedCount() {
   const char* text = std::getenv("MIMOSARAIL_SEEDS");
-  return text == nullptr ? kFreshSeeds : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? kDefaultSeedCount : std::strtoull(text, nullptr, 10);
 }
 
 std::vector<uint64_t> Seeds() {
-  std::vector<uint64_t> out = kFailedOnce;
+  std::vector<uint64_t> out = kRegressionSeeds;
   for (uint64_t i = 0; i < SeedCount(); ++i) out.push_back(kFirstSeed + i);
   return out;
 }
@@ -61,31 +63,31 @@
   return JobIdText(call.job) + " at " + call.entry;
 }
 
-/// What is answered as accepted is stored, whoever leads next.
+/// A job answered as accepted is stored, so that any later leader finds it.
 void CheckStored(JobCell& cell, JobId id) {
   const auto& records = cell.store().Records(kJobTable);
   const bool stored = records.count(coordinator::SpecKey(id)) > 0 ||
                       records.count(coordinator::ProgressKey(id)) > 0;
-  BOOST_CHECK_MESSAGE(stored, "accepted and not stored: " << JobIdText(id));
+  BOOST_CHECK_MESSAGE(stored, "accepted but not stored: " << JobIdText(id));
 }
 
-/// Each call has one answer in time, unless its entry's process ended before or
-/// stood still.
+/// Each call gets exactly one answer in time, unless the process of its entry
+/// ended first. An answer may be late if that process was paused.
 void CheckOneAnswerEach(const JobCell& cell) {
   for (const CallerCall& call : cell.calls()) {
-    const bool owed = !call.connection_lost;
+    const bool expected = !call.connection_lost;
     BOOST_CHECK_MESSAGE(call.answers <= 1,
                         "answered more than once: " << CallText(call));
-    BOOST_CHECK_MESSAGE(!owed || call.answers == 1,
+    BOOST_CHECK_MESSAGE(!expected || call.answers == 1,
                         "never answered: " << CallText(call));
     const bool late = call.answers > 0 && !call.entry_paused &&
-                      call.ended - call.sent > kAnswerWait;
+                      call.ended - call.sent > kAnswerLimit;
     BOOST_CHECK_MESSAGE(!late, "answered too late: " << CallText(call));
   }
 }
 
-/// Nobody denies a job to a caller who asks for cancelling it after it has been
-/// accepted.
+/// No entry answers "no such job" to a cancel that was sent after the job had
+/// been accepted.
 void CheckNoneReportedUnknown(const JobCell& cell) {
   std::map<JobId, TimePoint> accepted_at;
   for (const CallerCall& call : cell.calls()) {
@@ -98,64 +100,66 @@
     if (call.kind != CallKind::kCancel || call.answers == 0) continue;
     if (call.verdict != JobVerdict::kNoSuchJob) continue;
     const auto at = accepted_at.find(call.job);
-    const bool denied = at != accepted_at.end() && at->second <= call.sent;
-    BOOST_CHECK_MESSAGE(!denied,
-                        "accepted and then denied: " << CallText(call));
+    const bool reported_unknown =
+        at != accepted_at.end() && at->second <= call.sent;
+    BOOST_CHECK_MESSAGE(!reported_unknown,
+                        "accepted but reported unknown: " << CallText(call));
   }
 }
 
-/// What each entry tells of each job.
-using CountedBadEntries =
-    std::map<std::pair<std::string, JobId>, jobentry::JobAnswer>;
+/// Answer of each entry on the state of each job.
+using JobAnswers = std::map<std::pair<std::string, JobId>, jobentry::JobAnswer>;
 
-std::shared_ptr<CountedBadEntries> AskAll(JobCell& cell,
-                                          const std::set<JobId>& jobs,
-                                          Millis wait) {
-  // An entry may answer after the test has looked.
-  auto told = std::make_shared<CountedBadEntries>();
+std::shared_ptr<JobAnswers> AskAll(JobCell& cell, const std::set<JobId>& jobs,
+                                   Millis wait) {
+  // Shared, because an entry may answer after this function has returned.
+  auto answers_by_entry = std::make_shared<JobAnswers>();
   for (const std::string& name : cell.names()) {
     for (const JobId id : jobs) {
-      cell.QueryState(name, id, [told, name, id](jobentry::JobAnswer answer) {
-        (*told)[{name, id}] = answer;
-      });
+      cell.QueryState(name, id,
+                      [answers_by_entry, name, id](jobentry::JobAnswer answer) {
+                        (*answers_by_entry)[{name, id}] = answer;
+                      });
     }
   }
   cell.RunFor(wait);
-  return told;
+  return answers_by_entry;
 }
 
 bool AllFinal(JobCell& cell, const std::set<JobId>& jobs) {
-  const auto told = AskAll(cell, jobs, kPollInterval);
-  return told->size() == jobs.size() * cell.names().size() &&
-         std::all_of(told->begin(), told->end(), [](const auto& row) {
-           return row.second.verdict == JobVerdict::kDone &&
-                  IsFinal(row.second.state);
-         });
+  const auto answers_by_entry = AskAll(cell, jobs, kPollInterval);
+  return answers_by_entry->size() == jobs.size() * cell.names().size() &&
+         std::all_of(answers_by_entry->begin(), answers_by_entry->end(),
+                     [](const auto& row) {
+                       return row.second.verdict == JobVerdict::kDone &&
+                              IsFinal(row.second.state);
+                     });
 }
 
-/// Every entry knows each of the jobs, and that it has ended.
+/// Every entry knows each of the jobs and reports it as final.
 void CheckAllFound(JobCell& cell, const std::set<JobId>& jobs,
                    const std::string& when) {
-  const auto told = AskAll(cell, jobs, kAnswerWait);
+  const auto answers_by_entry = AskAll(cell, jobs, kAnswerLimit);
   for (const std::string& name : cell.names()) {
     for (const JobId id : jobs) {
       const std::string what = JobIdText(id) + " at " + name + " " + when;
-      const auto answer = told->find({name, id});
-      BOOST_CHECK_MESSAGE(answer != told->end(), "no answer on " << what);
-      if (answer == told->end()) continue;
+      const auto answer = answers_by_entry->find({name, id});
+      BOOST_CHECK_MESSAGE(answer != answers_by_entry->end(),
+                          "no answer on " << what);
+      if (answer == answers_by_entry->end()) continue;
       const JobVerdict verdict = answer->second.verdict;
       BOOST_CHECK_MESSAGE(verdict == JobVerdict::kDone,
-                          "accepted and not known ("
+                          "accepted but unknown ("
                               << coordinator::kJobVerdictNames.Name(verdict)
                               << "): " << what);
       if (verdict != JobVerdict::kDone) continue;
       BOOST_CHECK_MESSAGE(IsFinal(answer->second.state),
-                          "accepted and never ended: " << what);
+                          "accepted but never finished: " << what);
       const bool wrong = answer->second.state != JobState::kComplete &&
                          !(answer->second.state == JobState::kCancelled &&
                            cell.cancel_called(id));
       BOOST_CHECK_MESSAGE(
-          !wrong, "ended without cause as "
+          !wrong, "ended without a cause as "
                       << kJobStateNames.Name(answer->second.state) << ": "
                       << what);
       const bool ran = cell.upstreams().DoneRuns({id, 0, 0, 0}) > 0;
@@ -165,18 +169,20 @@
   }
 }
 
-/// Jobs of which a caller was told that they are accepted, or cancelled.
+/// Jobs that were acknowledged to a caller as accepted or as cancelled.
 std::set<JobId> Accepted(const JobCell& cell) {
   std::set<JobId> out;
   for (const CallerCall& call : cell.calls()) {
-    const bool owed = cell.accepted(call.job) || cell.cancelled(call.job);
-    if (owed) out.insert(call.job);
+    const bool acknowledged =
+        cell.accepted(call.job) || cell.cancelled(call.job);
+    if (acknowledged) out.insert(call.job);
   }
   return out;
 }
 
-/// The promises made to callers, once nothing fails any more: at once, and
-/// again from what is stored alone.
+/// Checks the guarantees given to callers after all faults have ended: first
+/// with the running entries, then after a restart of all entries, from the
+/// stored state alone.
 void CheckInvariants(JobCell& cell) {
   for (const std::string& name : cell.names()) {
     if (cell.entry(name) == nullptr) cell.Restart(name);
@@ -187,38 +193,38 @@
   while (cell.clock().now() < until && !AllFinal(cell, jobs)) {
     cell.RunFor(kPollInterval);
   }
-  CheckAllFound(cell, jobs, "in the end");
+  CheckAllFound(cell, jobs, "after recovery");
   CheckOneAnswerEach(cell);
   CheckNoneReportedUnknown(cell);
   for (const std::string& name : cell.names()) cell.Restart(name);
   cell.RunFor(kStartupTime);
-  CheckAllFound(cell, jobs, "after a restart of all");
+  CheckAllFound(cell, jobs, "after a restart of all entries");
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-std::string SomeFollower(JobCell& cell, const std::string& leader) {
+std::string AnyFollower(JobCell& cell, const std::string& leader) {
   for (const std::string& name : cell.names()) {
     if (name != leader && cell.entry(name) != nullptr) return name;
   }
   return {};
 }
 
-/// What became of all days together.
-struct Counters {
-  int64_t days = 0;
+/// Totals over all scenarios.
+struct ScenarioTotals {
+  int64_t scenarios = 0;
   int64_t accepted = 0;
   int64_t refused = 0;
   int64_t cancelled = 0;
-  int64_t denied = 0;
+  int64_t reported_unknown = 0;
   int64_t repeats = 0;
   int64_t connection_lost = 0;
   int64_t terms = 0;
   int64_t out_of_order = 0;
 };
-Counters tally;
+ScenarioTotals totals;
 
-/// One random day of callers who hand in jobs at all entries and repeat what
-/// was not answered, while leaders and the store fail.
+/// Plays one random scenario: callers submit jobs at all entries and repeat
+/// unanswered calls, while leaders and the store fail.
 class FaultScenario {
  public:
   explicit FaultScenario(uint64_t seed) : random_(seed) {
@@ -227,42 +233,42 @@
 
   void Play() {
     cell_.RunFor(kStartupTime);
-    if (Chance(50)) SlowStore();
+    if (Chance(50)) SlowDownStore();
     constexpr int kSteps = 80;
     for (int i = 0; i < kSteps; ++i) {
-      SubmitSome(1 + Pick(3));
-      if (Chance(30)) Fault();
-      Pass(Millis(50 + Pick(250)));
+      SubmitJobs(1 + Pick(3));
+      if (Chance(30)) InjectFault();
+      RunCallersFor(Millis(50 + Pick(250)));
     }
     Heal();
-    // Callers go on until each knows what became of its job.
+    // Callers continue until each of them knows the outcome of its job.
     constexpr int kLastSteps = 20;
-    for (int i = 0; i < kLastSteps; ++i) Pass(Millis(200));
+    for (int i = 0; i < kLastSteps; ++i) RunCallersFor(Millis(200));
     CheckInvariants(cell_);
     CheckCancels();
-    CheckDenied();
-    Count();
+    CheckReportedUnknown();
+    AddToTotals();
   }
 
  private:
-  /// A job of one caller: where it stands with it.
+  /// A job of one caller, with the state of its submission.
   struct SubmittedJob {
     wire::JobSpec spec;
-    /// Its newest call, among the cell's.
+    /// Index of its latest call among the calls of the cell.
     size_t call = 0;
-    TimePoint again_at{};
-    bool settled = false;
+    TimePoint retry_at{};
+    bool resolved = false;
   };
 
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
-  std::string SomeEntry() {
+  std::string RandomEntry() {
     const auto names = cell_.names();
     return names[Pick(names.size())];
   }
   TimePoint Now() { return cell_.clock().now(); }
 
-  void SubmitSome(uint64_t count) {
+  void SubmitJobs(uint64_t count) {
     for (uint64_t i = 0; i < count; ++i) {
       const JobId id = 0xace0000 + submitted_jobs_.size();
       SubmittedJob job;
@@ -270,86 +276,89 @@
       cell_.upstreams().behavior({id, 0, 0, 0}).run_time =
           Millis(50 + Pick(600));
       submitted_jobs_.push_back(job);
-      Send(submitted_jobs_.back());
+      SendSubmit(submitted_jobs_.back());
     }
   }
 
-  void Send(SubmittedJob& job) {
+  void SendSubmit(SubmittedJob& job) {
     job.call = cell_.calls().size();
-    job.again_at = {};
-    denied_.erase(static_cast<JobId>(job.spec.id));
-    cell_.Submit(SomeEntry(), job.spec);
+    job.retry_at = {};
+    reported_unknown_.erase(static_cast<JobId>(job.spec.id));
+    cell_.Submit(RandomEntry(), job.spec);
   }
 
-  /// Time goes on, and callers look at their answers.
-  void Pass(Millis span) {
+  /// Advances the time while callers process their answers.
+  void RunCallersFor(Millis span) {
     const TimePoint until = Now() + span;
     constexpr Millis kStep{25};
     while (Now() < until) {
       cell_.RunFor(kStep);
-      if (cell_.store().faults().append_latency > kQuick) {
+      if (cell_.store().faults().append_latency > kUsualLatency) {
         cell_.upstreams().RecordFault();
       }
-      for (SubmittedJob& job : submitted_jobs_) Look(job);
-      NoteCancels();
-      NoteDenied();
-      if (Chance(3)) CancelSome();
+      for (SubmittedJob& job : submitted_jobs_) ProcessAnswer(job);
+      RecordCancelled();
+      RecordReportedUnknown();
+      if (Chance(3)) CancelRandomJob();
     }
   }
 
-  void Look(SubmittedJob& job) {
-    if (job.again_at != TimePoint{}) {
-      if (Now() >= job.again_at) SubmitAgain(job);
+  void ProcessAnswer(SubmittedJob& job) {
+    if (job.retry_at != TimePoint{}) {
+      if (Now() >= job.retry_at) Resubmit(job);
       return;
     }
-    if (job.settled) return;
+    if (job.resolved) return;
     const CallerCall& call = cell_.calls()[job.call];
-    const bool silent =
-        call.answers == 0 && Now() - call.sent > kCallerPatience;
+    const bool timed_out =
+        call.answers == 0 && Now() - call.sent > kCallerTimeout;
     const bool unknown =
         call.answers > 0 && call.verdict == JobVerdict::kUnknown;
-    if (call.connection_lost || unknown || silent) {
-      job.again_at = Now() + Millis(Pick(300));
+    if (call.connection_lost || unknown || timed_out) {
+      job.retry_at = Now() + Millis(Pick(300));
     } else if (call.answers > 0) {
-      Settle(job, call.verdict);
+      HandleVerdict(job, call.verdict);
     }
   }
 
-  void Settle(SubmittedJob& job, JobVerdict verdict) {
-    job.settled = true;
+  void HandleVerdict(SubmittedJob& job, JobVerdict verdict) {
+    job.resolved = true;
     const bool done = verdict == JobVerdict::kDone;
     if (done) CheckStored(cell_, static_cast<JobId>(job.spec.id));
-    // A repeat comes seconds after the answer, or the caller tries once more.
-    if (done && Chance(10)) job.again_at = Now() + Millis(Pick(5000));
+    // The caller repeats an accepted job seconds after the answer, or retries a
+    // refused one.
+    if (done && Chance(10)) job.retry_at = Now() + Millis(Pick(5000));
     if (done || Chance(40)) return;
-    job.settled = false;
-    job.again_at = Now() + Millis(300 + Pick(1500));
+    job.resolved = false;
+    job.retry_at = Now() + Millis(300 + Pick(1500));
   }
 
-  void SubmitAgain(SubmittedJob& job) {
+  void Resubmit(SubmittedJob& job) {
     const auto id = static_cast<JobId>(job.spec.id);
-    const bool ran_unasked = cell_.refused(id) && cell_.upstreams().HasRun(id);
-    BOOST_CHECK_MESSAGE(!ran_unasked, "refused, and ran: " << JobIdText(id));
-    Send(job);
+    const bool ran_although_refused =
+        cell_.refused(id) && cell_.upstreams().HasRun(id);
+    BOOST_CHECK_MESSAGE(!ran_although_refused,
+                        "refused but ran: " << JobIdText(id));
+    SendSubmit(job);
   }
 
-  /// All clients return at once, each with what it has no answer to.
-  void ReturnAtOnce() {
+  /// All callers reconnect at once, and each resubmits its unanswered jobs.
+  void ResubmitAllAtOnce() {
     for (SubmittedJob& job : submitted_jobs_) {
-      if (!job.settled) Send(job);
+      if (!job.resolved) SendSubmit(job);
     }
-    SubmitSome(10);
+    SubmitJobs(10);
   }
 
-  void CancelSome() {
+  void CancelRandomJob() {
     const SubmittedJob& job = submitted_jobs_[Pick(submitted_jobs_.size())];
     cancels_.push_back(cell_.calls().size());
-    cell_.Cancel(SomeEntry(), static_cast<JobId>(job.spec.id));
+    cell_.Cancel(RandomEntry(), static_cast<JobId>(job.spec.id));
   }
 
-  /// Whether a call that hands the job in may have had an effect after this
-  /// call for cancelling it was answered.
-  bool HandInOpen(size_t cancel) const {
+  /// Whether a call that submits the job may have taken effect after the given
+  /// cancel was answered.
+  bool SubmitMayTakeEffectAfter(size_t cancel) const {
     const auto& calls = cell_.calls();
     const JobId id = calls[cancel].job;
     for (size_t i = 0; i < calls.size(); ++i) {
@@ -361,62 +370,66 @@
     return false;
   }
 
-  /// Keeps what was denied to a caller who asked for cancelling it: it starts
-  /// no more until it is handed in again.
-  void NoteDenied() {
+  /// Records jobs whose cancel was answered "no such job": such a job must not
+  /// start until it is submitted again.
+  void RecordReportedUnknown() {
     std::erase_if(cancels_, [this](size_t at) {
       const CallerCall& call = cell_.calls()[at];
       if (call.answers == 0) return call.connection_lost;
-      const bool denied = call.verdict == JobVerdict::kNoSuchJob;
-      if (denied && !HandInOpen(at)) {
-        denied_[call.job] = cell_.upstreams().Starts({call.job, 0, 0, 0});
+      const bool reported_unknown = call.verdict == JobVerdict::kNoSuchJob;
+      if (reported_unknown && !SubmitMayTakeEffectAfter(at)) {
+        reported_unknown_[call.job] =
+            cell_.upstreams().Starts({call.job, 0, 0, 0});
       }
       return true;
     });
   }
 
-  void CheckDenied() {
-    tally.denied += static_cast<int64_t>(denied_.size());
-    for (const auto& [id, starts] : denied_) {
+  void CheckReportedUnknown() {
+    totals.reported_unknown += static_cast<int64_t>(reported_unknown_.size());
+    for (const auto& [id, starts] : reported_unknown_) {
       BOOST_CHECK_MESSAGE(
           cell_.upstreams().Starts({id, 0, 0, 0}) == starts,
-          "denied on its cancel, and started: " << JobIdText(id));
+          "reported unknown on cancel but started: " << JobIdText(id));
     }
   }
 
-  /// Keeps which jobs were told to be cancelled before a run of them had ended.
-  void NoteCancels() {
+  /// Records jobs that were acknowledged as cancelled before any run of theirs
+  /// had completed.
+  void RecordCancelled() {
     for (const SubmittedJob& job : submitted_jobs_) {
       const auto id = static_cast<JobId>(job.spec.id);
-      if (!cell_.cancelled(id) || !told_cancelled_.insert(id).second) continue;
+      if (!cell_.cancelled(id)) continue;
+      if (!acknowledged_cancels_.insert(id).second) continue;
       if (cell_.upstreams().DoneRuns({id, 0, 0, 0}) > 0) continue;
-      cancelled_for_good_.insert(id);
+      cancelled_before_completion_.insert(id);
     }
   }
 
   void CheckCancels() {
-    for (const JobId id : cancelled_for_good_) {
+    for (const JobId id : cancelled_before_completion_) {
       BOOST_CHECK_MESSAGE(
           cell_.State(id) == JobState::kCancelled,
-          "told to be cancelled, and is not: " << JobIdText(id));
+          "acknowledged as cancelled but is not: " << JobIdText(id));
     }
   }
 
-  void Count() {
-    ++tally.days;
+  void AddToTotals() {
+    ++totals.scenarios;
     for (const SubmittedJob& job : submitted_jobs_) {
       const auto id = static_cast<JobId>(job.spec.id);
-      tally.accepted += cell_.accepted(id) ? 1 : 0;
-      tally.refused += cell_.refused(id) ? 1 : 0;
+      totals.accepted += cell_.accepted(id) ? 1 : 0;
+      totals.refused += cell_.refused(id) ? 1 : 0;
     }
     for (const CallerCall& call : cell_.calls()) {
-      tally.connection_lost += call.connection_lost ? 1 : 0;
-      tally.repeats += call.kind == CallKind::kSubmit ? 1 : 0;
+      totals.connection_lost += call.connection_lost ? 1 : 0;
+      totals.repeats += call.kind == CallKind::kSubmit ? 1 : 0;
     }
-    tally.repeats -= static_cast<int64_t>(submitted_jobs_.size());
-    tally.cancelled += static_cast<int64_t>(cancelled_for_good_.size());
-    tally.terms += cell_.entry(cell_.Leader())->leadership().term();
-    tally.out_of_order += cell_.store().out_of_order();
+    totals.repeats -= static_cast<int64_t>(submitted_jobs_.size());
+    totals.cancelled +=
+        static_cast<int64_t>(cancelled_before_completion_.size());
+    totals.terms += cell_.entry(cell_.Leader())->leadership().term();
+    totals.out_of_order += cell_.store().out_of_order();
   }
 
   void Restart(const std::string& name) {
@@ -430,7 +443,7 @@
     });
   }
 
-  /// An entry loses its office in one of several ways.
+  /// Takes the leadership from an entry in one of several ways.
   void Depose(const std::string& name) {
     switch (Pick(5)) {
       case 0:
@@ -450,55 +463,58 @@
         if (cell_.entry(name) == nullptr) return;
         cell_.entry(name)->BeginShutdown();
         stopping_.insert(name);
-        RestartLater(name, kShutdown);
+        RestartLater(name, kShutdownTime);
     }
   }
 
   std::string AwaitLeader() {
-    const TimePoint until = Now() + kLeaderWait;
-    while (cell_.Leader().empty() && Now() < until) cell_.RunFor(kLeaderLook);
+    const TimePoint until = Now() + kLeaderWaitLimit;
+    while (cell_.Leader().empty() && Now() < until) {
+      cell_.RunFor(kLeaderPollInterval);
+    }
     return cell_.Leader();
   }
 
-  /// Each next leader loses its office before it has loaded, or just after.
-  void DeposeInSeries() {
+  /// Each successive leader loses leadership before or just after it has loaded
+  /// the stored state.
+  void DeposeSuccessiveLeaders() {
     const uint64_t times = 2 + Pick(3);
     for (uint64_t i = 0; i < times; ++i) {
       const std::string leader = AwaitLeader();
       if (leader.empty()) return;
       cell_.RunFor(Millis(Pick(120)));
       Depose(leader);
-      SubmitSome(Pick(3));
+      SubmitJobs(Pick(3));
     }
   }
 
-  void LoseAll() {
+  void RestartAll() {
     for (const std::string& name : cell_.names()) cell_.Kill(name);
     cell_.RunFor(Millis(300 + Pick(1200)));
     for (const std::string& name : cell_.names()) Restart(name);
     cell_.RunFor(Millis(Pick(800)));
-    ReturnAtOnce();
+    ResubmitAllAtOnce();
     if (!Chance(50)) return;
     AwaitLeader();
     cell_.RunFor(Millis(Pick(100)));
-    ReturnAtOnce();
+    ResubmitAllAtOnce();
   }
 
-  void SlowStore() {
+  void SlowDownStore() {
     StoreFaults& store = cell_.store().faults();
     store.append_latency = Millis(60 + Pick(Chance(30) ? 940 : 240));
     store.jitter = Millis(150 + Pick(500));
     store.refused_percent = Chance(30) ? Pick(30) : 0;
   }
 
-  void QuickStore() {
+  void RestoreStoreSpeed() {
     StoreFaults& store = cell_.store().faults();
-    store.append_latency = kQuick;
+    store.append_latency = kUsualLatency;
     store.jitter = Millis(0);
     store.refused_percent = 0;
   }
 
-  void Fault() {
+  void InjectFault() {
     StoreFaults& store = cell_.store().faults();
     const std::string leader = cell_.Leader();
     switch (Pick(13)) {
@@ -506,9 +522,9 @@
       case 1:
       case 2:
       case 3:
-        return SlowStore();
+        return SlowDownStore();
       case 4:
-        return QuickStore();
+        return RestoreStoreSpeed();
       case 5:
         store.drop_replies = static_cast<int>(Pick(4));
         return;
@@ -518,7 +534,7 @@
         return;
       case 7:
         store.partitioned_entries.insert(
-            leader.empty() || Chance(50) ? SomeEntry() : leader);
+            leader.empty() || Chance(50) ? RandomEntry() : leader);
         return;
       case 8:
         store.partitioned_entries.clear();
@@ -528,9 +544,9 @@
         store.down = Chance(50);
         return;
       case 10:
-        return Chance(40) ? LoseAll() : DeposeInSeries();
+        return Chance(40) ? RestartAll() : DeposeSuccessiveLeaders();
       default:
-        return Depose(leader.empty() ? SomeEntry() : leader);
+        return Depose(leader.empty() ? RandomEntry() : leader);
     }
   }
 
@@ -545,26 +561,26 @@
     }
   }
 
-  static constexpr Millis kQuick{4};
+  static constexpr Millis kUsualLatency{4};
 
   std::mt19937_64 random_;
   JobCell cell_{{}};
   std::vector<SubmittedJob> submitted_jobs_;
-  std::set<JobId> told_cancelled_;
-  std::set<JobId> cancelled_for_good_;
-  /// Calls for cancelling without an answer yet.
+  std::set<JobId> acknowledged_cancels_;
+  std::set<JobId> cancelled_before_completion_;
+  /// Indexes of cancels that are not yet answered.
   std::vector<size_t> cancels_;
-  /// Jobs that were denied, and how often they had started by then.
-  std::map<JobId, int> denied_;
-  /// Entries that were told to stop and have not been started again.
+  /// Jobs reported unknown on a cancel, and their number of starts by then.
+  std::map<JobId, int> reported_unknown_;
+  /// Entries that are shutting down and have not been restarted.
   std::set<std::string> stopping_;
   bool healed_ = false;
 };
 
-/// Callers hand in a job at a follower every few milliseconds.
-void HandInFor(JobCell& cell, JobId first, Millis span, Millis run_time) {
+/// Submits a job at a follower every 20 ms.
+void SubmitJobsFor(JobCell& cell, JobId first, Millis span, Millis run_time) {
   constexpr Millis kGap{20};
-  const std::string entry = SomeFollower(cell, cell.Leader());
+  const std::string entry = AnyFollower(cell, cell.Leader());
   for (Millis passed{0}; passed < span; passed += kGap) {
     cell.upstreams().behavior({first, 0, 0, 0}).run_time = run_time;
     cell.Submit(entry, OneStepJob(first++, 1, kMillicores));
@@ -573,14 +589,14 @@
 }
 
 void AwaitLeader(JobCell& cell) {
-  const TimePoint until = cell.clock().now() + kLeaderWait;
+  const TimePoint until = cell.clock().now() + kLeaderWaitLimit;
   while (cell.Leader().empty() && cell.clock().now() < until) {
-    cell.RunFor(kLeaderLook);
+    cell.RunFor(kLeaderPollInterval);
   }
   BOOST_REQUIRE(!cell.Leader().empty());
 }
 
-/// The leader is gone and another one's turn has come; it may load still.
+/// Kills the leader and waits for the next one, which may still be loading.
 void ReplaceLeader(JobCell& cell) {
   cell.Kill(cell.Leader());
   AwaitLeader(cell);
@@ -590,64 +606,69 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Guards against answers that a change of leaders or a bad store makes untrue.
-BOOST_DATA_TEST_CASE(RepliesToCallersStayTrueUnderFaults,
+/// Guards against answers to callers that a change of leader or a faulty store
+/// later makes wrong.
+BOOST_DATA_TEST_CASE(RepliesToCallersHoldUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
-  FaultScenario day(seed);
-  BOOST_TEST_CONTEXT("seed " << seed) { day.Play(); }
+  FaultScenario scenario(seed);
+  BOOST_TEST_CONTEXT("seed " << seed) { scenario.Play(); }
 }
 
-/// The days above do what they are for.
+/// The scenarios above cover enough of each outcome and fault.
 BOOST_AUTO_TEST_CASE(FaultScenariosInjectEnoughFaults) {
-  BOOST_TEST_MESSAGE("days " << tally.days << ", accepted " << tally.accepted
-                             << ", refused " << tally.refused << ", cancelled "
-                             << tally.cancelled << ", denied " << tally.denied
-                             << ", repeats " << tally.repeats << ", broken off "
-                             << tally.connection_lost << ", terms "
-                             << tally.terms << ", appends out of order "
-                             << tally.out_of_order);
-  BOOST_TEST(tally.accepted >= 100 * tally.days);
-  BOOST_TEST(tally.refused >= 2 * tally.days);
-  BOOST_TEST(tally.cancelled >= tally.days);
-  BOOST_TEST(tally.denied >= tally.days);
-  BOOST_TEST(tally.repeats >= 20 * tally.days);
-  BOOST_TEST(tally.connection_lost >= 10 * tally.days);
-  BOOST_TEST(tally.terms >= 6 * tally.days);
-  BOOST_TEST(tally.out_of_order >= tally.days);
+  BOOST_TEST_MESSAGE("scenarios "
+                     << totals.scenarios << ", accepted " << totals.accepted
+                     << ", refused " << totals.refused << ", cancelled "
+                     << totals.cancelled << ", reported unknown "
+                     << totals.reported_unknown << ", repeats "
+                     << totals.repeats << ", connections lost "
+                     << totals.connection_lost << ", terms " << totals.terms
+                     << ", appends out of order " << totals.out_of_order);
+  BOOST_TEST(totals.accepted >= 100 * totals.scenarios);
+  BOOST_TEST(totals.refused >= 2 * totals.scenarios);
+  BOOST_TEST(totals.cancelled >= totals.scenarios);
+  BOOST_TEST(totals.reported_unknown >= totals.scenarios);
+  BOOST_TEST(totals.repeats >= 20 * totals.scenarios);
+  BOOST_TEST(totals.connection_lost >= 10 * totals.scenarios);
+  BOOST_TEST(totals.terms >= 6 * totals.scenarios);
+  BOOST_TEST(totals.out_of_order >= totals.scenarios);
 }
 
-/// Guards against accepted jobs lost with an append that is overtaken.
-BOOST_AUTO_TEST_CASE(OvertakenFirstAppendOfTermLosesNoJob) {
-  constexpr Millis kUsual{75};
-  constexpr Millis kLong{700};
+/// Guards against losing accepted jobs when a later append overtakes the first
+/// append of a leader's term.
+BOOST_AUTO_TEST_CASE(OvertakenFirstAppendOfTermLosesNoAcceptedJob) {
+  constexpr Millis kUsualDelay{75};
+  constexpr Millis kLongDelay{700};
   JobCell cell({});
   cell.RunFor(kStartupTime);
   StoreFaults& store = cell.store().faults();
-  store.append_latency = 2 * kUsual;
+  store.append_latency = 2 * kUsualDelay;
   cell.Kill(cell.Leader());
-  store.append_request_delays[kJobTable] = {kUsual, kLong, kUsual};
+  store.append_request_delays[kJobTable] = {kUsualDelay, kLongDelay,
+                                            kUsualDelay};
   AwaitLeader(cell);
-  HandInFor(cell, 0xfa0000, Millis(2000), Millis(5000));
+  SubmitJobsFor(cell, 0xfa0000, Millis(2000), Millis(5000));
   store = {};
   const std::set<JobId> accepted = Accepted(cell);
   BOOST_TEST(!accepted.empty());
   for (const JobId id : accepted) CheckStored(cell, id);
-  // What only this leader's memory holds goes with it.
+  // State held only in this leader's memory is lost with it.
   ReplaceLeader(cell);
   CheckInvariants(cell);
 }
 
-/// Guards against a second run, or no answer, when a leader dies storing.
-BOOST_AUTO_TEST_CASE(AJobStoredByALeaderThatDiesIsAccepted) {
+/// Guards against a second run or a missing answer when a leader dies after
+/// storing a job and before answering its caller.
+BOOST_AUTO_TEST_CASE(JobStoredByDyingLeaderIsAccepted) {
   constexpr JobId kJob = 0xfb0000;
   JobCell cell({});
   cell.RunFor(kStartupTime);
   cell.store().faults().append_latency = Millis(400);
-  cell.Submit(SomeFollower(cell, cell.Leader()),
+  cell.Submit(AnyFollower(cell, cell.Leader()),
               OneStepJob(kJob, 1, kMillicores));
   const std::string key = coordinator::SpecKey(kJob);
   while (cell.store().Records(kJobTable).count(key) == 0) {
-    cell.RunFor(kLeaderLook);
+    cell.RunFor(kLeaderPollInterval);
   }
   BOOST_REQUIRE(!cell.accepted(kJob));
   ReplaceLeader(cell);
@@ -658,14 +679,15 @@
   BOOST_TEST(cell.upstreams().Starts({kJob, 0, 0, 0}) == 1);
 }
 
-/// Guards against accepted jobs lost with leaders that only loaded.
+/// Guards against losing accepted jobs when a leader is killed or paused while
+/// it still loads the stored state.
 BOOST_AUTO_TEST_CASE(JobsSurviveLeadersThatFailWhileLoading) {
-  constexpr Millis kStandstill{4000};
-  for (const bool wakes : {false, true}) {
-    BOOST_TEST_CONTEXT((wakes ? "stands still" : "killed")) {
+  constexpr Millis kPauseTime{4000};
+  for (const bool resumes : {false, true}) {
+    BOOST_TEST_CONTEXT((resumes ? "paused" : "killed")) {
       JobCell cell({});
       cell.RunFor(kStartupTime);
-      HandInFor(cell, 0xfc0000, Millis(400), Millis(5000));
+      SubmitJobsFor(cell, 0xfc0000, Millis(400), Millis(5000));
       const size_t before = Accepted(cell).size();
       BOOST_REQUIRE(before > 0U);
       cell.store().faults().append_latency = Millis(400);
@@ -673,7 +695,7 @@
       const std::string second = cell.Leader();
       cell.RunFor(Millis(100));
       BOOST_REQUIRE(!cell.entry(second)->leadership().leader_ready());
-      if (wakes) {
+      if (resumes) {
         cell.Pause(second);
         cell.RunFor(Millis(1));
       } else {
@@ -682,8 +704,8 @@
       AwaitLeader(cell);
       const std::string third = cell.Leader();
       BOOST_REQUIRE(third != second);
-      HandInFor(cell, 0xfd0000, Millis(600), Millis(200));
-      cell.RunFor(kStandstill);
+      SubmitJobsFor(cell, 0xfd0000, Millis(600), Millis(200));
+      cell.RunFor(kPauseTime);
       cell.Resume(second);
       cell.store().faults() = {};
       cell.RunFor(kStartupTime);
@@ -693,54 +715,56 @@
   }
 }
 
-/// Guards against a repeat that runs twice with an earlier leader's append.
+/// Guards against a resubmitted job running twice when the append of an earlier
+/// leader takes effect late.
 BOOST_DATA_TEST_CASE(ResubmittedJobRunsOnceDespiteDelayedAppend,
                      boost::unit_test::data::xrange(300, 4200, 300) *
                          boost::unit_test::data::make({false, true}),
-                     late_ms, wakes) {
-  constexpr JobId kRepeated = 0xfe0000;
-  constexpr JobId kUndone = 0xfe0001;
+                     delay_ms, resumes) {
+  constexpr JobId kRepeatedJob = 0xfe0000;
+  constexpr JobId kCancelledJob = 0xfe0001;
   JobCell cell({});
   cell.RunFor(kStartupTime);
   const std::string first = cell.Leader();
-  const std::string entry = SomeFollower(cell, first);
-  const wire::JobSpec repeated = OneStepJob(kRepeated, 1, kMillicores);
-  const wire::JobSpec undone = OneStepJob(kUndone, 1, kMillicores);
-  cell.upstreams().behavior({kUndone, 0, 0, 0}).run_time = Millis(9000);
-  cell.store().faults().append_request_delays[kJobTable] = {Millis(late_ms)};
-  cell.Submit(first, repeated);
-  cell.Submit(first, undone);
+  const std::string entry = AnyFollower(cell, first);
+  const wire::JobSpec repeated_job = OneStepJob(kRepeatedJob, 1, kMillicores);
+  const wire::JobSpec cancelled_job = OneStepJob(kCancelledJob, 1, kMillicores);
+  cell.upstreams().behavior({kCancelledJob, 0, 0, 0}).run_time = Millis(9000);
+  cell.store().faults().append_request_delays[kJobTable] = {Millis(delay_ms)};
+  cell.Submit(first, repeated_job);
+  cell.Submit(first, cancelled_job);
   cell.RunFor(Millis(100));
-  wakes ? cell.Pause(first) : cell.Kill(first);
+  resumes ? cell.Pause(first) : cell.Kill(first);
   cell.RunFor(Millis(1));
   AwaitLeader(cell);
   BOOST_REQUIRE(cell.Leader() != first);
-  cell.Submit(entry, repeated);
-  cell.Submit(entry, undone);
+  cell.Submit(entry, repeated_job);
+  cell.Submit(entry, cancelled_job);
   cell.RunFor(Millis(800));
-  BOOST_TEST(cell.accepted(kRepeated));
-  BOOST_TEST(cell.accepted(kUndone));
-  cell.Cancel(entry, kUndone);
-  cell.RunFor(Millis(late_ms));
-  BOOST_TEST(cell.cancelled(kUndone));
+  BOOST_TEST(cell.accepted(kRepeatedJob));
+  BOOST_TEST(cell.accepted(kCancelledJob));
+  cell.Cancel(entry, kCancelledJob);
+  cell.RunFor(Millis(delay_ms));
+  BOOST_TEST(cell.cancelled(kCancelledJob));
   cell.Resume(first);
   cell.RunFor(kStartupTime);
   CheckInvariants(cell);
-  BOOST_TEST((cell.State(kUndone) == JobState::kCancelled));
-  BOOST_TEST(cell.upstreams().Starts({kRepeated, 0, 0, 0}) == 1);
+  BOOST_TEST((cell.State(kCancelledJob) == JobState::kCancelled));
+  BOOST_TEST(cell.upstreams().Starts({kRepeatedJob, 0, 0, 0}) == 1);
 }
 
-/// Guards against a job that is denied, as it was stored late, and then runs.
+/// Guards against a job that is answered "no such job" because its record was
+/// stored late, and that runs afterwards.
 BOOST_DATA_TEST_CASE(NewLeaderLoadsRecordsStoredBeforeItsFence,
-                     boost::unit_test::data::xrange(1000, 1600, 20), late_ms) {
+                     boost::unit_test::data::xrange(1000, 1600, 20), delay_ms) {
   constexpr JobId kJob = 0xff0000;
-  constexpr Millis kFence{150};
+  constexpr Millis kFenceDelay{150};
   JobCell cell({});
   cell.RunFor(kStartupTime);
   const std::string first = cell.Leader();
   cell.upstreams().behavior({kJob, 0, 0, 0}).run_time = Millis(9000);
-  cell.store().faults().append_request_delays[kJobTable] = {Millis(late_ms),
-                                                            kFence};
+  cell.store().faults().append_request_delays[kJobTable] = {Millis(delay_ms),
+                                                            kFenceDelay};
   cell.Submit(first, OneStepJob(kJob, 1, kMillicores));
   cell.RunFor(Millis(30));
   cell.Pause(first);
