--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -1,5 +1,6 @@
-// What is left of a job that was cancelled, or that ended otherwise, is found
-// where it runs and stopped, whoever started it and whenever that took effect.
+// Tests that the remaining runs of a job that was cancelled or ended otherwise
+// are found on their upstreams and stopped, regardless of which entry started
+// them and when the start took effect.
 
 #define BOOST_TEST_MODULE cancel
 #include <boost/test/data/monomorphic.hpp>
@@ -14,39 +15,39 @@
 namespace mimosarail::jobsim {
 namespace {
 
-/// Seeds that failed once, with what was seen. They stay.
-/// 181 to 887: a run was taken over, or started late, after its job had been
-/// cancelled, and the leader waited for the end of a stop that nobody had
-/// ordered; or a stop was lost and the leader waited as long again.
-/// 374: a cancel was answered "no such job" after the job, handed in a moment
+/// Seeds that have failed before, kept as regression cases.
+/// 181 to 887: a run was adopted, or started late, after its job had been
+/// cancelled, and the leader waited for the end of a stop that had never been
+/// ordered; or a stop was lost and the leader waited for as long again.
+/// 374: a cancel was answered "no such job" after the job, submitted a moment
 /// later, had been accepted.
-const std::vector<uint64_t> kFailedOnce{181, 277, 352, 374, 425, 444, 490,
-                                        521, 608, 624, 653, 738, 752, 887};
-constexpr uint64_t kFreshSeeds = 60;
-/// Renewals and stops as slow as the slowest upstreams have them.
-constexpr Millis kSlowLook{1000};
-constexpr Millis kSlowStop{900};
-/// Leases of what an upstream runs last this long without a renewal.
+const std::vector<uint64_t> kRegressionSeeds{181, 277, 352, 374, 425, 444, 490,
+                                             521, 608, 624, 653, 738, 752, 887};
+constexpr uint64_t kDefaultSeedCount = 60;
+/// Long-poll wait of renewals and stop time of the slowest upstreams.
+constexpr Millis kLongPollWait{1000};
+constexpr Millis kStopTime{900};
+/// Time until the lease of a run expires without a renewal.
 constexpr Millis kLease{4000};
 
 uint64_t SeedCount() {
   const char* text = std::getenv("MIMOSARAIL_SEEDS");
-  return text == nullptr ? kFreshSeeds : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? kDefaultSeedCount : std::strtoull(text, nullptr, 10);
 }
 
 std::vector<uint64_t> Seeds() {
-  std::vector<uint64_t> out = kFailedOnce;
+  std::vector<uint64_t> out = kRegressionSeeds;
   for (uint64_t seed = 0; seed < SeedCount(); ++seed) out.push_back(seed);
   return out;
 }
 
-/// A cell whose upstreams are slow to tell and to stop.
+/// A cell whose upstreams are slow to report and to stop runs.
 class SlowCell : public JobCell {
  public:
   SlowCell() : JobCell({}) {
     for (const auto& id : upstreams().ids()) {
-      upstreams().faults(id).long_poll_wait = kSlowLook;
-      upstreams().faults(id).stop_time = kSlowStop;
+      upstreams().faults(id).long_poll_wait = kLongPollWait;
+      upstreams().faults(id).stop_time = kStopTime;
     }
     RunFor(Millis(2000));
   }
@@ -57,21 +58,22 @@
   std::string Follower() {
     return Leader() == "entry-0" ? "entry-1" : "entry-0";
   }
-  /// Hands in a job of one long task; the upstream that runs it.
-  std::string StartLong(JobId id) {
+  /// Submits a job of one long task and returns the upstream that runs it.
+  std::string StartLongJob(JobId id) {
     upstreams().behavior({id, 0, 0, 0}).run_time = Millis(20000);
     Submit(Leader(), OneStepJob(id, 1, 1000));
     RunFor(Millis(100));
     return upstreams().UpstreamRunning({id, 0, 0, 0});
   }
-  /// Hands in such a job, whose start is carried out later than its sender
-  /// waits for; the upstream that it went to.
-  std::string StartLongLate(JobId id, Millis execution_delay) {
+  /// Submits such a job, whose start is executed only after its sender has
+  /// stopped waiting for the reply. Returns the upstream that received the
+  /// start.
+  std::string StartLongJobLate(JobId id, Millis execution_delay) {
     for (const auto& up : upstreams().ids()) {
       faults(up).delayed_starts = 1;
       faults(up).execution_delay = execution_delay;
     }
-    StartLong(id);
+    StartLongJob(id);
     std::string sent_to;
     for (const auto& up : upstreams().ids()) {
       if (faults(up).delayed_starts == 0) sent_to = up;
@@ -82,38 +84,40 @@
   bool Runs(JobId id) {
     return !upstreams().UpstreamRunning({id, 0, 0, 0}).empty();
   }
-  bool GoneWithin(JobId id, Millis limit) {
+  bool StopsWithin(JobId id, Millis limit) {
     RunFor(limit);
     return !Runs(id);
   }
 };
 
-/// One random day of cancels: entries are restarted, frozen or removed for
-/// good, starts are carried out 2 to 12 s late, stops are lost, upstreams are
-/// cut off and leave the list and come back. What is cancelled is checked all
-/// the while by the fakes.
+/// Plays one random schedule of cancels: entries are restarted, paused or
+/// removed permanently, starts are executed 2 to 12 s late, stops are lost, and
+/// upstreams become unreachable or leave the upstream list and return. The
+/// fakes check throughout that cancelled jobs stop.
 class CancelSchedule {
  public:
   explicit CancelSchedule(uint64_t seed) : random_(seed) {}
 
   void Play() {
     for (const auto& id : cell_.upstreams().ids()) {
-      listed_[id] = cell_.store().Records(kUpstreamTable).at(id);
+      list_records_[id] = cell_.store().Records(kUpstreamTable).at(id);
       cell_.upstreams().faults(id).long_poll_wait = Millis(50 + Pick(950));
       cell_.upstreams().faults(id).stop_time = Millis(100 + Pick(800));
     }
     cell_.RunFor(Millis(2000));
     constexpr int kSteps = 60;
     for (int i = 0; i < kSteps; ++i) {
-      SubmitOne();
-      if (Chance(50)) cell_.Cancel(SomeEntry(), jobs_[Pick(jobs_.size())]);
-      if (Chance(35)) Fault();
-      // Now and then it is calm for long enough that bounds can be told.
-      cell_.RunFor(Chance(8) ? Calm() : Millis(50 + Pick(400)));
+      SubmitRandomJob();
+      if (Chance(50)) cell_.Cancel(RandomEntry(), jobs_[Pick(jobs_.size())]);
+      if (Chance(35)) InjectFault();
+      // Some periods without faults are long enough for the time bounds to be
+      // checked.
+      cell_.RunFor(Chance(8) ? StartPeriodWithoutFaults()
+                             : Millis(50 + Pick(400)));
     }
     Heal();
     cell_.RunFor(Millis(6000));
-    for (const JobId id : jobs_) cell_.Cancel(SomeEntry(), id);
+    for (const JobId id : jobs_) cell_.Cancel(RandomEntry(), id);
     cell_.RunFor(Millis(9000));
     Check();
   }
@@ -121,24 +125,24 @@
  private:
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
-  Millis Calm() {
+  Millis StartPeriodWithoutFaults() {
     Heal();
     return Millis(4500);
   }
 
-  std::string SomeEntry() {
-    std::vector<std::string> left;
+  std::string RandomEntry() {
+    std::vector<std::string> remaining;
     for (const auto& name : cell_.names()) {
-      if (name != removed_) left.push_back(name);
+      if (name != removed_) remaining.push_back(name);
     }
-    return left[Pick(left.size())];
+    return remaining[Pick(remaining.size())];
   }
-  std::string SomeUpstream() {
+  std::string RandomUpstream() {
     const auto ids = cell_.upstreams().ids();
     return ids[Pick(ids.size())];
   }
 
-  void SubmitOne() {
+  void SubmitRandomJob() {
     const JobId id = 0xcac0000 + jobs_.size();
     wire::JobSpec spec =
         OneStepJob(id, 1 + static_cast<int32_t>(Pick(3)),
@@ -149,14 +153,14 @@
       behavior.failing_runs = Chance(4) ? 1 : 0;
     }
     jobs_.push_back(id);
-    cell_.Submit(SomeEntry(), spec);
+    cell_.Submit(RandomEntry(), spec);
   }
 
-  void Fault() {
+  void InjectFault() {
     const std::string leader = cell_.Leader();
     const std::string entry =
-        Chance(50) && !leader.empty() ? leader : SomeEntry();
-    const std::string upstream = SomeUpstream();
+        Chance(50) && !leader.empty() ? leader : RandomEntry();
+    const std::string upstream = RandomUpstream();
     UpstreamFaults& faults = cell_.upstreams().faults(upstream);
     switch (Pick(9)) {
       case 0:
@@ -182,15 +186,15 @@
         faults.unreachable = Chance(60);
         return;
       case 7:
-        return List(upstream, Chance(50));
+        return SetListed(upstream, Chance(50));
       default:
         cell_.store().faults().drop_replies = static_cast<int>(Pick(3));
     }
   }
 
-  void List(const std::string& upstream, bool listed) {
+  void SetListed(const std::string& upstream, bool listed) {
     cell_.store().Put(kUpstreamTable, upstream,
-                      listed ? listed_.at(upstream) : "");
+                      listed ? list_records_.at(upstream) : "");
   }
 
   void Heal() {
@@ -200,7 +204,7 @@
       UpstreamFaults& faults = cell_.upstreams().faults(id);
       faults = {.long_poll_wait = faults.long_poll_wait,
                 .stop_time = faults.stop_time};
-      List(id, true);
+      SetListed(id, true);
     }
   }
 
@@ -211,21 +215,21 @@
         if (!cell_.cancelled(id)) continue;
         const std::string where =
             cell_.upstreams().UpstreamRunning({id, 0, 0, i});
-        BOOST_CHECK_MESSAGE(where.empty(), "cancelled and runs on "
+        BOOST_CHECK_MESSAGE(where.empty(), "cancelled but still runs on "
                                                << where << ": "
                                                << JobIdText(id));
       }
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
       BOOST_CHECK_MESSAGE(state && IsFinal(*state),
-                          "accepted and never ended: " << JobIdText(id));
+                          "accepted but never finished: " << JobIdText(id));
     }
   }
 
   std::mt19937_64 random_;
   JobCell cell_{{}};
   std::vector<JobId> jobs_;
-  std::map<std::string, std::string> listed_;
+  std::map<std::string, std::string> list_records_;
   std::string removed_;
 };
 
@@ -238,13 +242,14 @@
   BOOST_TEST_CONTEXT("seed " << seed) { CancelSchedule(seed).Play(); }
 }
 
-/// A user cancels a render and sees it use its machine for 4 s more. Its leader
-/// was lost, and the next one was asked to cancel before it could reach the
-/// upstream. When it did, it took the run for its own and for told to stop, and
-/// waited for an end that nobody had ordered.
-BOOST_AUTO_TEST_CASE(ARunFoundAfterItsCancelIsStoppedAtOnce) {
+/// A cancelled job occupies its machine for another 4 s. Its leader was lost,
+/// and the next leader received the cancel before it could reach the upstream.
+/// Once it reached the upstream, it adopted the run as one that it had already
+/// ordered to stop, and waited for the end of a stop that had never been
+/// ordered.
+BOOST_AUTO_TEST_CASE(RunFoundAfterItsCancelIsStoppedAtOnce) {
   SlowCell cell;
-  const std::string at = cell.StartLong(1);
+  const std::string at = cell.StartLongJob(1);
   BOOST_REQUIRE(!at.empty());
   const std::string first = cell.Leader();
   const std::string other = cell.Follower();
@@ -255,30 +260,31 @@
   BOOST_REQUIRE(cell.cancelled(1));
   cell.faults(at).unreachable = false;
   BOOST_TEST(cell.Runs(1));
-  BOOST_TEST(cell.GoneWithin(1, Millis(1700)));
+  BOOST_TEST(cell.StopsWithin(1, Millis(1700)));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A user cancels a render, and the stop is lost on its way. The leader had
-/// noted the stop only when the next report listed the run, and waited from
-/// then on: the task ran for 4 s more.
-BOOST_AUTO_TEST_CASE(ALostStopIsRepeatedAfterTheNextReport) {
+/// A job is cancelled, and the stop of its run is lost on its way. The leader
+/// recorded the stop only when the next report listed the run, and waited from
+/// then on: the task ran for another 4 s.
+BOOST_AUTO_TEST_CASE(LostStopIsRepeatedAfterNextReport) {
   SlowCell cell;
-  const std::string at = cell.StartLong(2);
+  const std::string at = cell.StartLongJob(2);
   BOOST_REQUIRE(!at.empty());
   cell.faults(at).drop_stops = 1;
   cell.Cancel(cell.Follower(), 2);
-  BOOST_TEST(cell.GoneWithin(2, Millis(2900)));
+  BOOST_TEST(cell.StopsWithin(2, Millis(2900)));
   BOOST_TEST(cell.cancelled(2));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A job is cancelled while the answer to its start is awaited. The upstream is
-/// cut off meanwhile, so that neither the stop nor the higher fence gets there,
-/// and carries the start out 2 s late. It is stopped with the first report.
+/// A job is cancelled while the reply to its start is pending. The upstream is
+/// unreachable meanwhile, so that neither the stop nor the higher fence
+/// arrives, and executes the start 2 s late. The run is stopped upon the first
+/// report that lists it.
 BOOST_AUTO_TEST_CASE(DelayedStartOfCancelledJobIsStopped) {
   SlowCell cell;
-  const std::string at = cell.StartLongLate(3, Millis(2000));
+  const std::string at = cell.StartLongJobLate(3, Millis(2000));
   BOOST_REQUIRE(!at.empty());
   cell.faults(at).unreachable = true;
   cell.Cancel(cell.Follower(), 3);
@@ -286,19 +292,20 @@
   BOOST_REQUIRE(cell.cancelled(3));
   BOOST_TEST(cell.Runs(3));
   cell.faults(at).unreachable = false;
-  BOOST_TEST(cell.GoneWithin(3, Millis(1700)));
+  BOOST_TEST(cell.StopsWithin(3, Millis(1700)));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An entry sends a start and is removed for good; the start is carried out 2 s
-/// later, after the job was cancelled at the next leader, who never ordered it
-/// and cannot reach the upstream until then. Found in the upstream's list, the
-/// run is stopped, and one line and one count tell of it.
-BOOST_AUTO_TEST_CASE(ALateStartOfARemovedEntryIsStopped) {
+/// An entry sends a start and is removed permanently. The start is executed 2 s
+/// later, after the job was cancelled at the next leader, which never ordered
+/// the start and cannot reach the upstream until then. When the upstream's
+/// inventory lists the run, the leader stops it, logs one line and counts it
+/// once.
+BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsStopped) {
   SlowCell cell;
   const std::string first = cell.Leader();
   const std::string other = cell.Follower();
-  const std::string at = cell.StartLongLate(4, Millis(2000));
+  const std::string at = cell.StartLongJobLate(4, Millis(2000));
   BOOST_REQUIRE(!at.empty());
   cell.faults(at).unreachable = true;
   cell.Kill(first);
@@ -307,35 +314,37 @@
   BOOST_REQUIRE(cell.cancelled(4));
   BOOST_TEST(cell.Runs(4));
   cell.faults(at).unreachable = false;
-  BOOST_TEST(cell.GoneWithin(4, Millis(1700)));
+  BOOST_TEST(cell.StopsWithin(4, Millis(1700)));
   const std::string counters = cell.Metrics(cell.Leader());
   BOOST_TEST(counters.find("unasked_runs{why=\"job cancelled\"} 1\n") !=
              std::string::npos);
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The same with an upstream that can be reached: the next leader's first
-/// renewal fences it before the start is carried out, which is then refused.
-BOOST_AUTO_TEST_CASE(ALateStartOfARemovedEntryIsFenced) {
+/// The same with a reachable upstream: the first renewal of the next leader
+/// raises the upstream's fence before the start is executed, so that the start
+/// is refused.
+BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsFenced) {
   SlowCell cell;
   const std::string first = cell.Leader();
   const std::string other = cell.Follower();
-  BOOST_REQUIRE(!cell.StartLongLate(5, Millis(3500)).empty());
+  BOOST_REQUIRE(!cell.StartLongJobLate(5, Millis(3500)).empty());
   cell.Kill(first);
   cell.Cancel(other, 5);
   cell.RunFor(Millis(8000));
   BOOST_TEST(cell.cancelled(5));
   BOOST_TEST(!cell.Runs(5));
-  // At most the one that the next leader ordered before it was asked to cancel.
+  // At most the start that the next leader ordered before it received the
+  // cancel.
   BOOST_TEST(cell.upstreams().starts() <= 1);
   BOOST_TEST(cell.Violations().empty());
 }
 
 /// A cancel is acknowledged, and the leader is lost before its stop arrives.
-/// The next one reads the cancel from the store and stops what runs.
+/// The next leader loads the cancel from the store and stops the run.
 BOOST_AUTO_TEST_CASE(CancelSurvivesLeaderFailure) {
   SlowCell cell;
-  const std::string at = cell.StartLong(6);
+  const std::string at = cell.StartLongJob(6);
   BOOST_REQUIRE(!at.empty());
   cell.faults(at).drop_stops = 1;
   const std::string first = cell.Leader();
@@ -343,17 +352,17 @@
   for (int i = 0; i < 100 && !cell.cancelled(6); ++i) cell.RunFor(Millis(1));
   BOOST_REQUIRE(cell.cancelled(6));
   cell.Kill(first);
-  BOOST_TEST(cell.GoneWithin(6, Millis(3900)));
+  BOOST_TEST(cell.StopsWithin(6, Millis(3900)));
   cell.RunFor(Millis(6000));
   BOOST_TEST(cell.upstreams().starts() == 1);
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A cancelled job is forgotten after a while. Should an upstream then tell of
-/// a run of it, the run is stopped like any that nobody asked for.
-BOOST_AUTO_TEST_CASE(ARunOfAForgottenJobIsStopped) {
+/// The record of a cancelled job is removed after a while. If an upstream then
+/// reports a run of that job, the run is stopped like any orphaned run.
+BOOST_AUTO_TEST_CASE(RunOfRemovedJobIsStopped) {
   SlowCell cell;
-  const std::string at = cell.StartLong(7);
+  const std::string at = cell.StartLongJob(7);
   BOOST_REQUIRE(!at.empty());
   cell.Cancel(cell.Follower(), 7);
   cell.RunFor(Millis(20000));
@@ -366,15 +375,15 @@
                           .lease_until_ms = now + kLease.count(),
                           .fence = cell.upstreams().fence(at)});
   BOOST_REQUIRE(cell.Runs(7));
-  BOOST_TEST(cell.GoneWithin(7, kSlowLook + kSlowStop + Millis(100)));
+  BOOST_TEST(cell.StopsWithin(7, kLongPollWait + kStopTime + Millis(100)));
   const std::string counters = cell.Metrics(cell.Leader());
   BOOST_TEST(counters.find("unasked_runs{why=\"job cancelled\"} 1\n") !=
              std::string::npos);
 }
 
-/// A job is cancelled before any room was there for it; nothing of it starts
-/// when there is room, nor under a next leader.
-BOOST_AUTO_TEST_CASE(AJobCancelledBeforeItsStartNeverRuns) {
+/// A job is cancelled while there is no free capacity for it. No task of it
+/// starts when capacity becomes free, nor under the next leader.
+BOOST_AUTO_TEST_CASE(JobCancelledBeforeItsStartNeverRuns) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({8, 0, 0, 0}).run_time = Millis(3000);
@@ -393,24 +402,26 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An upstream leaves the list while it runs a task, and the leader is lost.
-/// The next one knows the upstream from its own record and stops the task.
-BOOST_AUTO_TEST_CASE(ARunOnAnUpstreamOffTheListIsStopped) {
+/// An upstream leaves the upstream list while it runs a task, and the leader is
+/// lost. The next leader knows the upstream from the registry of upstreams and
+/// stops the task.
+BOOST_AUTO_TEST_CASE(RunOnUnlistedUpstreamIsStopped) {
   SlowCell cell;
-  const std::string at = cell.StartLong(10);
+  const std::string at = cell.StartLongJob(10);
   BOOST_REQUIRE(!at.empty());
   cell.store().Put(kUpstreamTable, at, "");
   cell.RunFor(Millis(500));
   const std::string other = cell.Follower();
   cell.Kill(cell.Leader());
   cell.Cancel(other, 10);
-  BOOST_TEST(cell.GoneWithin(10, Millis(3900)));
+  BOOST_TEST(cell.StopsWithin(10, Millis(3900)));
   BOOST_TEST(cell.cancelled(10));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A task of a job fails for good, and the stop of its other one is lost. The
-/// job is shown as failed, and what is left of it ends all the same.
+/// One task of a job fails permanently, and the stop of the other task is lost.
+/// The job is reported as failed, and its remaining run is stopped
+/// nevertheless.
 BOOST_AUTO_TEST_CASE(RemainingTasksOfFailedJobAreStopped) {
   SlowCell cell;
   cell.upstreams().behavior({11, 0, 0, 0}).run_time = Millis(20000);
@@ -423,18 +434,18 @@
   cell.faults(at).drop_stops = 1;
   BOOST_REQUIRE(cell.RunUntilFinal(11, Millis(6000)));
   BOOST_TEST((cell.State(11) == JobState::kFailed));
-  BOOST_TEST(cell.GoneWithin(11, Millis(2900)));
+  BOOST_TEST(cell.StopsWithin(11, Millis(2900)));
 }
 
-/// Callers are refused for a second, over and over, while an upstream's entry
-/// lapses and comes back. Its fence had been raised for a start in doubt; the
-/// leader opened it anew with its first token, took the refusal for another
-/// leader's and gave its office up.
+/// Callers are refused for a second repeatedly while the list entry of an
+/// upstream expires and returns. The upstream's fence had been raised for a
+/// start in doubt. The leader reopened the link with its first token,
+/// attributed the refusal to another leader and resigned.
 BOOST_AUTO_TEST_CASE(ReturningUpstreamDoesNotDeposeLeader) {
   SlowCell cell;
   for (const auto& id : cell.upstreams().ids())
     cell.faults(id).drop_start_replies = 1;
-  const std::string at = cell.StartLong(12);
+  const std::string at = cell.StartLongJob(12);
   BOOST_REQUIRE(!at.empty());
   for (const auto& id : cell.upstreams().ids())
     cell.faults(id).drop_start_replies = 0;
@@ -455,32 +466,33 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A user is told that there is no such job, takes it for cancelled, and it
-/// runs for 20 s. The entry asked had led and stood still; it woke up with what
-/// it knew before, while another had taken the job and led.
+/// A caller's cancel is answered "no such job", and the job runs for another 20
+/// s. The entry that received the cancel was the leader and was paused. It
+/// resumed with outdated state, while another entry had become the leader and
+/// accepted the job.
 BOOST_AUTO_TEST_CASE(FormerLeaderDoesNotReportJobAsUnknown) {
   SlowCell cell;
-  const std::string frozen = cell.Leader();
+  const std::string paused = cell.Leader();
   // The successor's announcement is lost.
-  cell.SetIsolated(frozen, true);
-  cell.Pause(frozen);
+  cell.SetIsolated(paused, true);
+  cell.Pause(paused);
   for (int i = 0; i < 400 && cell.Leader().empty(); ++i) {
     cell.RunFor(Millis(10));
   }
-  BOOST_REQUIRE(cell.Leader() != frozen);
-  BOOST_REQUIRE(!cell.StartLong(13).empty());
-  cell.SetIsolated(frozen, false);
-  cell.Resume(frozen);
-  cell.Cancel(frozen, 13);
+  BOOST_REQUIRE(cell.Leader() != paused);
+  BOOST_REQUIRE(!cell.StartLongJob(13).empty());
+  cell.SetIsolated(paused, false);
+  cell.Resume(paused);
+  cell.Cancel(paused, 13);
   cell.RunFor(Millis(4500));
   BOOST_TEST(cell.cancelled(13));
   BOOST_TEST(!cell.Runs(13));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A caller hands a job in and cancels it at another entry at the same time.
-/// The cancel came first and found no such job; by the time that its caller
-/// heard so, the job had been accepted, and it ran for 20 s.
+/// A caller submits a job and cancels it at another entry at the same time. The
+/// cancel arrived first and found no such job. By the time the caller received
+/// that answer, the job had been accepted, and it ran for 20 s.
 BOOST_AUTO_TEST_CASE(CancelConcurrentWithSubmitIsNotReportedAsUnknown) {
   SlowCell cell;
   cell.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
@@ -494,9 +506,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A report waits for ever beside an idle upstream. The answer to a renewal had
-/// been overtaken by a later one: it still listed a task whose end had been
-/// told meanwhile, and what it listed was taken to hold its room.
+/// A job waits forever although an upstream is idle. The reply to a renewal was
+/// overtaken by a later one: it still listed a task whose end had been reported
+/// meanwhile, and the leader kept the resources of that task reserved.
 BOOST_AUTO_TEST_CASE(OutdatedRenewReplyHoldsNoCapacity) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
@@ -506,7 +518,7 @@
   cell.Submit("entry-0", OneStepJob(15, 1, 4000));
   cell.RunFor(Millis(1400));
   faults.delayed_renew_replies = 1;
-  // Its start is in doubt after 0.7 s, and a second renewal goes out.
+  // Its start is in doubt after 0.7 s, and a second renewal is sent.
   faults.drop_start_replies = 1;
   cell.Submit("entry-0", OneStepJob(16, 1, 1000));
   cell.RunFor(Millis(3000));
