--- a/tests/crashing_tasks_test.cc
+++ b/tests/crashing_tasks_test.cc
@@ -15,45 +15,46 @@
 
 constexpr Millis kStartupTime{2000};
 /// A crashing task takes its upstream down this long after its start.
-constexpr Millis kCrash{10};
-/// Six starts in a row, each after the upstream's next life has answered, take
-/// 20 s.
-constexpr Millis kLong{40000};
-/// Crashes under a task after which it may be given up.
-constexpr int kMayBeGivenUp = 2;
-constexpr uint64_t kSeeds = 20;
+constexpr Millis kCrashDelay{10};
+/// Leaves time for six starts in a row, which take 20 s: each one waits until
+/// the replacement of the crashed upstream has answered.
+constexpr Millis kObservationTime{40000};
+/// Number of crashes under a task from which the task may fail permanently.
+constexpr int kMinCrashesToFail = 2;
+constexpr uint64_t kDefaultSeedCount = 20;
 
 std::vector<uint64_t> Seeds() {
   const char* text = std::getenv("MIMOSARAIL_SEEDS");
   const uint64_t count =
-      text == nullptr ? kSeeds : std::strtoull(text, nullptr, 10);
+      text == nullptr ? kDefaultSeedCount : std::strtoull(text, nullptr, 10);
   std::vector<uint64_t> out(count);
   std::iota(out.begin(), out.end(), 1);
   return out;
 }
 
-void MakeCrash(JobCell& cell, const TaskId& task, Millis after = kCrash) {
+void MakeCrash(JobCell& cell, const TaskId& task, Millis after = kCrashDelay) {
   cell.upstreams().behavior(task).crash_delay = after;
 }
 
-void CheckGivenUp(JobCell& cell, JobId id) {
+void CheckFailedPermanently(JobCell& cell, JobId id) {
   const auto state = cell.State(id);
   BOOST_TEST((state && *state == JobState::kFailed));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// The upstream that runs the task, once one does; empty if none does in 10 s.
+/// Waits until an upstream runs the task and returns it; empty if none does
+/// within 10 s.
 std::string AwaitRun(JobCell& cell, const TaskId& task) {
-  constexpr int kLooks = 200;
+  constexpr int kMaxPolls = 200;
   std::string at;
-  for (int look = 0; look < kLooks && at.empty(); ++look) {
+  for (int poll = 0; poll < kMaxPolls && at.empty(); ++poll) {
     cell.RunFor(Millis(50));
     at = cell.upstreams().UpstreamRunning(task);
   }
   return at;
 }
 
-/// Harmless jobs, one after another, beside what a test is about.
+/// Submits harmless jobs one after another beside the job under test.
 class Callers {
  public:
   explicit Callers(JobCell& cell) : cell_(cell) {}
@@ -84,8 +85,9 @@
   std::vector<JobId> jobs_;
 };
 
-/// A random day: jobs of all kinds, of which some crash their upstreams, while
-/// upstreams crash for reasons of their own or are cut off, and leaders die.
+/// Plays one random scenario: jobs of all kinds are submitted, some of which
+/// crash their upstreams, while upstreams crash for other reasons or become
+/// unreachable, and leaders are restarted.
 class FaultScenario {
  public:
   explicit FaultScenario(uint64_t seed, CellOptions options = {.upstreams = 10})
@@ -95,19 +97,19 @@
     cell_.RunFor(kStartupTime);
     constexpr int kSteps = 120;
     for (int i = 0; i < kSteps; ++i) {
-      SubmitSome();
-      if (Chance(10)) Fault();
+      SubmitRandomJob();
+      if (Chance(10)) InjectFault();
       cell_.RunFor(Millis(50 + Pick(250)));
     }
     for (const auto& id : cell_.upstreams().ids()) {
       cell_.upstreams().faults(id) = {};
     }
-    cell_.RunFor(kLong);
+    cell_.RunFor(kObservationTime);
     Check();
   }
 
  private:
-  struct Handed {
+  struct SubmittedJob {
     wire::JobSpec spec;
     bool crashes = false;
   };
@@ -115,7 +117,7 @@
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
 
-  void SubmitSome() {
+  void SubmitRandomJob() {
     const JobId id = 0x100 + jobs_.size();
     const auto tasks = static_cast<int32_t>(1 + Pick(4));
     wire::JobSpec spec = OneStepJob(id, tasks, 2000, Chance(25));
@@ -134,7 +136,7 @@
     cell_.Submit("entry-" + std::to_string(Pick(4)), spec);
   }
 
-  void Fault() {
+  void InjectFault() {
     const auto ids = cell_.upstreams().ids();
     const std::string& upstream = ids[Pick(ids.size())];
     const std::string leader = cell_.Leader();
@@ -155,91 +157,94 @@
       if (!cell_.accepted(id)) continue;
       const auto state = cell_.State(id);
       BOOST_CHECK_MESSAGE(state && IsFinal(*state),
-                          "accepted and never ended: " << JobIdText(id));
+                          "accepted but never finished: " << JobIdText(id));
       if (!state || *state != JobState::kFailed) continue;
       int crashes = 0;
       for (int32_t i = 0; i < job.spec.steps[0].tasks; ++i) {
         crashes = std::max(crashes, cell_.upstreams().Crashes({id, 0, 0, i}));
       }
-      BOOST_CHECK_MESSAGE(crashes >= kMayBeGivenUp,
-                          "failed without cause: " << JobIdText(id));
+      BOOST_CHECK_MESSAGE(crashes >= kMinCrashesToFail,
+                          "failed without a cause: " << JobIdText(id));
     }
   }
 
   std::mt19937_64 random_;
   JobCell cell_;
-  std::map<JobId, Handed> jobs_;
+  std::map<JobId, SubmittedJob> jobs_;
 };
 
 }  // namespace
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Callers of other jobs saw their work lost again and again, and a part check
-/// that never ended: both of its tasks crash the upstream that starts them,
-/// 10 ms after the start. The leader learns of the crash when the next life
-/// answers at the address, 3 s later, and starts them on another upstream, for
-/// as long as the day lasts. Cause: a run that is lost with its upstream goes
-/// back to waiting as if it had never been. Evidence: six starts 3.2 to 3.6 s
-/// apart under one leader, attempts numbered in turn, no failure counted.
-BOOST_AUTO_TEST_CASE(ATaskThatCrashesItsUpstreamsIsGivenUp) {
+/// A job never ends, and callers of other jobs lose their work repeatedly: both
+/// tasks of the job crash the upstream that starts them, 10 ms after the start.
+/// The leader learns of the crash when the replacement answers at the address 3
+/// s later, and starts the tasks on another upstream, without end. Cause: a run
+/// that is lost with its upstream returns to waiting as if it had never
+/// started. The fault shows as six starts 3.2 to 3.6 s apart under one leader,
+/// with consecutive attempt numbers and no failure counted.
+BOOST_AUTO_TEST_CASE(TaskThatCrashesItsUpstreamsFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   MakeCrash(cell, {1, 0, 0, 1});
   Callers callers(cell);
   cell.Submit("entry-0", OneStepJob(1, 2, 1000));
-  callers.RunFor(kLong);
+  callers.RunFor(kObservationTime);
   cell.RunFor(Millis(10000));
-  CheckGivenUp(cell, 1);
+  CheckFailedPermanently(cell, 1);
   callers.CheckAllComplete();
 }
 
-/// The upstream's next life comes when its entry has left the list and its
-/// leases have run out: its silence was all that could be seen until then.
-BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatAreLongAwayAreCounted) {
+/// The replacement of the upstream appears only after its list entry has been
+/// removed and its leases have expired. Until then, the only sign of the crash
+/// is that the upstream does not respond.
+BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsReplacedLateAreCounted) {
   JobCell cell({.upstreams = 16, .replacement_delay = Millis(7000)});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(kLong + kLong);
-  CheckGivenUp(cell, 1);
+  cell.RunFor(kObservationTime + kObservationTime);
+  CheckFailedPermanently(cell, 1);
 }
 
-/// The next life comes at another address: nothing ever answers at the old one.
+/// The replacement appears at another address: nothing ever answers at the old
+/// one.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatNeverAnswerAgainAreCounted) {
   JobCell cell({.upstreams = 16, .replacement_at_new_address = true});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(kLong + kLong);
-  CheckGivenUp(cell, 1);
+  cell.RunFor(kObservationTime + kObservationTime);
+  CheckFailedPermanently(cell, 1);
 }
 
-/// One member of a gang crashes its upstream; the others end with it.
-BOOST_AUTO_TEST_CASE(AGangWithACrashingMemberIsGivenUp) {
+/// One member of a gang crashes its upstream; the other members end with it.
+BOOST_AUTO_TEST_CASE(GangWithCrashingMemberFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 2});
   cell.Submit("entry-0", OneStepJob(1, 4, 5000, true));
-  cell.RunFor(kLong);
-  CheckGivenUp(cell, 1);
+  cell.RunFor(kObservationTime);
+  CheckFailedPermanently(cell, 1);
 }
 
-/// A task that lasts has no bound of failures, and is given up all the same.
-BOOST_AUTO_TEST_CASE(ALastingTaskThatCrashesItsUpstreamsIsGivenUp) {
+/// A long-running task has no limit of failures, but fails permanently
+/// nevertheless.
+BOOST_AUTO_TEST_CASE(LongRunningTaskThatCrashesItsUpstreamsFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   wire::JobSpec spec = OneStepJob(1, 2, 1000);
   spec.steps[0].lasting = true;
   cell.Submit("entry-0", spec);
-  cell.RunFor(kLong);
-  CheckGivenUp(cell, 1);
+  cell.RunFor(kObservationTime);
+  CheckFailedPermanently(cell, 1);
 }
 
 /// An occurrence of a timed job crashes its upstreams.
-BOOST_AUTO_TEST_CASE(ATimedTaskThatCrashesItsUpstreamsIsGivenUp) {
+BOOST_AUTO_TEST_CASE(TimedTaskThatCrashesItsUpstreamsFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 1, 0, 0});
@@ -248,25 +253,25 @@
   spec.first_due_ms = 1;
   spec.interval_ms = 1000;
   cell.Submit("entry-0", spec);
-  cell.RunFor(kLong);
-  CheckGivenUp(cell, 1);
+  cell.RunFor(kObservationTime);
+  CheckFailedPermanently(cell, 1);
 }
 
-/// Its upstreams crash when it has worked for a while: what is lost with each
-/// was heard of before.
-BOOST_AUTO_TEST_CASE(ATaskThatCrashesItsUpstreamsLateIsGivenUp) {
+/// The upstreams crash after the task has run for a while, so that each lost
+/// run was reported before the crash.
+BOOST_AUTO_TEST_CASE(TaskThatCrashesItsUpstreamsLateFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(5000);
   MakeCrash(cell, {1, 0, 0, 0}, Millis(1500));
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(kLong);
-  CheckGivenUp(cell, 1);
+  cell.RunFor(kObservationTime);
+  CheckFailedPermanently(cell, 1);
 }
 
-/// The leader dies after each crash, before the next life of the upstream
-/// answers: what a leader has counted must outlast it.
-BOOST_AUTO_TEST_CASE(CrashesAreCountedOverTakeOvers) {
+/// The leader dies after each crash, before the replacement of the upstream
+/// answers: the crashes that a leader has counted must survive it.
+BOOST_AUTO_TEST_CASE(CrashesAreCountedAcrossTakeovers) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   const TaskId task{1, 0, 0, 0};
@@ -277,47 +282,47 @@
     cell.RunFor(Millis(100));
     if (cell.upstreams().Crashes(task) == crashes) continue;
     crashes = cell.upstreams().Crashes(task);
-    // The first crash is seen by the leader under which it happened.
+    // The first crash is observed by the leader under which it happened.
     if (crashes == 1) continue;
     const std::string leader = cell.Leader();
     if (leader.empty()) continue;
     cell.Restart(leader);
   }
   cell.RunFor(Millis(10000));
-  CheckGivenUp(cell, 1);
+  CheckFailedPermanently(cell, 1);
 }
 
-/// Tasks that do no harm are lost beside one that does, start anew in the same
-/// moment, and must not be given up with it.
+/// Harmless tasks are lost along with a crashing one and restart at the same
+/// moment. They must not fail permanently with it.
 BOOST_AUTO_TEST_CASE(TasksLostBesideACrashingTaskAreRetried) {
   JobCell cell({.upstreams = 3, .millicores = 16000});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
-  constexpr JobId kBeside = 8;
-  for (JobId id = 2; id < 2 + kBeside; ++id) {
+  constexpr JobId kHarmlessJobs = 8;
+  for (JobId id = 2; id < 2 + kHarmlessJobs; ++id) {
     cell.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(3000);
   }
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  for (JobId id = 2; id < 2 + kBeside; ++id) {
+  for (JobId id = 2; id < 2 + kHarmlessJobs; ++id) {
     cell.Submit("entry-0", OneStepJob(id, 1, 1000));
   }
-  cell.RunFor(kLong);
-  CheckGivenUp(cell, 1);
-  for (JobId id = 2; id < 2 + kBeside; ++id) {
+  cell.RunFor(kObservationTime);
+  CheckFailedPermanently(cell, 1);
+  for (JobId id = 2; id < 2 + kHarmlessJobs; ++id) {
     BOOST_TEST((cell.State(id) == JobState::kComplete));
   }
 }
 
-/// An upstream that is cut off runs on and has not crashed: a task that was on
-/// several of them is not given up.
-BOOST_AUTO_TEST_CASE(UpstreamsThatAreCutOffDoNotCount) {
+/// An unreachable upstream keeps running and has not crashed: a task that ran
+/// on several of them must not fail permanently.
+BOOST_AUTO_TEST_CASE(UnreachableUpstreamsAreNotCountedAsCrashed) {
   JobCell cell({.upstreams = 8});
   cell.RunFor(kStartupTime);
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(3000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  constexpr int kCuts = 5;
-  for (int i = 0; i < kCuts; ++i) {
+  constexpr int kInterruptions = 5;
+  for (int i = 0; i < kInterruptions; ++i) {
     const std::string at = AwaitRun(cell, task);
     BOOST_REQUIRE(!at.empty());
     cell.upstreams().faults(at).unreachable = true;
@@ -329,16 +334,16 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Upstreams that have said that they leave end with what they run: no crash,
+/// Draining upstreams end together with their runs. This is not a crash,
 /// however often it happens to one task.
-BOOST_AUTO_TEST_CASE(UpstreamsThatSaidThatTheyLeaveDoNotCount) {
+BOOST_AUTO_TEST_CASE(DrainingUpstreamsAreNotCountedAsCrashed) {
   JobCell cell({.upstreams = 8});
   cell.RunFor(kStartupTime);
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(2000);
   cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  constexpr int kLeaving = 5;
-  for (int i = 0; i < kLeaving; ++i) {
+  constexpr int kDrains = 5;
+  for (int i = 0; i < kDrains; ++i) {
     const std::string at = AwaitRun(cell, task);
     BOOST_REQUIRE(!at.empty());
     wire::UpstreamRecord entry = cell.ListEntryOf(at);
@@ -352,22 +357,22 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Days of crashes for all causes: none of a crashing task's starts is one too
-/// many, and nothing fails without a cause.
-BOOST_DATA_TEST_CASE(CrashingTasksAreGivenUpUnderMixedFaults,
+/// Scenarios with crashes of all causes: no crashing task starts too often, and
+/// no job fails without a cause.
+BOOST_DATA_TEST_CASE(CrashingTasksFailPermanentlyUnderMixedFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario(seed).Play();
 }
 
-/// The same, with upstreams that are away for longer than their leases and
-/// their entries last.
-BOOST_DATA_TEST_CASE(CrashesWithLongAbsences,
+/// The same, with upstreams that are replaced only after their leases and list
+/// entries have expired.
+BOOST_DATA_TEST_CASE(CrashesAreCountedWhenReplacementIsLate,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario(seed, {.upstreams = 16, .replacement_delay = Millis(6000)})
       .Play();
 }
 
-/// The same, with next lives that never answer at the old address.
+/// The same, with replacements that never answer at the old address.
 BOOST_DATA_TEST_CASE(CrashesAreCountedWhenReplacementHasNewAddress,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario(seed, {.upstreams = 16, .replacement_at_new_address = true})
