--- a/tests/malformed_records_test.cc
+++ b/tests/malformed_records_test.cc
@@ -1,5 +1,5 @@
-// Whole entry instances that read what another writer has left in the store or
-// says as a peer.
+// Tests whole entry instances that read malformed records of an external writer
+// from the store, or get malformed messages from a peer.
 
 #define BOOST_TEST_MODULE malformed_records
 #include <boost/test/unit_test.hpp>
@@ -15,10 +15,11 @@
 constexpr const char* kJobTable = "jobs";
 constexpr const char* kLeaderTable = "leaders";
 constexpr const char* kLeaderKey = "leader";
-const std::string kNoise = "\xff\xfe\x01";
+const std::string kMalformedBytes = "\xff\xfe\x01";
 
-/// What the leader has counted of entries that it can't use.
-bool CountedBadEntries(JobCell& cell, const std::string& of, int times) {
+/// Whether the leader's counter of malformed records of this kind has this
+/// value.
+bool HasMalformedRecordCount(JobCell& cell, const std::string& of, int times) {
   const std::string line =
       "bad_entries{of=\"" + of + "\"} " + std::to_string(times) + "\n";
   return cell.Metrics(cell.Leader()).find(line) != std::string::npos;
@@ -50,34 +51,34 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Another writer puts entries into the list that nobody can read, again and
-/// again, while jobs run. The jobs go on; nobody calls what the entries name;
-/// each is told once, though the list is read four times a second and the
-/// entries come anew.
+/// An external writer repeatedly puts unreadable entries into the upstream list
+/// while jobs run. The jobs continue, the upstreams named by these entries are
+/// not called, and each entry is reported once, although the list is read four
+/// times a second and the entries are written anew.
 BOOST_AUTO_TEST_CASE(MalformedListEntriesDoNotAffectOthers) {
   JobCell cell({});
-  cell.store().Put(kUpstreamTable, "up-bad", kNoise);
-  cell.store().Put(kUpstreamTable, kNoise, kNoise);
+  cell.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
+  cell.store().Put(kUpstreamTable, kMalformedBytes, kMalformedBytes);
   cell.RunFor(Millis(2000));
   for (JobId id = 1; id <= 8; ++id) {
     cell.Submit("entry-1", OneStepJob(id, 2, 2000));
-    cell.store().Put(kUpstreamTable, "up-bad", kNoise);
+    cell.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
     cell.RunFor(Millis(300));
   }
   for (JobId id = 1; id <= 8; ++id) {
     BOOST_TEST(cell.RunUntilFinal(id, Millis(10000)));
   }
   BOOST_TEST(!cell.upstreams().WasCalled("up-bad"));
-  BOOST_TEST(CountedBadEntries(cell, "upstream list", 2));
+  BOOST_TEST(HasMalformedRecordCount(cell, "upstream list", 2));
   cell.store().DropHistory();
   cell.RunFor(Millis(1000));
-  BOOST_TEST(CountedBadEntries(cell, "upstream list", 2));
+  BOOST_TEST(HasMalformedRecordCount(cell, "upstream list", 2));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The entry of an upstream that runs a task turns bad. Its task is neither
-/// lost nor run a second time; nothing new starts there until a later entry can
-/// be read, and then it is used again.
+/// The list entry of an upstream that runs a task becomes malformed. The task
+/// is neither lost nor run a second time. Nothing new starts on the upstream
+/// until a readable entry follows; then the upstream is used again.
 BOOST_AUTO_TEST_CASE(UpstreamKeepsTasksWhenItsListEntryBecomesMalformed) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
@@ -85,10 +86,10 @@
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
   BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
-  cell.store().Put(kUpstreamTable, "up-0", kNoise);
+  cell.store().Put(kUpstreamTable, "up-0", kMalformedBytes);
   cell.RunFor(Millis(500));
   cell.Submit("entry-1", OneStepJob(2, 1, 1000));
-  // Longer than any lease: it is renewed all the while.
+  // Longer than any lease: the lease of the running task must be renewed.
   cell.RunFor(Millis(8000));
   BOOST_TEST(cell.accepted(2));
   BOOST_TEST(!cell.upstreams().HasRun(2));
@@ -102,15 +103,16 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The same while the leader is lost: the next one holds the upstream by the
-/// address in the roster and finds the task there; a cancel reaches it.
+/// The same while the leader is lost: the next leader finds the address of the
+/// upstream in the registry of upstreams and the task on the upstream, and a
+/// cancel reaches the task.
 BOOST_AUTO_TEST_CASE(NewLeaderFindsUpstreamWithMalformedListEntry) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
-  cell.store().Put(kUpstreamTable, "up-0", kNoise);
+  cell.store().Put(kUpstreamTable, "up-0", kMalformedBytes);
   cell.RunFor(Millis(300));
   RestartAll(cell);
   cell.RunFor(Millis(9000));
@@ -126,41 +128,42 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An entry of a service that nothing names stands among the others. A call to
-/// it would be one to a stranger, and a new leader would wait 6 s for its
-/// inventory. It is used once a job or the configuration names its pool.
+/// The upstream list contains an entry of a pool that neither a job nor the
+/// configuration names. Calling it would mean calling an unrelated service, and
+/// a new leader would wait 6 s for its inventory. The upstream is used once a
+/// job or the configuration names its pool.
 BOOST_AUTO_TEST_CASE(UpstreamOfUnreferencedPoolIsNotCalled) {
   JobCell cell({.upstreams = 2});
-  wire::UpstreamRecord stranger = cell.ListEntry(7);
-  stranger.pool = "strange";
-  cell.upstreams().Add(stranger.id, 8000, 16000);
-  cell.store().Put(kUpstreamTable, stranger.id, rpc::Encode(stranger));
+  wire::UpstreamRecord unreferenced = cell.ListEntry(7);
+  unreferenced.pool = "strange";
+  cell.upstreams().Add(unreferenced.id, 8000, 16000);
+  cell.store().Put(kUpstreamTable, unreferenced.id, rpc::Encode(unreferenced));
   cell.RunFor(Millis(3000));
-  BOOST_TEST(!cell.upstreams().WasCalled(stranger.id));
-  BOOST_TEST(CountedBadEntries(cell, "upstream list", 1));
+  BOOST_TEST(!cell.upstreams().WasCalled(unreferenced.id));
+  BOOST_TEST(HasMalformedRecordCount(cell, "upstream list", 1));
   wire::JobSpec job = OneStepJob(1, 1, 1000);
   job.queue.pool = "strange";
   cell.Submit("entry-1", job);
   BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  BOOST_TEST(cell.upstreams().WasCalled(stranger.id));
+  BOOST_TEST(cell.upstreams().WasCalled(unreferenced.id));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A configuration that nobody can read follows one that is in force, and comes
-/// in the same read as a good one. What was good is in force, and a later good
-/// one is taken.
+/// An unreadable configuration follows the active one, and another arrives in
+/// the same read as a valid one. The last valid configuration stays active, and
+/// a later valid one is applied.
 BOOST_AUTO_TEST_CASE(MalformedConfigurationKeepsCurrentOne) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   BOOST_TEST(ConfigVersion(cell) == 1);
   for (int i = 0; i < 5; ++i) {
-    cell.store().Put(kConfigTable, "config", kNoise);
+    cell.store().Put(kConfigTable, "config", kMalformedBytes);
     cell.RunFor(Millis(500));
   }
   BOOST_TEST(ConfigVersion(cell) == 1);
-  BOOST_TEST(CountedBadEntries(cell, "configuration", 1));
+  BOOST_TEST(HasMalformedRecordCount(cell, "configuration", 1));
   cell.store().Put(kConfigTable, "config", "2");
-  cell.store().Put(kConfigTable, "config", kNoise);
+  cell.store().Put(kConfigTable, "config", kMalformedBytes);
   cell.RunFor(Millis(500));
   BOOST_TEST(ConfigVersion(cell) == 2);
   cell.store().Put(kConfigTable, "config", "3");
@@ -169,25 +172,27 @@
   for (const auto& name : cell.names()) BOOST_TEST(cell.entry(name)->Ready());
 }
 
-/// Something overwrites the leader's record while it leads. It goes on in its
-/// term and writes its record anew.
+/// An external writer overwrites the record of the current leader. The leader
+/// continues in its term and rewrites its record.
 BOOST_AUTO_TEST_CASE(LeaderRewritesItsOverwrittenRecord) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
   const int64_t term = cell.entry(leader)->leadership().term();
-  cell.store().Put(kLeaderTable, kLeaderKey, kNoise);
+  cell.store().Put(kLeaderTable, kLeaderKey, kMalformedBytes);
   cell.RunFor(Millis(3000));
   BOOST_TEST(cell.Leader() == leader);
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
-  BOOST_TEST(cell.store().Records(kLeaderTable).at(kLeaderKey) != kNoise);
-  BOOST_TEST(CountedBadEntries(cell, "leaders", 1));
+  BOOST_TEST(cell.store().Records(kLeaderTable).at(kLeaderKey) !=
+             kMalformedBytes);
+  BOOST_TEST(HasMalformedRecordCount(cell, "leaders", 1));
 }
 
-/// All entries lose power, and the leader's record can't be read when they are
-/// back, or names what no leader can be. One that started from the first term
-/// again was fenced once for each earlier term, or never claimed at all. The
-/// next leader is above all earlier ones at once, and the job goes on.
+/// All entries lose power, and when they restart, the leader record is
+/// unreadable or names an invalid leader. A leader that started again from the
+/// first term was fenced once for each earlier term, or no entry claimed
+/// leadership at all. The next leader's term must be above all earlier terms at
+/// once, and the job must continue.
 BOOST_AUTO_TEST_CASE(ElectionSucceedsDespiteMalformedLeaderRecord) {
   const auto record = [](int64_t term, const std::string& address) {
     wire::AnnounceCall out;
@@ -197,13 +202,13 @@
     return rpc::Encode(out);
   };
   for (const std::string& bad :
-       {kNoise, std::string("x"), record(0, "stranger:1"),
+       {kMalformedBytes, std::string("x"), record(0, "stranger:1"),
         record(-3, "stranger:1"), record(INT64_MAX, "stranger:1"),
         record(1LL << 53, "stranger:1"), record(1000000, "stranger:1"),
         record(3, "")}) {
     JobCell cell({});
     cell.RunFor(Millis(2000));
-    // Several terms, so that the first is far below the last.
+    // Several terms, so that the first one is far below the last.
     for (int i = 0; i < 8; ++i) {
       cell.Restart(cell.Leader());
       cell.RunFor(Millis(2500));
@@ -227,10 +232,10 @@
 }
 
 /// A record of an accepted job, or of its progress, was written in a form that
-/// this version can't read. The job is neither run, nor forgotten, nor taken
-/// for new when its caller sends it again; its records stay as they are, and
-/// the other jobs run.
-BOOST_AUTO_TEST_CASE(AJobWhoseRecordIsBadIsNeitherLostNorRunTwice) {
+/// this version can't read. The job is not run, not dropped, and not accepted
+/// as new when its caller submits it again. Its records stay unchanged, and the
+/// other jobs run.
+BOOST_AUTO_TEST_CASE(JobWithMalformedRecordIsNeitherLostNorRunTwice) {
   const JobId bad_id = 1;
   const JobId good_id = 2;
   wire::JobSpec empty;
@@ -238,19 +243,19 @@
   wire::JobSpec other = OneStepJob(9, 1, 1000);
   wire::JobSpec huge = OneStepJob(bad_id, 1, 1000);
   huge.steps[0].estimate_ms = INT64_MAX;
-  wire::ProgressRecord odd_state;
-  odd_state.state = 77;
-  wire::ProgressRecord odd_task;
-  odd_task.tasks.emplace_back().task = 5;
+  wire::ProgressRecord unknown_state;
+  unknown_state.state = 77;
+  wire::ProgressRecord unknown_task;
+  unknown_task.tasks.emplace_back().task = 5;
   struct Row {
     char kind;
     std::string value;
   };
   for (const Row& row :
-       {Row{'s', kNoise}, Row{'s', rpc::Encode(empty)},
+       {Row{'s', kMalformedBytes}, Row{'s', rpc::Encode(empty)},
         Row{'s', rpc::Encode(other)}, Row{'s', rpc::Encode(huge)},
-        Row{'p', kNoise}, Row{'p', rpc::Encode(odd_state)},
-        Row{'p', rpc::Encode(odd_task)}}) {
+        Row{'p', kMalformedBytes}, Row{'p', rpc::Encode(unknown_state)},
+        Row{'p', rpc::Encode(unknown_task)}}) {
     JobCell cell({});
     cell.RunFor(Millis(2000));
     for (const JobId id : {bad_id, good_id}) {
@@ -276,24 +281,25 @@
       BOOST_TEST(!cell.cancelled(bad_id));
       BOOST_TEST(!cell.State(bad_id).has_value());
       BOOST_TEST(cell.store().Records(kJobTable).at(key) == row.value);
-      BOOST_TEST(CountedBadEntries(cell, "jobs", 1));
+      BOOST_TEST(HasMalformedRecordCount(cell, "jobs", 1));
       BOOST_TEST(cell.Violations().empty());
     }
   }
 }
 
-/// A task ends while nobody leads, and then its job's record can't be read. The
-/// upstream forgets the end once it is told of; a version that reads the record
-/// again must know of it, or it runs the task a second time. What still runs is
-/// stopped, since nobody knows the room that it takes.
+/// A task ends while there is no leader, and afterwards the record of its job
+/// is unreadable. The upstream discards the result once it has been
+/// acknowledged, so a version that can read the record again must know the
+/// result; otherwise it runs the task a second time. A task that still runs is
+/// stopped, because the resources that it uses are unknown.
 BOOST_AUTO_TEST_CASE(TaskEndsOfJobWithMalformedRecordAreKept) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const TaskId ends{1, 0, 0, 0};
-  const TaskId runs_on{1, 0, 0, 1};
+  const TaskId keeps_running{1, 0, 0, 1};
   const TaskId fails{1, 0, 0, 2};
   cell.upstreams().behavior(ends).run_time = Millis(600);
-  cell.upstreams().behavior(runs_on).run_time = Millis(20000);
+  cell.upstreams().behavior(keeps_running).run_time = Millis(20000);
   cell.upstreams().behavior(fails) = {.run_time = Millis(600),
                                       .failing_runs = 1};
   cell.Submit("entry-1", OneStepJob(1, 3, 1000));
@@ -303,26 +309,26 @@
   cell.RunFor(Millis(1000));
   const std::string key = "s" + JobIdText(1);
   const std::string record = cell.store().Records(kJobTable).at(key);
-  cell.store().Put(kJobTable, key, kNoise);
+  cell.store().Put(kJobTable, key, kMalformedBytes);
   RestartAll(cell);
   cell.RunFor(Millis(12000));
-  BOOST_TEST(cell.upstreams().UpstreamRunning(runs_on) == "");
+  BOOST_TEST(cell.upstreams().UpstreamRunning(keeps_running) == "");
   BOOST_TEST(cell.upstreams().starts() == 3);
   KillAll(cell);
   cell.store().Put(kJobTable, key, record);
-  cell.upstreams().behavior(runs_on).run_time = Millis(500);
+  cell.upstreams().behavior(keeps_running).run_time = Millis(500);
   RestartAll(cell);
   BOOST_TEST(cell.RunUntilFinal(1, Millis(20000)));
   BOOST_TEST(cell.upstreams().DoneRuns(ends) == 1);
-  BOOST_TEST(cell.upstreams().DoneRuns(runs_on) == 1);
+  BOOST_TEST(cell.upstreams().DoneRuns(keeps_running) == 1);
   BOOST_TEST(cell.upstreams().DoneRuns(fails) == 1);
   BOOST_TEST(cell.upstreams().starts() == 5);
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A record of a kind that this version does not know stands beside a job's. It
-/// is told of and left alone; the job runs.
-BOOST_AUTO_TEST_CASE(ARecordOfAnUnknownKindIsLeftAlone) {
+/// The job table contains a record of a kind that this version does not know.
+/// The record is reported and left unchanged; the job runs.
+BOOST_AUTO_TEST_CASE(RecordOfUnknownKindIsLeftUnchanged) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(1500);
@@ -330,20 +336,20 @@
   cell.RunFor(Millis(300));
   KillAll(cell);
   const std::string key = "x" + JobIdText(1);
-  cell.store().Put(kJobTable, key, kNoise);
-  cell.store().Put(kJobTable, "s", kNoise);
+  cell.store().Put(kJobTable, key, kMalformedBytes);
+  cell.store().Put(kJobTable, "s", kMalformedBytes);
   RestartAll(cell);
   BOOST_TEST(cell.RunUntilFinal(1, Millis(9000)));
   BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-  BOOST_TEST(cell.store().Records(kJobTable).at(key) == kNoise);
-  BOOST_TEST(CountedBadEntries(cell, "jobs", 2));
+  BOOST_TEST(cell.store().Records(kJobTable).at(key) == kMalformedBytes);
+  BOOST_TEST(HasMalformedRecordCount(cell, "jobs", 2));
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The roster's record of an upstream that runs a task can't be read, the
-/// upstream is cut off and its entry has lapsed. A new leader that counted on
-/// the rest of the roster would start the task a second time while its lease
-/// still runs there.
+/// The registry record of an upstream that runs a task is unreadable, the
+/// upstream is unreachable, and its list entry has expired. A new leader that
+/// relied on the rest of the registry would start the task a second time while
+/// its lease is still valid on that upstream.
 BOOST_AUTO_TEST_CASE(NewLeaderWaitsOutLeasesOnMalformedRosterRecord) {
   JobCell cell({.upstreams = 2});
   cell.RunFor(Millis(2000));
@@ -355,7 +361,7 @@
   KillAll(cell);
   cell.upstreams().faults(where).unreachable = true;
   cell.store().Put(kUpstreamTable, where, "");
-  cell.store().Put(kJobTable, "u" + where, kNoise);
+  cell.store().Put(kJobTable, "u" + where, kMalformedBytes);
   RestartAll(cell);
   cell.RunFor(Millis(9000));
   BOOST_TEST(cell.upstreams().starts() == 2);
@@ -364,21 +370,21 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A peer names terms that nobody can have, hands in jobs that no entry takes,
-/// and answers with verdicts and states that nobody knows.
+/// A peer sends impossible terms, submits invalid jobs, and answers with
+/// unknown verdicts and states.
 BOOST_AUTO_TEST_CASE(InvalidPeerMessagesAreIgnored) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   const std::string leader = cell.Leader();
   jobentry::JobEntry& entry = *cell.entry(leader);
   const int64_t term = entry.leadership().term();
-  for (const int64_t odd :
+  for (const int64_t invalid_term :
        {INT64_MIN, int64_t{-1}, int64_t{1} << 53, INT64_MAX}) {
-    wire::HeartbeatCall hello;
-    hello.term = odd;
-    entry.OnHeartbeat(hello);
+    wire::HeartbeatCall heartbeat;
+    heartbeat.term = invalid_term;
+    entry.OnHeartbeat(heartbeat);
     wire::AnnounceCall call;
-    call.term = odd;
+    call.term = invalid_term;
     call.leader.address = "stranger:1";
     for (const auto& name : cell.names()) cell.entry(name)->OnAnnounce(call);
   }
