--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -349,7 +349,7 @@
                     (execution_->held() == 0 || attached == 0);
   const bool quiet = idle && (attached == 0 || alone);
   if (!quiet && !late) return;
-  if (late) requests_->GiveUpWaiting("this instance is leaving");
+  if (late) requests_->AbandonWaiting("this instance is leaving");
   if (!cost_->empty() && !late) return cost_->Flush([](bool) {});
   logging::Event(late ? logging::Level::kWarning : logging::Level::kInfo,
                  "left",
--- a/src/instance/lookup.cc
+++ b/src/instance/lookup.cc
@@ -1,6 +1,6 @@
 #include "src/instance/lookup.h"
 
-#include "src/requests/task_words.h"
+#include "src/requests/task_summary.h"
 
 namespace mimosarail::instance {
 namespace {
@@ -99,20 +99,20 @@
     if (over) return job->done(std::move(result));
     return AskOwner(job, result.owner);
   }
-  const requests::WordsSummary words = requests::SummariseWords(job->answers);
-  if (words.done()) {
+  const requests::TaskSummary summary = requests::SummarizeTasks(job->answers);
+  if (summary.done()) {
     return job->done({.state = LookupState::kEnded,
-                      .outcome = requests::DoneOutcome(words)});
+                      .outcome = requests::CombineAnswers(summary)});
   }
-  if (words.running && !over) {
+  if (summary.running && !over) {
     executor_.RunAfter(kAskAgain, [this, job] { AskAll(job); });
     return;
   }
-  if (words.running) {
+  if (summary.running) {
     result.why = "running; its owner is gone";
     return job->done(std::move(result));
   }
-  if (words.broken()) {
+  if (summary.failed()) {
     result.state = LookupState::kEnded;
     result.outcome.verdict = wire::Verdict::kUnknown;
     result.outcome.reason = "it started and did not finish; its owner is gone";
--- a/src/requests/gen/requests_types.cpp
+++ b/src/requests/gen/requests_types.cpp
@@ -143,7 +143,7 @@
 
 int _kTaskEndValues[] = {
   /**
-   * The whole answer is there.
+   * It finished with a complete answer.
    */
   TaskEnd::kDone,
   /**
@@ -151,33 +151,35 @@
    */
   TaskEnd::kFailed,
   /**
-   * The upstream's word: it started, and is gone without an answer.
+   * The upstream reports that it started and no longer exists, without an
+   * answer.
    */
   TaskEnd::kLost,
   /**
-   * It never started and never will.
+   * It never started and cannot start.
    */
   TaskEnd::kNotStarted,
   /**
-   * Stopped on request; it had started.
+   * It was stopped on request after it had started.
    */
   TaskEnd::kStopped,
   /**
-   * The upstream is silent past every lease; only the owner may conclude.
+   * The upstream has been unresponsive for longer than any lease; only the
+   * owner may draw a conclusion.
    */
   TaskEnd::kLapseAssumed,
   /**
-   * Another controller has the upstream now.
+   * Another controller has attached the upstream.
    */
   TaskEnd::kMoved,
   /**
-   * The upstream's word: its lease ran out, and it was ended.
+   * The upstream reports that it ended the task because its lease expired.
    */
   TaskEnd::kLapsed
 };
 const char* _kTaskEndNames[] = {
   /**
-   * The whole answer is there.
+   * It finished with a complete answer.
    */
   "kDone",
   /**
@@ -185,27 +187,29 @@
    */
   "kFailed",
   /**
-   * The upstream's word: it started, and is gone without an answer.
+   * The upstream reports that it started and no longer exists, without an
+   * answer.
    */
   "kLost",
   /**
-   * It never started and never will.
+   * It never started and cannot start.
    */
   "kNotStarted",
   /**
-   * Stopped on request; it had started.
+   * It was stopped on request after it had started.
    */
   "kStopped",
   /**
-   * The upstream is silent past every lease; only the owner may conclude.
+   * The upstream has been unresponsive for longer than any lease; only the
+   * owner may draw a conclusion.
    */
   "kLapseAssumed",
   /**
-   * Another controller has the upstream now.
+   * Another controller has attached the upstream.
    */
   "kMoved",
   /**
-   * The upstream's word: its lease ran out, and it was ended.
+   * The upstream reports that it ended the task because its lease expired.
    */
   "kLapsed"
 };
--- a/src/requests/gen/requests_types.h
+++ b/src/requests/gen/requests_types.h
@@ -81,12 +81,12 @@
 std::string to_string(const PlaceStatus::type& val);
 
 /**
- * How one task of an attempt ended, in the words of its controller.
+ * Result of one task of an attempt, as reported by its controller.
  */
 struct TaskEnd {
   enum type {
     /**
-     * The whole answer is there.
+     * It finished with a complete answer.
      */
     kDone = 0,
     /**
@@ -94,27 +94,29 @@
      */
     kFailed = 1,
     /**
-     * The upstream's word: it started, and is gone without an answer.
+     * The upstream reports that it started and no longer exists, without an
+     * answer.
      */
     kLost = 2,
     /**
-     * It never started and never will.
+     * It never started and cannot start.
      */
     kNotStarted = 3,
     /**
-     * Stopped on request; it had started.
+     * It was stopped on request after it had started.
      */
     kStopped = 4,
     /**
-     * The upstream is silent past every lease; only the owner may conclude.
+     * The upstream has been unresponsive for longer than any lease; only the
+     * owner may draw a conclusion.
      */
     kLapseAssumed = 5,
     /**
-     * Another controller has the upstream now.
+     * Another controller has attached the upstream.
      */
     kMoved = 6,
     /**
-     * The upstream's word: its lease ran out, and it was ended.
+     * The upstream reports that it ended the task because its lease expired.
      */
     kLapsed = 7
   };
@@ -232,11 +234,11 @@
    ::mimosarail::wire::Resources size;
   bool repeatable;
   /**
-   * From submission, 0 for none.
+   * Relative to the submission; 0 for none.
    */
   int64_t deadline_ms;
   /**
-   * Declared by the caller, doubted by us.
+   * Run time as declared by the caller; only an estimate.
    */
   int64_t run_ms;
   bool urgent;
@@ -335,7 +337,7 @@
 } _Treatment__isset;
 
 /**
- * How the first matching rule says to treat a request.
+ * How to treat a request according to the first matching rule.
  */
 class Treatment : public virtual ::apache::thrift::TBase {
  public:
@@ -439,7 +441,7 @@
 } _Outcome__isset;
 
 /**
- * The final word on a request.
+ * The final outcome of a request.
  */
 class Outcome : public virtual ::apache::thrift::TBase {
  public:
@@ -470,7 +472,7 @@
   Verdict::type verdict;
   std::string reason;
   /**
-   * When to ask again; 0 says nothing.
+   * Delay after which the caller may retry; 0 if not specified.
    */
   int64_t retry_after_ms;
   std::string answer;
@@ -557,7 +559,7 @@
 } _AttemptContext__isset;
 
 /**
- * Rebuilds an attempt at a new controller; carried as TaskSpec.context.
+ * Restores an attempt at a new controller; carried as TaskSpec.context.
  */
 class AttemptContext : public virtual ::apache::thrift::TBase {
  public:
@@ -625,7 +627,7 @@
 } _PlaceCall__isset;
 
 /**
- * Asks a controller to start these tasks of an attempt, all or none.
+ * Asks a controller to start all of these tasks of an attempt, or none.
  */
 class PlaceCall : public virtual ::apache::thrift::TBase {
  public:
@@ -645,12 +647,12 @@
   int32_t attempt;
   std::vector<int32_t>  indices;
   /**
-   * Newest heartbeat of the controller that the owner has seen: a call that
-   * was long on its way is told by it and refused.
+   * Latest heartbeat of the controller that the owner has received. It shows
+   * the age of the call, so that a delayed call is refused.
    */
   int64_t heartbeat_seen;
   /**
-   * May take the room that is kept for urgent work.
+   * May use the capacity reserved for urgent work.
    */
   bool use_reserve;
 
@@ -804,7 +806,7 @@
   std::string upstream;
   int64_t owner_incarnation;
   /**
-   * Where the result says nothing of it: the upstream had confirmed the start.
+   * The upstream had confirmed the start; for results that do not imply it.
    */
   bool began;
 
@@ -1006,8 +1008,8 @@
 } _FindCall__isset;
 
 /**
- * Asks an entry what it knows of a request; a positive fence_below also
- * forbids every attempt below it there, for good.
+ * Asks an entry what it knows about a request. A positive fence_below also
+ * makes the entry refuse all attempts with a lower number from then on.
  */
 class FindCall : public virtual ::apache::thrift::TBase {
  public:
@@ -1094,7 +1096,7 @@
   Outcome outcome;
   std::vector<TaskWord>  tasks;
   /**
-   * Upstreams whose inventory this entry has read under its present terms.
+   * Upstreams whose inventory this entry has read under its current terms.
    */
   std::vector<std::string>  attached;
   int32_t fence_below;
@@ -1151,7 +1153,7 @@
 } _SubmitCall__isset;
 
 /**
- * Hands a keyed submission to the entry that owns its key.
+ * Forwards a keyed submission to the entry that owns its key.
  */
 class SubmitCall : public virtual ::apache::thrift::TBase {
  public:
@@ -1358,7 +1360,8 @@
 } _Intent__isset;
 
 /**
- * Claims the right to start a keyed request; the first by offset wins its epoch.
+ * Claims the right to start a keyed request. The intent with the lowest offset
+ * wins its epoch.
  */
 class Intent : public virtual ::apache::thrift::TBase {
  public:
@@ -1479,7 +1482,7 @@
 } _CostLine__isset;
 
 /**
- * What an entry adds up for one rule, revision and team since its last record.
+ * Sums of an entry for one rule, revision and team since its last record.
  */
 class CostLine : public virtual ::apache::thrift::TBase {
  public:
--- a/src/requests/intent_ledger.cc
+++ b/src/requests/intent_ledger.cc
@@ -7,7 +7,7 @@
 namespace mimosarail::requests {
 namespace {
 
-/// Appends that may follow each other without gathering.
+/// Appends that may be sent in a row without waiting for the group commit.
 constexpr double kBurst = 20;
 
 }  // namespace
@@ -17,8 +17,9 @@
   Trim(first_retained);
   for (const wire::Intent& intent : intents) {
     const auto found = winners_.find(intent.request_id);
-    // Two entries may claim the same key because neither has read the other's
-    // record yet. Both see the same order here, so both agree on the first.
+    // Two entries may claim the same key if neither has read the other's record
+    // yet. All entries read the records in the same order and therefore agree
+    // on the winner.
     const bool first = found == winners_.end();
     if (!first && intent.epoch != found->second.intent.epoch + 1) continue;
     winners_[intent.request_id] = {intent, offset};
@@ -69,12 +70,12 @@
 void IntentLedger::Claim(const wire::Intent& intent, Claimed done) {
   const wire::Intent* known = fold_.Find(intent.request_id);
   if (known != nullptr && known->epoch >= intent.epoch) return done(*known);
-  Claiming& claiming = claiming_[intent.request_id];
-  const bool fresh = claiming.done.empty();
-  claiming.done.push_back(std::move(done));
+  PendingClaim& pending = pending_claims_[intent.request_id];
+  const bool fresh = pending.done.empty();
+  pending.done.push_back(std::move(done));
   if (!fresh) return;
-  claiming.intent = intent;
-  claiming.until = executor_.Now() + options_.claim_wait;
+  pending.intent = intent;
+  pending.until = executor_.Now() + options_.claim_wait;
   to_append_.push_back(intent.request_id);
   FlushSoon();
   executor_.RunAfter(options_.claim_wait,
@@ -83,9 +84,9 @@
                      });
 }
 
-/// Intents go out at once while appends are few; under load one append carries
-/// all that came within the group-commit time, so that the entries together
-/// stay below what the log takes.
+/// Sends intents immediately while appends are rare. Under load, one append
+/// carries all intents of a group-commit interval, so that the append rate of
+/// all entries together stays below the limit of the log.
 void IntentLedger::FlushSoon() {
   if (flush_pending_) return;
   flush_pending_ = true;
@@ -95,8 +96,8 @@
   tokens_ = std::min(kBurst, tokens_ + since / step);
   last_flush_ = now;
   tokens_ -= 1;
-  const auto owed = std::chrono::duration_cast<Millis>(-tokens_ * step);
-  executor_.RunAfter(std::max(Millis(0), owed), [this] { Flush(); });
+  const auto delay = std::chrono::duration_cast<Millis>(-tokens_ * step);
+  executor_.RunAfter(std::max(Millis(0), delay), [this] { Flush(); });
 }
 
 void IntentLedger::Flush() {
@@ -104,8 +105,10 @@
   wire::IntentBatch batch;
   const std::vector<std::string> ids = std::exchange(to_append_, {});
   for (const std::string& id : ids) {
-    const auto found = claiming_.find(id);
-    if (found != claiming_.end()) batch.intents.push_back(found->second.intent);
+    const auto found = pending_claims_.find(id);
+    if (found != pending_claims_.end()) {
+      batch.intents.push_back(found->second.intent);
+    }
   }
   if (batch.intents.empty()) return;
   wire::AppendCall call;
@@ -114,17 +117,17 @@
   ++appends_;
   log_.Append(call, [this, ids](const Result<wire::AppendReply>& reply) {
     if (reply.ok()) return;
-    // It may have taken effect; a second copy of our own intent changes
-    // nothing, for the first one by offset is ours as well.
+    // The append may have taken effect. A second copy of an own intent has no
+    // effect, since the copy with the lower offset belongs to this entry too.
     for (const std::string& id : ids) {
-      if (claiming_.contains(id)) to_append_.push_back(id);
+      if (pending_claims_.contains(id)) to_append_.push_back(id);
     }
     if (!to_append_.empty()) FlushSoon();
   });
 }
 
 void IntentLedger::Resolve() {
-  for (auto it = claiming_.begin(); it != claiming_.end();) {
+  for (auto it = pending_claims_.begin(); it != pending_claims_.end();) {
     const wire::Intent* winner = fold_.Find(it->first);
     if (winner == nullptr || winner->epoch < it->second.intent.epoch) {
       ++it;
@@ -132,17 +135,19 @@
     }
     const wire::Intent found = *winner;
     const std::vector<Claimed> done = std::move(it->second.done);
-    it = claiming_.erase(it);
+    it = pending_claims_.erase(it);
     for (const Claimed& callback : done) callback(found);
   }
 }
 
 void IntentLedger::Expire(const std::string& request_id, int32_t epoch) {
-  const auto found = claiming_.find(request_id);
-  if (found == claiming_.end() || found->second.intent.epoch != epoch) return;
+  const auto found = pending_claims_.find(request_id);
+  if (found == pending_claims_.end() || found->second.intent.epoch != epoch) {
+    return;
+  }
   if (executor_.Now() < found->second.until) return;
   const std::vector<Claimed> done = std::move(found->second.done);
-  claiming_.erase(found);
+  pending_claims_.erase(found);
   for (const Claimed& callback : done) callback(std::nullopt);
 }
 
--- a/src/requests/intent_ledger.h
+++ b/src/requests/intent_ledger.h
@@ -16,13 +16,14 @@
 
 inline constexpr char kIntentStream[] = "intents";
 
-/// Which entry may start a keyed request: the first intent of an epoch by log
-/// offset. Pure; not thread-safe.
+/// Determines which entry may start a keyed request: the entry with the first
+/// intent of an epoch by log offset. Not thread-safe.
 class IntentFold {
  public:
   void Consume(int64_t first_retained, int64_t offset,
                const std::vector<wire::Intent>& intents);
-  /// Forgets what the log has trimmed: the key's window is over.
+  /// Discards intents that the log has trimmed: their key is no longer
+  /// deduplicated.
   void Trim(int64_t first_retained);
   const wire::Intent* Find(const std::string& request_id) const;
   size_t size() const { return winners_.size(); }
@@ -42,28 +43,28 @@
   Millis claim_wait{1500};
 };
 
-/// Claims keyed requests through the log, many in one append. Control thread
-/// only; the executor and the log outlive it.
+/// Claims keyed requests through the log and groups claims into one append.
+/// Control thread only. The executor and the log must outlive it.
 class IntentLedger {
  public:
-  /// The winner of the epoch, read back from the log; empty if that could not
-  /// be confirmed in time.
+  /// Receives the winner of the epoch as read back from the log, or nothing if
+  /// it was not confirmed in time.
   using Claimed = std::function<void(std::optional<wire::Intent>)>;
 
   IntentLedger(Executor& executor, ports::LogPort& log,
                IntentLedgerOptions options);
   void Start() { reader_.Start(); }
 
-  /// Told of every intent that is read.
+  /// Sets a callback that receives the winner of the key for every intent read.
   void SetObserver(std::function<void(const wire::Intent&)> observer) {
     observer_ = std::move(observer);
   }
-  /// Appends the intent and answers once the winner of its epoch is known.
+  /// Appends the intent and calls `done` once the winner of its epoch is known.
   void Claim(const wire::Intent& intent, Claimed done);
   const wire::Intent* Find(const std::string& request_id) const {
     return fold_.Find(request_id);
   }
-  /// Everything that the log held at the start has been read.
+  /// Whether everything that the log contained at the start has been read.
   bool ready() const { return reader_.ever_caught_up(); }
   bool up() const { return reader_.up(); }
   int64_t appends() const { return appends_; }
@@ -71,7 +72,7 @@
   size_t size() const { return fold_.size(); }
 
  private:
-  struct Claiming {
+  struct PendingClaim {
     wire::Intent intent;
     TimePoint until;
     std::vector<Claimed> done;
@@ -88,12 +89,12 @@
   IntentLedgerOptions options_;
   IntentFold fold_;
   ports::StreamReader reader_;
-  std::unordered_map<std::string, Claiming> claiming_;
+  std::unordered_map<std::string, PendingClaim> pending_claims_;
   std::vector<std::string> to_append_;
   std::function<void(const wire::Intent&)> observer_;
   bool flush_pending_ = false;
   TimePoint last_flush_{};
-  double tokens_ = 0;  ///< Appends that may go out at once.
+  double tokens_ = 0;  ///< Appends that may be sent without delay.
   int64_t appends_ = 0;
 };
 
--- a/src/requests/limits.h
+++ b/src/requests/limits.h
@@ -5,15 +5,15 @@
 #include "src/libs/base/executor.h"
 #include "src/requests/record.h"
 
-// Times and bounds that several parts of Requests share.
+// Durations and limits shared by the source files of Requests.
 namespace mimosarail::requests {
 
-inline constexpr Millis kCheckEvery{1000};
-inline constexpr int64_t kShortRetryMs = 1000;
-inline constexpr int64_t kLongestRetryMs = 60000;
+inline constexpr Millis kCheckInterval{1000};
+inline constexpr int64_t kMinRetryMs = 1000;
+inline constexpr int64_t kMaxRetryMs = 60000;
 
-/// Whether the end means that the task had started.
-inline bool Ran(wire::TaskEnd::type end) {
+/// Returns whether a task with this result had started.
+inline bool HadStarted(wire::TaskEnd::type end) {
   return end != wire::TaskEnd::kNotStarted;
 }
 
--- a/src/requests/peer_rooms.cc
+++ b/src/requests/peer_capacity.cc
@@ -1,4 +1,4 @@
-#include "src/requests/peer_rooms.h"
+#include "src/requests/peer_capacity.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 using placement::Amount;
 using placement::Dimension;
 
-PeerRooms::Sent& PeerRooms::SentTo(const membership::Peer& peer) {
+PeerCapacity::Sent& PeerCapacity::SentTo(const membership::Peer& peer) {
   Sent& sent = sent_[peer.name];
   if (sent.sequence != peer.last.sequence) {
     sent = Sent{.sequence = peer.last.sequence};
@@ -15,8 +15,8 @@
   return sent;
 }
 
-bool PeerRooms::MeetsConstraints(const std::string& peer,
-                                 const placement::Ask& ask) const {
+bool PeerCapacity::MeetsConstraints(const std::string& peer,
+                                    const placement::Ask& ask) const {
   const bool free_choice =
       (ask.failure_domains == nullptr || ask.failure_domains->empty()) &&
       (ask.racks == nullptr || ask.racks->empty());
@@ -32,7 +32,7 @@
                      });
 }
 
-const membership::Peer* PeerRooms::Choose(const placement::Ask& ask) {
+const membership::Peer* PeerCapacity::Choose(const placement::Ask& ask) {
   const membership::Peer* best = nullptr;
   int32_t best_free = 0;
   for (const membership::Peer* peer : members_.Controllers()) {
@@ -59,12 +59,13 @@
   return best;
 }
 
-void PeerRooms::NoteSent(const std::string& peer, const placement::Ask& ask) {
+void PeerCapacity::NoteSent(const std::string& peer,
+                            const placement::Ask& ask) {
   for (int32_t i = 0; i < ask.tasks; ++i) sent_[peer].amount += ask.size;
 }
 
-void PeerRooms::NoteRefused(const std::string& peer,
-                            const placement::Ask& ask) {
+void PeerCapacity::NoteRefused(const std::string& peer,
+                               const placement::Ask& ask) {
   Amount wanted;
   for (int32_t i = 0; i < ask.tasks; ++i) wanted += ask.size;
   sent_[peer].refused.push_back(wanted);
--- a/src/requests/peer_rooms.h
+++ b/src/requests/peer_capacity.h
@@ -11,19 +11,21 @@
 
 namespace mimosarail::requests {
 
-/// What other controllers have free, from their heartbeats, less what this
-/// entry has sent them since. A guess that a controller may refuse. Control
-/// thread only.
-class PeerRooms {
+/// Estimates the free capacity of other controllers: the figures of their
+/// latest heartbeats less what this entry has sent them since. A controller
+/// may still refuse a call. Control thread only.
+class PeerCapacity {
  public:
-  PeerRooms(const membership::Membership& members,
-            const control::Controller& controller)
+  PeerCapacity(const membership::Membership& members,
+               const control::Controller& controller)
       : members_(members), controller_(controller) {}
 
-  /// The peer that most likely has room, or null.
+  /// Returns the peer with the most free cores that is expected to accept the
+  /// request, or null.
   const membership::Peer* Choose(const placement::Ask& ask);
   void NoteSent(const std::string& peer, const placement::Ask& ask);
-  /// It had no room: not asked again before its next heartbeat.
+  /// The peer had no free capacity. Requests of this size or larger are not
+  /// sent to it before its next heartbeat.
   void NoteRefused(const std::string& peer, const placement::Ask& ask);
 
  private:
--- a/src/requests/peer_port.h
+++ b/src/requests/peer_port.h
@@ -7,8 +7,8 @@
 
 namespace mimosarail::requests {
 
-/// Calls between entry instances. Callbacks run on the control thread; an
-/// error says nothing about the effect. Control thread only.
+/// Calls between entry instances. Callbacks run on the control thread. After
+/// an error it is unknown whether the call took effect. Control thread only.
 class PeerPort {
  public:
   virtual ~PeerPort() = default;
--- a/src/requests/record.h
+++ b/src/requests/record.h
@@ -11,35 +11,37 @@
 
 namespace mimosarail::requests {
 
-/// Where a request stands at its owner.
+/// State of a request at its owner.
 enum class Phase {
-  kClaiming,    ///< Its key is being claimed in the log.
-  kReclaiming,  ///< Its former owner is gone; what it did is being settled.
+  kClaiming,    ///< The claim of its key in the log is pending.
+  kReclaiming,  ///< Its former owner is dead; the state of its
+                ///< tasks is being resolved.
   kWaiting,     ///< In the queue.
-  kRunning,     ///< Given to controllers.
-  kBackoff,     ///< Waits before its next attempt.
+  kRunning,     ///< Placed at controllers.
+  kBackoff,     ///< Waits for its next attempt.
   kEnded,
 };
 
 std::string_view PhaseName(Phase phase);
 
 enum class TaskPhase {
-  kNone,      ///< Not asked for.
-  kAsked,     ///< A controller was asked; no answer yet.
-  kHeld,      ///< The holder has it.
-  kSettling,  ///< Its holder is silent, gone, or has lost it.
+  kNone,       ///< Not sent to a controller.
+  kRequested,  ///< Sent to a controller; no reply yet.
+  kHeld,       ///< Its holder, a controller, has accepted it.
+  kResolving,  ///< Its holder is unresponsive, dead, or has lost it.
   kEnded,
 };
 
-/// One task of the present attempt.
+/// One task of the current attempt.
 struct TaskRecord {
   TaskPhase phase = TaskPhase::kNone;
   std::string holder;
   int64_t holder_incarnation = 0;
   bool lapse_assumed = false;
-  /// Its upstream has confirmed the start, as its controller said.
+  /// The upstream has confirmed the start, according to the controller.
   bool began = false;
-  /// Answers of this settlement round and earlier ones say nothing of it.
+  /// Answers of this round and of earlier rounds predate the current state of
+  /// the task and are ignored.
   int stale_round = 0;
   wire::ReportCall report;
 };
@@ -66,30 +68,32 @@
   bool started_once = false;
   std::string former_owner;
   int64_t former_incarnation = 0;
-  bool foreign = false;          ///< Another entry owns the key, or owned it.
-  bool ran = false;              ///< Some attempt started, or may have.
-  bool counted_waiting = false;  ///< In the team's waiting requests.
-  bool counted_running = false;  ///< In the team's cores.
+  bool foreign = false;          ///< Another entry owns or owned the key.
+  bool ran = false;              ///< An attempt has started or may have.
+  bool counted_waiting = false;  ///< Counted in the team's waiting requests.
+  bool counted_running = false;  ///< Counted in the team's cores.
   std::optional<int64_t> queue_key;
   std::string why;
   std::vector<TaskRecord> tasks;
-  /// Upstreams that went with a running task of it, by the task's index.
+  /// Number of upstreams lost while they ran a task of it, by task index.
   std::map<int32_t, int32_t> crashes;
   wire::Outcome outcome;
   TimePoint ended{};
   std::vector<OutcomeCallback> waiters;
 
-  // Settlement of the present attempt, or of a former owner's.
-  bool settling = false;
-  int settle_loop = 0;
-  int settle_round = 0;  ///< Rises through the record's life.
-  int settle_first = 0;  ///< Round before the present settlement.
-  TimePoint settle_since{};
+  // State of resolving the current attempt, or the attempts of a former owner.
+  bool resolving = false;
+  int resolve_loop = 0;
+  int resolve_round = 0;  ///< Never reset.
+  /// Last round before the current resolving began.
+  int resolve_base_round = 0;
+  TimePoint resolve_since{};
   bool fenced_everywhere = false;
   TimePoint fenced_since{};
 };
 
-/// Attempts of one epoch of a key; the next epoch's numbers lie above.
+/// Attempt numbers reserved for one epoch of a key. The numbers of the next
+/// epoch lie above them.
 inline constexpr int32_t kAttemptsPerEpoch = 1000;
 
 }  // namespace mimosarail::requests
--- a/src/requests/requests.cc
+++ b/src/requests/requests.cc
@@ -21,9 +21,9 @@
 
 constexpr EnumTable kTaskPhaseNames{std::array{
     EnumName{TaskPhase::kNone, "not asked"},
-    EnumName{TaskPhase::kAsked, "asked"},
+    EnumName{TaskPhase::kRequested, "asked"},
     EnumName{TaskPhase::kHeld, "held"},
-    EnumName{TaskPhase::kSettling, "settling"},
+    EnumName{TaskPhase::kResolving, "settling"},
     EnumName{TaskPhase::kEnded, "ended"},
 }};
 
@@ -53,7 +53,7 @@
 Requests::Requests(RequestsContext context, RequestsOptions options)
     : c_(std::move(context)),
       options_(std::move(options)),
-      rooms_(c_.members, c_.controller),
+      peer_capacity_(c_.members, c_.controller),
       random_(options_.seed),
       rate_since_(c_.executor.Now()) {}
 
@@ -61,7 +61,7 @@
   c_.ledger.SetObserver(
       [this](const wire::Intent& intent) { OnIntent(intent); });
   RunEvery(c_.executor, kTick, [this] { Tick(); });
-  RunEvery(c_.executor, kCheckEvery, [this] {
+  RunEvery(c_.executor, kCheckInterval, [this] {
     for (auto& [id, record] : records_) {
       if (record.phase == Phase::kRunning) CheckRunning(record);
     }
@@ -87,8 +87,8 @@
   Finish(record, std::move(outcome));
 }
 
-/// "Not run" is said only of what never started and that no other entry may
-/// have started.
+/// Reports "not run" only for a request that never started and that no other
+/// entry may have started.
 void Requests::EndUnstarted(Record& record, const std::string& reason,
                             int64_t retry_after_ms) {
   const bool certain = !record.ran && !record.foreign;
@@ -122,7 +122,7 @@
     outcome.attempts = record.attempts;
   }
   record.phase = Phase::kEnded;
-  record.settling = false;
+  record.resolving = false;
   record.why = "";
   record.outcome = std::move(outcome);
   record.ended = c_.executor.Now();
@@ -130,8 +130,8 @@
   record.spec.payload.clear();
   SetExpiry(record, TimePoint::max());
   Retain(record);
-  // The owner counts the request and its cost; passing its answer on must not
-  // count it again.
+  // The owner counts the request and its cost. An entry that forwards the
+  // owner's answer must not count it again.
   if (!record.foreign) {
     c_.on_ended({.record = record, .now_unix_ms = c_.executor.UnixMillis()});
   }
@@ -162,13 +162,14 @@
         record->phase == Phase::kEnded) {
       continue;
     }
-    // Nothing of it runs now. An earlier attempt may have, so "not run" is
-    // only said if none was started.
-    EndUnstarted(*record, "gave up waiting: " + record->why, RetryAfterMs());
+    // No task of the request is running. An earlier attempt may have run, so
+    // "not run" is reported only if no attempt was started.
+    EndUnstarted(*record, "wait limit or deadline reached: " + record->why,
+                 RetryAfterMs());
   }
   ExpireOld();
   const auto span = std::chrono::duration_cast<Millis>(now - rate_since_);
-  if (span >= kCheckEvery) {
+  if (span >= kCheckInterval) {
     const double rate = static_cast<double>(rate_starts_) * 1000.0 /
                         static_cast<double>(span.count());
     start_rate_ = 0.7 * start_rate_ + 0.3 * rate;
@@ -196,14 +197,14 @@
 
 void Requests::CheckRunning(Record& record) {
   if (record.cancelled) SendStop(record);
-  bool silent = false;
+  bool holder_lost = false;
   for (TaskRecord& task : record.tasks) {
     if (task.phase != TaskPhase::kHeld) continue;
     if (c_.members.Lives(task.holder, task.holder_incarnation)) continue;
-    SetSettling(record, task);
-    silent = true;
+    MarkUnresolved(record, task);
+    holder_lost = true;
   }
-  if (silent) StartSettling(record);
+  if (holder_lost) StartResolving(record);
 }
 
 void Requests::OnMembershipChanged() {
@@ -213,9 +214,9 @@
   RequestDrain();
 }
 
-/// While this process was paused, others may have found it dead, fenced its
-/// keys and claimed them anew. What waits here is checked against the fences
-/// of the others before anything of it starts.
+/// While this process was paused, other entries may have declared it dead,
+/// fenced its keys and claimed them. Each waiting keyed request is claimed
+/// again before any task of it starts.
 void Requests::OnSelfPaused() {
   std::vector<std::string> ids;
   for (const auto& [id, record] : records_) {
@@ -224,17 +225,18 @@
     if (record.spec.keyed && waiting) ids.push_back(id);
   }
   for (const std::string& id : ids) {
-    // Claiming the next epoch settles who goes on: an entry that took the key
-    // over meanwhile has won that epoch already.
-    ClaimNextEpoch(records_[id], "checking its key after a pause");
+    // Claiming the next epoch determines the owner: an entry that has reclaimed
+    // the key in the meantime has already won that epoch.
+    ClaimNextEpoch(records_[id],
+                   "claiming its key again after a process pause");
   }
 }
 
-void Requests::GiveUpWaiting(const std::string& reason) {
+void Requests::AbandonWaiting(const std::string& reason) {
   for (const std::string& id : Select([](const Record& record) {
          return record.phase != Phase::kRunning;
        })) {
-    EndUnstarted(records_[id], reason, kShortRetryMs);
+    EndUnstarted(records_[id], reason, kMinRetryMs);
   }
 }
 
@@ -304,11 +306,11 @@
   return view;
 }
 
-std::vector<RequestView> Requests::Views(size_t most) const {
+std::vector<RequestView> Requests::Views(size_t max_count) const {
   std::vector<RequestView> out;
   for (const auto& [id, record] : records_) {
     if (record.phase == Phase::kEnded) continue;
-    if (out.size() >= most) break;
+    if (out.size() >= max_count) break;
     out.push_back(View(record));
   }
   return out;
@@ -317,8 +319,8 @@
 void Requests::DescribeTo(const wire::FindCall& call,
                           wire::FindReply& reply) const {
   const Record* record = Find(call.request_id);
-  // A record that only follows another owner, or waits to become one, must
-  // not be taken for the owner's word.
+  // This entry follows another owner or its own claim is pending. Its answer
+  // must not be mistaken for that of the owner.
   if (record == nullptr || record->phase == Phase::kClaiming ||
       record->phase == Phase::kReclaiming) {
     return;
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -17,8 +17,8 @@
 #include "src/placement/starvation_guard.h"
 #include "src/placement/wait_queue.h"
 #include "src/requests/intent_ledger.h"
+#include "src/requests/peer_capacity.h"
 #include "src/requests/peer_port.h"
-#include "src/requests/peer_rooms.h"
 #include "src/requests/record.h"
 #include "src/requests/retry_budget.h"
 #include "src/requests/settlement.h"
@@ -34,27 +34,27 @@
   int64_t max_answer_bytes = 8 << 20;
   Millis lease{8000};
   Millis max_delay{2000};
-  /// A placement call that is older than this is refused by its receiver.
+  /// The receiver refuses a placement call that is older than this.
   Millis place_validity{3000};
-  Millis settle_every{300};
+  Millis resolve_interval{300};
   uint64_t seed = 1;
 };
 
-/// What an ended request adds to the books.
+/// An ended request, as passed to metrics and cost accounting.
 struct Ended {
   const Record& record;
   int64_t now_unix_ms = 0;
 };
 
-/// Answer to a submission: taken (its outcome comes later under `id`), or the
-/// outcome at once.
+/// Answer to a submission: either accepted (`taken`), with the outcome to be
+/// queried under `id`, or the outcome itself.
 struct Submitted {
   bool taken = false;
   std::string id;
   wire::Outcome outcome;
 };
 
-/// What an operator or caller sees of one request.
+/// One request as shown to operators and callers.
 struct RequestView {
   std::string id;
   std::string owner;
@@ -69,7 +69,7 @@
   std::vector<std::string> holders;
 };
 
-/// Everything that one entry's requests need of the rest of the entry.
+/// The other components of the entry that Requests uses.
 struct RequestsContext {
   Executor& executor;
   PeerPort& peers;
@@ -77,7 +77,7 @@
   control::Controller& controller;
   execution::Execution& execution;
   IntentLedger& ledger;
-  /// Rules in force, or null; a copy keeps them alive.
+  /// Returns the current rules, or null; the returned pointer keeps them alive.
   std::function<std::shared_ptr<const rules::RuleSet>()> rules;
   std::function<int64_t()> revision;
   std::function<bool()> accepting;
@@ -85,9 +85,10 @@
   std::function<void(const Record&)> on_first_start;
 };
 
-/// Owner of requests: admits, queues, places, retries, settles and answers.
-/// A request has one owner, and only its owner starts attempts and says how it
-/// ended. Control thread only.
+/// The owner's side of requests: admits, queues, places and retries them,
+/// resolves tasks of unknown state and reports outcomes. A request has one
+/// owner, and only its owner starts attempts and determines the outcome.
+/// Control thread only.
 class Requests {
  public:
   Requests(RequestsContext context, RequestsOptions options);
@@ -95,37 +96,39 @@
 
   /// `spec.id` must be a valid key if `spec.keyed`, else empty.
   void Submit(wire::RequestSpec spec, std::function<void(Submitted)> done);
-  /// Runs `done` when the request ended, at once if it has. False if it is
-  /// not owned here.
+  /// Runs `done` when the request has ended, immediately if it already has.
+  /// Returns false if the request is unknown here.
   bool Await(const std::string& id, OutcomeCallback done);
-  /// Idempotent. False if it is not owned here.
+  /// Idempotent. Returns false if this entry does not own the request.
   bool Cancel(const std::string& id);
-  /// Ids of requests that are not ended and that `matches`.
+  /// Returns the ids of unfinished requests for which `matches` returns true.
   std::vector<std::string> Select(
       const std::function<bool(const Record&)>& matches) const;
 
   const Record* Find(const std::string& id) const;
-  std::vector<RequestView> Views(size_t most) const;
+  std::vector<RequestView> Views(size_t max_count) const;
   RequestView View(const Record& record) const;
 
-  /// Fills in what this entry knows as owner.
+  /// Adds what this entry knows about the request as its owner.
   void DescribeTo(const wire::FindCall& call, wire::FindReply& reply) const;
-  /// The word of a controller on one task; false if the request is unknown.
+  /// Handles a controller's report on one task. Returns false if the request
+  /// is unknown.
   bool OnReport(const wire::ReportCall& report);
-  /// Peers came, went or changed.
+  /// Peers were added or removed, or changed their state.
   void OnMembershipChanged();
-  /// Room may have come free; placing follows soon.
+  /// Schedules a placement pass, for example after capacity was released.
   void RequestDrain();
-  /// Ends every request that has not been given to a controller.
-  void GiveUpWaiting(const std::string& reason);
-  /// This process was paused for long: others may have taken its keys over.
+  /// Ends every request that is not placed at a controller.
+  void AbandonWaiting(const std::string& reason);
+  /// This process was paused long enough for other entries to have reclaimed
+  /// its keys.
   void OnSelfPaused();
 
   size_t waiting() const { return queue_.size(); }
   size_t unfinished() const;
-  /// Millicores and waiting requests by team, as owned here.
+  /// Millicores and waiting requests by team, for requests owned here.
   std::map<std::string, wire::TeamUse> TeamUse() const;
-  /// When a refused caller should come back.
+  /// Returns the delay after which a refused caller should retry.
   int64_t RetryAfterMs() const;
 
  private:
@@ -134,18 +137,18 @@
   std::optional<Submitted> CheckAdmission(const wire::RequestSpec& spec,
                                           const wire::Treatment& treatment,
                                           const rules::RuleSet& rules);
-  std::string ImpossibleReason(const wire::RequestSpec& spec);
-  std::string FindImpossible(const wire::RequestSpec& spec) const;
+  std::string InfeasibleReason(const wire::RequestSpec& spec);
+  std::string FindInfeasible(const wire::RequestSpec& spec) const;
   int64_t TeamWaiting(const std::string& team) const;
   int64_t TeamMillicores(const std::string& team) const;
 
   void Claim(const std::string& id);
   void OnClaimed(const std::string& id, std::optional<wire::Intent> winner);
   void FollowOwner(const std::string& id, const wire::Intent& winner);
-  void OnHandedOver(const std::string& id, const wire::Intent& winner,
-                    const Result<wire::SubmitReply>& reply);
+  void OnForwarded(const std::string& id, const wire::Intent& winner,
+                   const Result<wire::SubmitReply>& reply);
   void PollOwner(const std::string& id, const std::string& address);
-  void Reclaim(Record& record, const wire::Intent& lost);
+  void Reclaim(Record& record, const wire::Intent& previous);
 
   void OnIntent(const wire::Intent& intent);
   void ClaimNextEpoch(Record& record, const std::string& why);
@@ -167,28 +170,27 @@
   void NoteStarted(Record& record);
 
   void ApplyReport(Record& record, const wire::ReportCall& report);
-  void StopOthers(Record& record);
+  void StopGang(Record& record);
   void SendStop(Record& record);
   void EvaluateAttempt(Record& record);
-  void RetryOrGiveUp(Record& record);
-  /// Counts upstreams that were lost in this attempt; whether one task has lost
-  /// so many that it is taken for the cause.
+  void RetryOrEnd(Record& record);
+  /// Counts the upstreams lost in this attempt. Returns true if a task has lost
+  /// so many that it is considered the cause.
   bool CrashesUpstreams(Record& record);
   void NextAttempt(Record& record, Millis delay);
 
-  void SetSettling(Record& record, TaskRecord& task);
-  void StartSettling(Record& record);
-  void SettleRound(const std::string& id, int loop);
-  void CollectAnswers(const std::string& id, int32_t fence_below);
-  void EvaluateSettlement(
-      const std::string& id, int32_t fence_below,
-      const std::map<std::string, wire::FindReply>& answers);
+  void MarkUnresolved(Record& record, TaskRecord& task);
+  void StartResolving(Record& record);
+  void RunResolveRound(const std::string& id, int loop);
+  void QueryEntries(const std::string& id, int32_t fence_below);
+  void EvaluateAnswers(const std::string& id, int32_t fence_below,
+                       const std::map<std::string, wire::FindReply>& answers);
   void EvaluateReclaim(Record& record, int32_t fence_below,
                        const std::map<std::string, wire::FindReply>& answers);
   SettlementInput MakeSettlementInput(
       const Record& record,
       const std::map<std::string, wire::FindReply>& answers, bool fenced) const;
-  std::set<std::string> ListedEntries() const;
+  std::set<std::string> LiveEntries() const;
 
   void End(Record& record, wire::Verdict::type verdict,
            const std::string& reason, int64_t retry_after_ms = 0);
@@ -211,12 +213,12 @@
   placement::WaitQueue queue_;
   placement::StarvationGuard guard_;
   RetryBudget budget_;
-  PeerRooms rooms_;
+  PeerCapacity peer_capacity_;
   std::mt19937_64 random_;
   std::map<std::string, wire::TeamUse> own_use_;
-  /// Verdicts of FindImpossible() by shape, for one version of the list.
-  std::unordered_map<uint64_t, std::string> impossible_;
-  int64_t impossible_version_ = -1;
+  /// Results of FindInfeasible() by shape, for one version of the list.
+  std::unordered_map<uint64_t, std::string> infeasible_;
+  int64_t infeasible_version_ = -1;
   uint64_t next_serial_ = 0;
   int64_t next_id_ = 0;
   int64_t answer_bytes_ = 0;
@@ -226,10 +228,11 @@
   int64_t rate_starts_ = 0;
 };
 
-/// Equal for requests that fit in the same places.
+/// Hash of size and placement constraints: equal for requests that fit on the
+/// same upstreams.
 uint64_t ShapeOf(const wire::RequestSpec& spec);
 
-/// Digest over what makes two submissions the same.
+/// Digest of the content that identifies two submissions as the same request.
 std::string ContentDigest(const wire::RequestSpec& spec);
 
 }  // namespace mimosarail::requests
--- a/src/requests/requests.thrift
+++ b/src/requests/requests.thrift
@@ -12,9 +12,9 @@
   6: i32 tasks = 1
   7: platform.Resources size
   8: bool repeatable
-  /** From submission, 0 for none. */
+  /** Relative to the submission; 0 for none. */
   9: i64 deadline_ms
-  /** Declared by the caller, doubted by us. */
+  /** Run time as declared by the caller; only an estimate. */
   10: i64 run_ms
   11: bool urgent
   12: list<string> failure_domains
@@ -24,7 +24,7 @@
 
 enum PlacementGoal { kPack = 0, kSpread = 1 }
 
-/** How the first matching rule says to treat a request. */
+/** How to treat a request according to the first matching rule. */
 struct Treatment {
   1: string rule
   2: i64 revision
@@ -38,11 +38,11 @@
 
 enum Verdict { kDone = 0, kNotRun = 1, kUnknown = 2, kRefused = 3, kCancelled = 4 }
 
-/** The final word on a request. */
+/** The final outcome of a request. */
 struct Outcome {
   1: Verdict verdict
   2: string reason
-  /** When to ask again; 0 says nothing. */
+  /** Delay after which the caller may retry; 0 if not specified. */
   3: i64 retry_after_ms
   4: binary answer
   5: string digest
@@ -54,7 +54,7 @@
   11: i32 attempts
 }
 
-/** Rebuilds an attempt at a new controller; carried as TaskSpec.context. */
+/** Restores an attempt at a new controller; carried as TaskSpec.context. */
 struct AttemptContext {
   1: RequestSpec spec
   2: Treatment treatment
@@ -62,37 +62,39 @@
   4: i64 owner_incarnation
 }
 
-/** Asks a controller to start these tasks of an attempt, all or none. */
+/** Asks a controller to start all of these tasks of an attempt, or none. */
 struct PlaceCall {
   1: AttemptContext context
   2: i32 attempt
   3: list<i32> indices
-  /** Newest heartbeat of the controller that the owner has seen: a call that
-   *  was long on its way is told by it and refused. */
+  /** Latest heartbeat of the controller that the owner has received. It shows
+   *  the age of the call, so that a delayed call is refused. */
   4: i64 heartbeat_seen
-  /** May take the room that is kept for urgent work. */
+  /** May use the capacity reserved for urgent work. */
   5: bool use_reserve
 }
 enum PlaceStatus { kAccepted = 0, kNoRoom = 1, kNotReady = 2, kFenced = 3 }
 struct PlaceReply { 1: PlaceStatus status 2: string detail }
 
-/** How one task of an attempt ended, in the words of its controller. */
+/** Result of one task of an attempt, as reported by its controller. */
 enum TaskEnd {
-  /** The whole answer is there. */
+  /** It finished with a complete answer. */
   kDone = 0
   /** It ran and failed. */
   kFailed = 1
-  /** The upstream's word: it started, and is gone without an answer. */
+  /** The upstream reports that it started and no longer exists, without an
+   *  answer. */
   kLost = 2
-  /** It never started and never will. */
+  /** It never started and cannot start. */
   kNotStarted = 3
-  /** Stopped on request; it had started. */
+  /** It was stopped on request after it had started. */
   kStopped = 4
-  /** The upstream is silent past every lease; only the owner may conclude. */
+  /** The upstream has been unresponsive for longer than any lease; only the
+   *  owner may draw a conclusion. */
   kLapseAssumed = 5
-  /** Another controller has the upstream now. */
+  /** Another controller has attached the upstream. */
   kMoved = 6
-  /** The upstream's word: its lease ran out, and it was ended. */
+  /** The upstream reports that it ended the task because its lease expired. */
   kLapsed = 7
 }
 struct ReportCall {
@@ -106,32 +108,33 @@
   8: i64 ran_ms
   9: string upstream
   10: i64 owner_incarnation
-  /** Where the result says nothing of it: the upstream had confirmed the start. */
+  /** The upstream had confirmed the start; for results that do not imply it. */
   11: bool began
 }
 struct ReportReply { 1: bool taken }
 
 enum OwnerState { kAbsent = 0, kWaiting = 1, kRunning = 2, kEnded = 3 }
 struct TaskWord { 1: i32 attempt 2: i32 index 3: bool ended 4: ReportCall report 5: string upstream 6: i32 tasks }
-/** Asks an entry what it knows of a request; a positive fence_below also
- *  forbids every attempt below it there, for good. */
+/** Asks an entry what it knows about a request. A positive fence_below also
+ *  makes the entry refuse all attempts with a lower number from then on. */
 struct FindCall { 1: string request_id 2: i32 fence_below 3: i64 wait_ms }
 struct FindReply {
   1: OwnerState owner
   2: string why
   3: Outcome outcome
   4: list<TaskWord> tasks
-  /** Upstreams whose inventory this entry has read under its present terms. */
+  /** Upstreams whose inventory this entry has read under its current terms. */
   5: list<string> attached
   6: i32 fence_below
 }
-/** Hands a keyed submission to the entry that owns its key. */
+/** Forwards a keyed submission to the entry that owns its key. */
 struct SubmitCall { 1: RequestSpec spec }
 struct SubmitReply { 1: bool taken 2: string refusal 3: i64 retry_after_ms }
 struct CancelCall { 1: string request_id 2: i32 attempt }
 struct CancelReply { 1: bool known }
 
-/** Claims the right to start a keyed request; the first by offset wins its epoch. */
+/** Claims the right to start a keyed request. The intent with the lowest offset
+ *  wins its epoch. */
 struct Intent {
   1: string request_id
   2: i32 epoch
@@ -141,7 +144,7 @@
 }
 struct IntentBatch { 1: list<Intent> intents }
 
-/** What an entry adds up for one rule, revision and team since its last record. */
+/** Sums of an entry for one rule, revision and team since its last record. */
 struct CostLine {
   1: string rule
   2: i64 revision
--- a/src/requests/requests_admission.cc
+++ b/src/requests/requests_admission.cc
@@ -1,4 +1,4 @@
-// Requests: what is taken, and what is told at once.
+// Requests: admission of submissions and immediate refusals.
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 namespace mimosarail::requests {
 namespace {
 
-constexpr size_t kMostShapes = 10000;
+constexpr size_t kMaxCachedShapes = 10000;
 constexpr int kMinutesPerDay = 24 * 60;
 
 }  // namespace
@@ -26,8 +26,8 @@
 int64_t Requests::RetryAfterMs() const {
   const double seconds =
       static_cast<double>(queue_.size()) / std::max(start_rate_, 0.1);
-  return std::clamp(static_cast<int64_t>(seconds * 1000), kShortRetryMs,
-                    kLongestRetryMs);
+  return std::clamp(static_cast<int64_t>(seconds * 1000), kMinRetryMs,
+                    kMaxRetryMs);
 }
 
 int64_t Requests::TeamWaiting(const std::string& team) const {
@@ -56,19 +56,20 @@
   return millicores;
 }
 
-/// A job that no upstream of the list could ever hold must not wait for one.
-std::string Requests::ImpossibleReason(const wire::RequestSpec& spec) {
-  if (c_.controller.list_version() != impossible_version_ ||
-      impossible_.size() > kMostShapes) {
-    impossible_version_ = c_.controller.list_version();
-    impossible_.clear();
-  }
-  const auto [found, fresh] = impossible_.try_emplace(ShapeOf(spec));
-  if (fresh) found->second = FindImpossible(spec);
+/// A request that does not fit on any listed upstream, even an empty one, is
+/// refused instead of queued.
+std::string Requests::InfeasibleReason(const wire::RequestSpec& spec) {
+  if (c_.controller.list_version() != infeasible_version_ ||
+      infeasible_.size() > kMaxCachedShapes) {
+    infeasible_version_ = c_.controller.list_version();
+    infeasible_.clear();
+  }
+  const auto [found, fresh] = infeasible_.try_emplace(ShapeOf(spec));
+  if (fresh) found->second = FindInfeasible(spec);
   return found->second;
 }
 
-std::string Requests::FindImpossible(const wire::RequestSpec& spec) const {
+std::string Requests::FindInfeasible(const wire::RequestSpec& spec) const {
   const auto& listed = c_.controller.listed();
   if (listed.empty()) return "";
   placement::Room whole;
@@ -86,7 +87,8 @@
       execution::MakeAsk(context, spec.tasks, c_.executor.Now());
   const auto policy = placement::MakeFirstFitPolicy();
   if (!policy->Place(whole, ask).empty()) return "";
-  return "no upstream could ever hold it, even empty: " +
+  return "the request does not fit on the listed upstreams, even if they were "
+         "empty: " +
          placement::ExplainNoRoom(whole, ask);
 }
 
@@ -99,33 +101,35 @@
     refused.outcome.reason = treatment.refusal;
     return refused;
   }
-  const std::string impossible = ImpossibleReason(spec);
-  if (!impossible.empty()) {
+  const std::string infeasible = InfeasibleReason(spec);
+  if (!infeasible.empty()) {
     Submitted refused;
     refused.outcome.verdict = wire::Verdict::kRefused;
-    refused.outcome.reason = impossible;
+    refused.outcome.reason = infeasible;
     return refused;
   }
   if (treatment.priority > 0 &&
       static_cast<int64_t>(queue_.size()) >= rules.max_waiting()) {
-    return NotRun("too many requests wait", RetryAfterMs());
+    return NotRun("too many requests are waiting", RetryAfterMs());
   }
-  // Urgent work is shed last: it may use a quarter more of the queue.
+  // Urgent work is shed last: its limit on the queue length is a quarter
+  // higher.
   if (static_cast<int64_t>(queue_.size()) >=
       rules.max_waiting() + rules.max_waiting() / 4 + 1) {
-    return NotRun("too many requests wait", RetryAfterMs());
+    return NotRun("too many requests are waiting", RetryAfterMs());
   }
   const rules::TeamLimit* limit = rules.LimitOf(spec.team);
   if (limit != nullptr && limit->waiting &&
       TeamWaiting(spec.team) >= *limit->waiting) {
-    return NotRun("the team's waiting quota is used up", RetryAfterMs());
+    return NotRun("the team's quota of waiting requests is exhausted",
+                  RetryAfterMs());
   }
   if (limit != nullptr && limit->millicores &&
       static_cast<int64_t>(spec.size.millicores) * spec.tasks >
           *limit->millicores) {
     Submitted refused;
     refused.outcome.verdict = wire::Verdict::kRefused;
-    refused.outcome.reason = "larger than the team's whole quota";
+    refused.outcome.reason = "larger than the team's total quota of cores";
     return refused;
   }
   return std::nullopt;
@@ -145,22 +149,25 @@
     refused.outcome.reason = "the key is in use for a different request";
     return done(std::move(refused));
   }
-  const bool again = known != nullptr && known->phase == Phase::kEnded &&
-                     known->outcome.verdict == wire::Verdict::kNotRun;
-  if (known != nullptr && !again) {
+  const bool resubmitted = known != nullptr && known->phase == Phase::kEnded &&
+                           known->outcome.verdict == wire::Verdict::kNotRun;
+  if (known != nullptr && !resubmitted) {
     return done({.taken = true, .id = spec.id});
   }
   const auto rules = c_.rules();
-  if (!rules) return done(NotRun("no configuration yet", kShortRetryMs));
+  if (!rules) {
+    return done(NotRun("no configuration has been received yet", kMinRetryMs));
+  }
   if (!c_.accepting()) {
-    return done(NotRun("this instance takes no work now", kShortRetryMs));
+    return done(NotRun("this instance is not accepting requests", kMinRetryMs));
   }
   if (spec.keyed && !c_.ledger.ready()) {
-    return done(NotRun("the log cannot be read", kShortRetryMs));
+    return done(NotRun("the log has not been read yet", kMinRetryMs));
   }
   if (records_.size() >= options_.max_requests ||
       answer_bytes_ >= options_.max_answer_bytes) {
-    return done(NotRun("too many requests are kept here", RetryAfterMs()));
+    return done(
+        NotRun("this instance stores too many requests", RetryAfterMs()));
   }
   const int32_t minute =
       static_cast<int32_t>(c_.executor.UnixMillis() / 60000 % kMinutesPerDay);
@@ -175,8 +182,8 @@
     refused->outcome.revision = treatment.revision;
     return done(std::move(*refused));
   }
-  const int32_t next_attempt = again ? known->attempt + 1 : 0;
-  const int32_t epoch = again ? known->epoch : 1;
+  const int32_t next_attempt = resubmitted ? known->attempt + 1 : 0;
+  const int32_t epoch = resubmitted ? known->epoch : 1;
   Record& record = records_[spec.id];
   record = Record{};
   record.spec = std::move(spec);
@@ -192,7 +199,7 @@
   if (record.spec.keyed) {
     SetExpiry(record, record.submitted + Millis(treatment.wait_limit_ms));
     record.phase = Phase::kClaiming;
-    record.why = "its key is being claimed in the log";
+    record.why = "the claim of its key in the log is pending";
     done({.taken = true, .id = id});
     return Claim(id);
   }
--- a/src/requests/requests_attempts.cc
+++ b/src/requests/requests_attempts.cc
@@ -1,4 +1,4 @@
-// Requests: ends of tasks, retries, giving up.
+// Requests: task results, retries and failure.
 
 #include <algorithm>
 
@@ -9,12 +9,12 @@
 namespace mimosarail::requests {
 namespace {
 
-constexpr Millis kFirstBackoff{200};
-constexpr Millis kLongestBackoff{30000};
-constexpr Millis kNotStartedPause{50};
+constexpr Millis kInitialBackoff{200};
+constexpr Millis kMaxBackoff{30000};
+constexpr Millis kNotStartedDelay{50};
 constexpr int32_t kMaxLosses = 10;
-/// Upstreams that may be lost under one task. Each takes with it what others
-/// run there.
+/// Number of lost upstreams after which a task is considered their cause. Each
+/// lost upstream also ends the tasks of other requests that ran on it.
 constexpr int32_t kMaxCrashes = 3;
 
 }  // namespace
@@ -35,20 +35,22 @@
   if (task.phase == TaskPhase::kEnded) return;
   if (report.result == wire::TaskEnd::kMoved ||
       report.result == wire::TaskEnd::kLapseAssumed) {
-    // Not an end: only asking all entries tells where the task is now.
-    SetSettling(record, task);
+    // This is not a final result: all entries must be asked where the task is
+    // now.
+    MarkUnresolved(record, task);
     task.began |= report.began;
     task.lapse_assumed |= report.result == wire::TaskEnd::kLapseAssumed;
-    return StartSettling(record);
+    return StartResolving(record);
   }
   task.phase = TaskPhase::kEnded;
   task.report = report;
-  if (report.result != wire::TaskEnd::kDone) StopOthers(record);
+  if (report.result != wire::TaskEnd::kDone) StopGang(record);
   EvaluateAttempt(record);
 }
 
-/// A gang whose member is gone is no gang: the others must not go on alone.
-void Requests::StopOthers(Record& record) {
+/// Stops the remaining members of a gang after one member has ended without
+/// an answer: a gang must not continue incomplete.
+void Requests::StopGang(Record& record) {
   if (record.tasks.size() > 1) SendStop(record);
 }
 
@@ -68,7 +70,7 @@
     call.request_id = record.spec.id;
     call.attempt = record.attempt;
     c_.peers.Cancel(peer->address, call, [](const Result<wire::CancelReply>&) {
-      // Sent again with each check until the tasks have ended.
+      // CheckRunning() repeats the call until the tasks have ended.
     });
   }
 }
@@ -78,14 +80,14 @@
       record.tasks.begin(), record.tasks.end(),
       [](const TaskRecord& t) { return t.phase == TaskPhase::kEnded; });
   if (!all) return;
-  record.settling = false;
+  record.resolving = false;
   CountRunning(record, false);
   const bool done = std::all_of(
       record.tasks.begin(), record.tasks.end(), [](const TaskRecord& t) {
         return t.report.result == wire::TaskEnd::kDone;
       });
   if (done) return EndDone(record);
-  RetryOrGiveUp(record);
+  RetryOrEnd(record);
 }
 
 bool Requests::CrashesUpstreams(Record& record) {
@@ -97,12 +99,12 @@
   return many;
 }
 
-void Requests::RetryOrGiveUp(Record& record) {
+void Requests::RetryOrEnd(Record& record) {
   bool ran = false;
   bool failed = false;
   std::string reason;
   for (const TaskRecord& task : record.tasks) {
-    ran |= Ran(task.report.result);
+    ran |= HadStarted(task.report.result);
     failed |= task.report.result == wire::TaskEnd::kFailed;
     if (task.report.result != wire::TaskEnd::kDone) {
       reason = task.report.upstream + ": " + task.report.reason;
@@ -114,36 +116,36 @@
         record, wire::Verdict::kCancelled,
         ran ? "stopped after it had started" : "before it started: not run");
   }
-  if (!ran) return NextAttempt(record, kNotStartedPause);
+  if (!ran) return NextAttempt(record, kNotStartedDelay);
   if (!record.spec.repeatable) {
     return End(record, wire::Verdict::kUnknown,
-               "it started and did not finish, and may not be repeated (" +
+               "it started and did not finish, and is not repeatable (" +
                    reason + ")");
   }
   if (CrashesUpstreams(record)) {
     return End(record, wire::Verdict::kUnknown,
-               "upstreams were lost under it again and again: it may be what "
-               "crashes them (" +
+               "several upstreams were lost while running it, and it may be "
+               "the cause (" +
                    reason + ")");
   }
   if (!failed && ++record.losses <= kMaxLosses) {
-    // Lost with its upstream, or stopped to make way: not the request's fault.
-    return NextAttempt(record, kFirstBackoff);
+    // Lost with its upstream or preempted: not a failure of the request.
+    return NextAttempt(record, kInitialBackoff);
   }
   if (record.retries_left <= 0) {
     return End(record, wire::Verdict::kUnknown,
-               "it failed and its retries are used up (" + reason + ")");
+               "it failed and its retries are exhausted (" + reason + ")");
   }
   if (!budget_.Take(record.treatment.rule)) {
-    return End(
-        record, wire::Verdict::kUnknown,
-        "it failed and the retry budget of its rule is spent (" + reason + ")",
-        RetryAfterMs());
+    return End(record, wire::Verdict::kUnknown,
+               "it failed and the retry budget of its rule is exhausted (" +
+                   reason + ")",
+               RetryAfterMs());
   }
   --record.retries_left;
   const int used = record.treatment.retries - record.retries_left;
   const Millis delay =
-      std::min(kLongestBackoff, kFirstBackoff * (1 << std::min(used, 10)));
+      std::min(kMaxBackoff, kInitialBackoff * (1 << std::min(used, 10)));
   NextAttempt(record, delay / 2 + Millis(static_cast<int64_t>(
                                       random_() %
                                       static_cast<uint64_t>(delay.count()))));
@@ -152,12 +154,12 @@
 void Requests::NextAttempt(Record& record, Millis delay) {
   ++record.attempt;
   record.phase = Phase::kBackoff;
-  record.why = "waits before its next attempt";
+  record.why = "waiting for its next attempt";
   c_.executor.RunAfter(
       delay, [this, id = record.spec.id, attempt = record.attempt] {
-        Record* again = FindMutable(id);
-        if (again == nullptr || again->phase != Phase::kBackoff) return;
-        if (again->attempt == attempt) Enqueue(*again);
+        Record* waiting = FindMutable(id);
+        if (waiting == nullptr || waiting->phase != Phase::kBackoff) return;
+        if (waiting->attempt == attempt) Enqueue(*waiting);
       });
 }
 
--- a/src/requests/requests_keys.cc
+++ b/src/requests/requests_keys.cc
@@ -1,4 +1,4 @@
-// Requests: who owns a key, following its owner, reclaiming it.
+// Requests: claiming a key, following its owner, reclaiming it.
 
 #include <algorithm>
 
@@ -26,9 +26,11 @@
   Record* record = FindMutable(id);
   if (record == nullptr || record->phase != Phase::kClaiming) return;
   if (!winner) {
-    // Our intent may still reach the log. That harms nobody: it makes this
-    // entry the owner of a key that it has not started.
-    return EndUnstarted(*record, "the log does not answer", kShortRetryMs * 2);
+    // The intent of this entry may still reach the log. It is then harmless:
+    // this entry owns a key whose request it has not started.
+    return EndUnstarted(*record,
+                        "the log did not confirm the claim of its key in time",
+                        kMinRetryMs * 2);
   }
   if (winner->spec_digest != record->digest) {
     return End(*record, wire::Verdict::kRefused,
@@ -56,12 +58,12 @@
   call.spec = record->spec;
   c_.peers.Submit(owner->address, call,
                   [this, id, winner](const Result<wire::SubmitReply>& reply) {
-                    OnHandedOver(id, winner, reply);
+                    OnForwarded(id, winner, reply);
                   });
 }
 
-void Requests::OnHandedOver(const std::string& id, const wire::Intent& winner,
-                            const Result<wire::SubmitReply>& reply) {
+void Requests::OnForwarded(const std::string& id, const wire::Intent& winner,
+                           const Result<wire::SubmitReply>& reply) {
   Record* record = FindMutable(id);
   if (record == nullptr || record->phase != Phase::kClaiming) return;
   if (reply.ok() && !reply.value().taken) {
@@ -71,18 +73,18 @@
   }
   const membership::Peer* owner = c_.members.Find(winner.owner);
   if (!reply.ok() || owner == nullptr) {
-    c_.executor.RunAfter(kCheckEvery,
+    c_.executor.RunAfter(kCheckInterval,
                          [this, id, winner] { FollowOwner(id, winner); });
     return;
   }
   PollOwner(id, owner->address);
 }
 
-/// The owner answers for the key; this entry only passes its answer on.
+/// The owner determines the outcome; this entry only forwards it.
 void Requests::PollOwner(const std::string& id, const std::string& address) {
   wire::FindCall call;
   call.request_id = id;
-  call.wait_ms = kCheckEvery.count();
+  call.wait_ms = kCheckInterval.count();
   c_.peers.Find(
       address, call, [this, id, address](const Result<wire::FindReply>& reply) {
         Record* record = FindMutable(id);
@@ -94,29 +96,30 @@
           record->why = reply.value().why;
           return PollOwner(id, address);
         }
-        // The owner is gone or was replaced: the claim in the log tells whether
-        // its incarnation still lives.
-        c_.executor.RunAfter(kCheckEvery, [this, id] {
+        // The owner is unreachable or was restarted. The claim in the log names
+        // the incarnation whose liveness decides what follows.
+        c_.executor.RunAfter(kCheckInterval, [this, id] {
           const wire::Intent* winner = c_.ledger.Find(id);
           if (winner != nullptr) OnClaimed(id, *winner);
         });
       });
 }
 
-/// The entry that won the key has died. What it started lives on at the
-/// upstreams; only if it surely started nothing may the key be claimed anew.
-void Requests::Reclaim(Record& record, const wire::Intent& lost) {
+/// The entry that won the key is dead. Tasks that it started keep running on
+/// the upstreams, so the key is claimed again only after its attempts have
+/// been resolved.
+void Requests::Reclaim(Record& record, const wire::Intent& previous) {
   record.foreign = true;
   record.phase = Phase::kReclaiming;
-  record.epoch = lost.epoch + 1;
-  record.former_owner = lost.owner;
-  record.former_incarnation = lost.owner_incarnation;
-  record.why = "its former owner is gone";
-  StartSettling(record);
+  record.epoch = previous.epoch + 1;
+  record.former_owner = previous.owner;
+  record.former_incarnation = previous.owner_incarnation;
+  record.why = "its former owner is dead";
+  StartResolving(record);
 }
 
-/// Reads along who claims keys: one that this entry still holds may have been
-/// taken over while it was cut off from the others.
+/// Observes the claims of all entries: a key that this entry still owns may
+/// have been reclaimed while it was partitioned from the other entries.
 void Requests::OnIntent(const wire::Intent& intent) {
   Record* record = FindMutable(intent.request_id);
   if (record == nullptr || intent.epoch <= record->epoch) return;
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -1,4 +1,4 @@
-// Requests: the queue, and giving requests to controllers.
+// Requests: the queue, and placing requests at controllers.
 
 #include <algorithm>
 
@@ -61,7 +61,8 @@
     MR_EXPECT(record != nullptr && record->phase == Phase::kWaiting,
               return placement::Visit::kPlaced);
     if (!guard_.MayStart(item)) {
-      record->why = "room is held for a large request that waited long";
+      record->why =
+          "capacity is reserved for a large request that has waited long";
       return placement::Visit::kSkipped;
     }
     const placement::Visit visit = TryPlace(*record, guard_.IsHeldFor(item.id));
@@ -93,7 +94,8 @@
       static_cast<int64_t>(record.spec.size.millicores) * record.spec.tasks;
   if (limit != nullptr && limit->millicores &&
       TeamMillicores(record.spec.team) + wanted > *limit->millicores) {
-    record.why = "team " + record.spec.team + " uses its quota of cores";
+    record.why =
+        "team " + record.spec.team + " has exhausted its quota of cores";
     return placement::Visit::kSkipped;
   }
   const wire::PlaceCall call = MakeCall(record, use_reserve);
@@ -106,8 +108,8 @@
 }
 
 bool Requests::PlaceHere(Record& record, const wire::PlaceCall& call) {
-  // The tasks must be known as asked for before the call: their first reports
-  // may come from inside it.
+  // The record must be marked as running before the call, since the call may
+  // already deliver the first reports of its tasks.
   MarkRunning(record, options_.self, options_.incarnation, TaskPhase::kHeld);
   const wire::PlaceReply reply = c_.execution.Place(call);
   if (reply.status == wire::PlaceStatus::kAccepted) {
@@ -117,7 +119,7 @@
   CountRunning(record, false);
   record.phase = Phase::kWaiting;
   record.why = reply.status == wire::PlaceStatus::kFenced
-                   ? "another entry is taking it over"
+                   ? "another entry is reclaiming it"
                    : reply.detail;
   record.tasks.assign(static_cast<size_t>(record.spec.tasks), TaskRecord{});
   return false;
@@ -125,12 +127,13 @@
 
 bool Requests::PlaceAtPeer(Record& record, const wire::PlaceCall& call,
                            const placement::Ask& ask) {
-  const membership::Peer* peer = rooms_.Choose(ask);
+  const membership::Peer* peer = peer_capacity_.Choose(ask);
   if (peer == nullptr) return false;
   wire::PlaceCall sent = call;
   sent.heartbeat_seen = peer->last.sequence;
-  MarkRunning(record, peer->name, peer->last.incarnation, TaskPhase::kAsked);
-  rooms_.NoteSent(peer->name, ask);
+  MarkRunning(record, peer->name, peer->last.incarnation,
+              TaskPhase::kRequested);
+  peer_capacity_.NoteSent(peer->name, ask);
   c_.peers.Place(
       peer->address, sent,
       [this, id = record.spec.id, attempt = record.attempt, name = peer->name,
@@ -144,7 +147,7 @@
                            int64_t incarnation, TaskPhase phase) {
   record.phase = Phase::kRunning;
   record.placed = c_.executor.Now();
-  record.settling = false;
+  record.resolving = false;
   record.fenced_everywhere = false;
   record.tasks.assign(
       static_cast<size_t>(record.spec.tasks),
@@ -175,19 +178,20 @@
   }
   const bool never_sent =
       !reply.ok() && reply.error().code == Errc::kUnavailable;
-  if (!reply.ok() && !never_sent) return StartSettling(*record);
+  if (!reply.ok() && !never_sent) return StartResolving(*record);
   if (reply.ok() && reply.value().status == wire::PlaceStatus::kAccepted) {
     for (TaskRecord& task : record->tasks) {
-      if (task.phase == TaskPhase::kAsked) task.phase = TaskPhase::kHeld;
+      if (task.phase == TaskPhase::kRequested) task.phase = TaskPhase::kHeld;
     }
     return NoteStarted(*record);
   }
   if (reply.ok() && reply.value().status == wire::PlaceStatus::kFenced) {
     return End(*record, wire::Verdict::kUnknown,
-               "another entry has taken the request over; ask again by id");
+               "another entry has reclaimed the request; query its id for the "
+               "outcome");
   }
-  rooms_.NoteRefused(peer,
-                     placement::Ask{.size = ask.size, .tasks = ask.tasks});
+  peer_capacity_.NoteRefused(
+      peer, placement::Ask{.size = ask.size, .tasks = ask.tasks});
   CountRunning(*record, false);
   if (record->cancelled) {
     return End(*record, wire::Verdict::kCancelled,
--- a/src/requests/requests_settling.cc
+++ b/src/requests/requests_resolving.cc
@@ -1,57 +1,57 @@
-// Requests: finding out what became of tasks whose controller is silent.
+// Requests: resolving the outcome of tasks whose controller is unresponsive.
 
 #include <algorithm>
 
 #include "src/requests/limits.h"
 #include "src/requests/requests.h"
-#include "src/requests/task_words.h"
+#include "src/requests/task_summary.h"
 
 namespace mimosarail::requests {
 
-/// The answers of a round that is under way were given before this word came:
-/// an entry that said "held here" may have lost the task since, and believing
-/// it would leave the request running for ever in the owner's eyes.
-void Requests::SetSettling(Record& record, TaskRecord& task) {
-  task.phase = TaskPhase::kSettling;
-  task.stale_round = record.settle_round;
+/// The answers of a round in flight predate this event. An entry that reported
+/// the task as held there may have lost it since; accepting such an answer
+/// would leave the request in the running state for ever.
+void Requests::MarkUnresolved(Record& record, TaskRecord& task) {
+  task.phase = TaskPhase::kResolving;
+  task.stale_round = record.resolve_round;
 }
 
-void Requests::StartSettling(Record& record) {
+void Requests::StartResolving(Record& record) {
   for (TaskRecord& task : record.tasks) {
-    if (task.phase == TaskPhase::kAsked) SetSettling(record, task);
+    if (task.phase == TaskPhase::kRequested) MarkUnresolved(record, task);
   }
-  if (record.settling) return;
-  record.settling = true;
-  record.settle_first = record.settle_round;
-  record.settle_since = c_.executor.Now();
+  if (record.resolving) return;
+  record.resolving = true;
+  record.resolve_base_round = record.resolve_round;
+  record.resolve_since = c_.executor.Now();
   record.fenced_everywhere = false;
-  record.why = "its controller is silent; asking the others";
-  c_.executor.Post([this, id = record.spec.id, loop = ++record.settle_loop] {
-    SettleRound(id, loop);
+  record.why = "its controller is unresponsive; querying the other entries";
+  c_.executor.Post([this, id = record.spec.id, loop = ++record.resolve_loop] {
+    RunResolveRound(id, loop);
   });
 }
 
-void Requests::SettleRound(const std::string& id, int loop) {
+void Requests::RunResolveRound(const std::string& id, int loop) {
   Record* record = FindMutable(id);
-  if (record == nullptr || !record->settling) return;
-  if (record->settle_loop != loop) return;
-  ++record->settle_round;
-  // Look first, fence later: a fence would have a running task stopped when
-  // its upstream next changes hands.
+  if (record == nullptr || !record->resolving) return;
+  if (record->resolve_loop != loop) return;
+  ++record->resolve_round;
+  // The first round only queries. A fence would cause a running task to be
+  // stopped when its upstream is next attached by another entry.
   const bool old_enough =
       c_.executor.Now() - record->placed > options_.place_validity;
   const bool fence =
-      record->settle_round > record->settle_first + 1 && old_enough;
+      record->resolve_round > record->resolve_base_round + 1 && old_enough;
   int32_t fence_below = 0;
   if (fence) {
     fence_below = record->phase == Phase::kReclaiming
                       ? record->epoch * kAttemptsPerEpoch
                       : record->attempt + 1;
   }
-  CollectAnswers(id, fence_below);
+  QueryEntries(id, fence_below);
 }
 
-std::set<std::string> Requests::ListedEntries() const {
+std::set<std::string> Requests::LiveEntries() const {
   std::set<std::string> out;
   for (const auto& [name, peer] : c_.members.peers()) {
     if (peer.state != membership::PeerState::kDead) out.insert(name);
@@ -59,7 +59,7 @@
   return out;
 }
 
-void Requests::CollectAnswers(const std::string& id, int32_t fence_below) {
+void Requests::QueryEntries(const std::string& id, int32_t fence_below) {
   struct Round {
     std::map<std::string, wire::FindReply> answers;
     size_t open = 0;
@@ -77,12 +77,12 @@
                    name = name](const Result<wire::FindReply>& reply) {
                     if (reply.ok()) round->answers[name] = reply.value();
                     if (--round->open > 0) return;
-                    EvaluateSettlement(id, fence_below, round->answers);
+                    EvaluateAnswers(id, fence_below, round->answers);
                   });
   }
   if (round->open > 0) return;
   c_.executor.Post([this, id, fence_below, round] {
-    EvaluateSettlement(id, fence_below, round->answers);
+    EvaluateAnswers(id, fence_below, round->answers);
   });
 }
 
@@ -101,18 +101,18 @@
                               ? c_.executor.Now() - options_.outcome_window
                               : record.placed;
   input.upstream_vanished = vanished >= since;
-  input.vanished_surely_lapsed =
+  input.removed_upstream_leases_expired =
       c_.executor.Now() - vanished > options_.lease + options_.max_delay;
   return input;
 }
 
-void Requests::EvaluateSettlement(
+void Requests::EvaluateAnswers(
     const std::string& id, int32_t fence_below,
     const std::map<std::string, wire::FindReply>& answers) {
   Record* record = FindMutable(id);
-  if (record == nullptr || !record->settling) return;
+  if (record == nullptr || !record->resolving) return;
   const TimePoint now = c_.executor.Now();
-  const std::set<std::string> listed = ListedEntries();
+  const std::set<std::string> listed = LiveEntries();
   const bool answered_all = std::all_of(
       listed.begin(), listed.end(),
       [&](const std::string& name) { return answers.contains(name); });
@@ -120,14 +120,14 @@
     record->fenced_everywhere = true;
     record->fenced_since = now;
   }
-  const auto next = [this, id, loop = record->settle_loop] {
-    c_.executor.RunAfter(options_.settle_every,
-                         [this, id, loop] { SettleRound(id, loop); });
+  const auto next = [this, id, loop = record->resolve_loop] {
+    c_.executor.RunAfter(options_.resolve_interval,
+                         [this, id, loop] { RunResolveRound(id, loop); });
   };
   if (record->phase == Phase::kReclaiming) {
     EvaluateReclaim(*record, fence_below, answers);
     record = FindMutable(id);
-    if (record != nullptr && record->settling) next();
+    if (record != nullptr && record->resolving) next();
     return;
   }
   SettlementInput input =
@@ -138,8 +138,8 @@
   const int32_t attempt = record->attempt;
   for (size_t i = 0; i < record->tasks.size(); ++i) {
     TaskRecord& task = record->tasks[i];
-    if (task.phase != TaskPhase::kSettling) continue;
-    if (task.stale_round >= record->settle_round) continue;
+    if (task.phase != TaskPhase::kResolving) continue;
+    if (task.stale_round >= record->resolve_round) continue;
     input.index = static_cast<int32_t>(i);
     input.lapse_proved = lease_over && task.lapse_assumed;
     input.began = task.began;
@@ -164,11 +164,11 @@
         break;
       case SettlementResult::kNotStarted:
         report.result = wire::TaskEnd::kNotStarted;
-        report.reason = "every entry and upstream says so";
+        report.reason = "no entry or upstream has it";
         break;
       case SettlementResult::kGone:
         report.result = wire::TaskEnd::kLost;
-        report.reason = "its upstream is gone";
+        report.reason = "its upstream was lost";
         break;
     }
     ApplyReport(*record, report);
@@ -176,18 +176,19 @@
   }
   const bool open = std::any_of(
       record->tasks.begin(), record->tasks.end(),
-      [](const TaskRecord& t) { return t.phase == TaskPhase::kSettling; });
-  record->settling = open;
+      [](const TaskRecord& t) { return t.phase == TaskPhase::kResolving; });
+  record->resolving = open;
   if (!open) {
     record->why = "";
     return;
   }
-  // Whoever waits for a request that may not be repeated is told what is
-  // known once every lease of it must have ended.
-  const Millis patience = 3 * (options_.lease + options_.max_delay);
-  if (!record->spec.repeatable && now - record->settle_since > patience) {
+  // The caller of a request that is not repeatable gets its answer once every
+  // lease of the attempt must have expired.
+  const Millis resolve_timeout = 3 * (options_.lease + options_.max_delay);
+  if (!record->spec.repeatable &&
+      now - record->resolve_since > resolve_timeout) {
     return End(*record, wire::Verdict::kUnknown,
-               "its controller is silent and it may have run");
+               "its controller is unresponsive and it may have run");
   }
   next();
 }
@@ -201,44 +202,45 @@
       return Finish(record, reply.outcome);
     }
   }
-  const WordsSummary words = SummariseWords(answers);
-  if (words.running) {
-    record.why = "running; its former owner is gone";
+  const TaskSummary summary = SummarizeTasks(answers);
+  if (summary.running) {
+    record.why = "running; its former owner is dead";
     return;
   }
-  if (words.done()) return Finish(record, DoneOutcome(words));
-  if (!words.ends.empty() && !record.spec.repeatable) {
+  if (summary.done()) return Finish(record, CombineAnswers(summary));
+  if (!summary.results.empty() && !record.spec.repeatable) {
     return End(record, wire::Verdict::kUnknown,
-               "its former owner started it and is gone");
+               "its former owner started it and is dead");
   }
   SettlementInput input = MakeSettlementInput(record, answers, fence_below > 0);
   input.attempt = -1;
   const Settlement result = Settle(input);
-  // Absence proves that it does not run. It does not prove that it never ran:
-  // its former owner may have taken the answer and had the end released.
-  // An owner that is only cut off from here goes on: it may attach upstreams
-  // anew after this sweep and start its next attempt beside ours.
-  const bool gone =
+  // Absence proves that the request is not running. It does not prove that it
+  // never ran: the former owner may have received the answer and had the
+  // result released. An owner that is only partitioned from this entry
+  // continues: after this round it may attach upstreams again and start its
+  // next attempt in parallel with the attempt of this entry.
+  const bool owner_dead =
       c_.members.SurelyGone(record.former_owner, record.former_incarnation);
-  const bool settled =
-      gone && (result.result == SettlementResult::kNotStarted ||
-               result.result == SettlementResult::kGone);
-  if (settled && record.spec.repeatable) {
-    record.settling = false;
-    record.ran = true;  // under its former owner, for all that is known
+  const bool resolved =
+      owner_dead && (result.result == SettlementResult::kNotStarted ||
+                     result.result == SettlementResult::kGone);
+  if (resolved && record.spec.repeatable) {
+    record.resolving = false;
+    record.ran = true;  // the former owner may have run it
     record.phase = Phase::kClaiming;
-    record.why = "its key is being claimed anew";
+    record.why = "its key is being claimed again";
     return Claim(record.spec.id);
   }
-  if (settled) {
+  if (resolved) {
     return End(record, wire::Verdict::kUnknown,
-               "its former owner is gone and it may have run");
+               "its former owner is dead and it may have run");
   }
-  const Millis patience = 3 * (options_.lease + options_.max_delay);
-  if (c_.executor.Now() - record.settle_since > patience) {
+  const Millis resolve_timeout = 3 * (options_.lease + options_.max_delay);
+  if (c_.executor.Now() - record.resolve_since > resolve_timeout) {
     End(record, wire::Verdict::kUnknown,
-        "its former owner is gone and not every upstream can be asked",
-        kLongestRetryMs);
+        "its former owner is dead and not every upstream is reachable",
+        kMaxRetryMs);
   }
 }
 
--- a/src/requests/retry_budget.h
+++ b/src/requests/retry_budget.h
@@ -6,15 +6,15 @@
 
 namespace mimosarail::requests {
 
-/// Bounds retries of a rule to a share of its starts, so that an outage of
-/// upstreams does not multiply the load. Not thread-safe.
+/// Limits the retries of a rule to a fraction of its starts, so that an outage
+/// of upstreams does not multiply the load. Not thread-safe.
 class RetryBudget {
  public:
   void NoteStart(const std::string& rule) {
     double& tokens = Tokens(rule);
-    tokens = std::min(kMost, tokens + kShare);
+    tokens = std::min(kMaxTokens, tokens + kTokensPerStart);
   }
-  /// Takes one retry; false when the budget is spent.
+  /// Consumes one retry; returns false if the budget is exhausted.
   bool Take(const std::string& rule) {
     double& tokens = Tokens(rule);
     if (tokens < 1) return false;
@@ -23,11 +23,11 @@
   }
 
  private:
-  static constexpr double kShare = 0.2;
-  static constexpr double kFirst = 10;
-  static constexpr double kMost = 100;
+  static constexpr double kTokensPerStart = 0.2;
+  static constexpr double kInitialTokens = 10;
+  static constexpr double kMaxTokens = 100;
   double& Tokens(const std::string& rule) {
-    return tokens_.emplace(rule, kFirst).first->second;
+    return tokens_.emplace(rule, kInitialTokens).first->second;
   }
   std::map<std::string, double> tokens_;
 };
--- a/src/requests/settlement.cc
+++ b/src/requests/settlement.cc
@@ -5,24 +5,25 @@
 namespace mimosarail::requests {
 namespace {
 
-const wire::TaskWord* FindWord(const wire::FindReply& reply,
+const wire::TaskWord* FindTask(const wire::FindReply& reply,
                                const SettlementInput& input) {
-  for (const wire::TaskWord& word : reply.tasks) {
-    if (word.attempt == input.attempt && word.index == input.index) {
-      return &word;
+  for (const wire::TaskWord& task : reply.tasks) {
+    if (task.attempt == input.attempt && task.index == input.index) {
+      return &task;
     }
   }
   return nullptr;
 }
 
-/// Words that only say "look elsewhere".
-bool SaysNothing(const wire::TaskWord& word) {
-  return word.ended && (word.report.result == wire::TaskEnd::kMoved ||
-                        word.report.result == wire::TaskEnd::kLapseAssumed);
+/// Whether the result only says that another entry may know more.
+bool IsInconclusive(const wire::TaskWord& task) {
+  return task.ended && (task.report.result == wire::TaskEnd::kMoved ||
+                        task.report.result == wire::TaskEnd::kLapseAssumed);
 }
 
-/// Every listed upstream is attached by an entry that answered: its inventory
-/// was read under a term that fences all starts of older ones.
+/// Whether each listed upstream is attached to an entry that answered. That
+/// entry has read the inventory under a term that fences all starts of older
+/// terms.
 bool UpstreamsCovered(const SettlementInput& input) {
   std::set<std::string> attached;
   for (const auto& [entry, reply] : *input.answers) {
@@ -39,28 +40,29 @@
   Settlement out;
   bool began = input.began;
   for (const auto& [entry, reply] : *input.answers) {
-    const wire::TaskWord* word = FindWord(reply, input);
-    if (word == nullptr) continue;
-    if (SaysNothing(*word)) {
-      began |= word->report.began;
+    const wire::TaskWord* task = FindTask(reply, input);
+    if (task == nullptr) continue;
+    if (IsInconclusive(*task)) {
+      began |= task->report.began;
       continue;
     }
-    if (word->ended) {
+    if (task->ended) {
       out.result = SettlementResult::kEnded;
-      out.report = word->report;
+      out.report = task->report;
       return out;
     }
     out.result = SettlementResult::kHeld;
     out.holder = entry;
   }
   if (out.result == SettlementResult::kHeld) return out;
-  // Without the fence an entry that has just said "not here" could still take
-  // a delayed call and start the task.
+  // Without the fence, an entry that has just answered that it does not have
+  // the task could still receive a delayed call and start it.
   if (!input.fenced) return out;
-  if (UpstreamsCovered(input) && input.vanished_surely_lapsed) {
-    // Ends stay in an upstream's inventory until the owner has taken them, so
-    // absence everywhere means that it never started, unless an upstream
-    // took its inventory away with it, or crashed and came back without.
+  if (UpstreamsCovered(input) && input.removed_upstream_leases_expired) {
+    // An upstream keeps results in its inventory until the owner has received
+    // them, so a task that is absent everywhere never started. The exceptions
+    // are an upstream that was removed together with its inventory and one
+    // that lost it in a crash.
     out.result = input.upstream_vanished || began
                      ? SettlementResult::kGone
                      : SettlementResult::kNotStarted;
--- a/src/requests/settlement.h
+++ b/src/requests/settlement.h
@@ -10,33 +10,35 @@
 
 namespace mimosarail::requests {
 
-/// What was asked of every reachable entry about one task of an attempt.
+/// The answers of all reachable entries about one task of an attempt.
 struct SettlementInput {
   int32_t attempt = 0;
   int32_t index = 0;
-  /// Answers of this sweep by entry name, this entry's own among them.
+  /// Answers of this round by entry name, including this entry's own.
   const std::map<std::string, wire::FindReply>* answers = nullptr;
   /// Upstreams in the instance list.
   std::set<std::string> listed_upstreams;
-  /// Whether every answer of the sweep set a fence above the attempt.
+  /// Whether every entry that answered in this round fenced the attempt.
   bool fenced = false;
-  /// An upstream left the list since the attempt was placed.
+  /// An upstream was removed from the instance list after the attempt was
+  /// placed.
   bool upstream_vanished = false;
-  /// The last upstream to leave the list did so longer ago than any lease.
-  bool vanished_surely_lapsed = true;
-  /// The controller gave the upstream up, and since every entry was fenced
-  /// more than a lease and the longest delay have passed.
+  /// The latest removal of an upstream from the list lies further back than
+  /// any lease lasts.
+  bool removed_upstream_leases_expired = true;
+  /// The controller assumed that the lease had expired, and more than one
+  /// lease plus the maximum delay has passed since every entry was fenced.
   bool lapse_proved = false;
-  /// Its upstream had confirmed the start.
+  /// The upstream had confirmed the start of the task.
   bool began = false;
 };
 
 enum class SettlementResult {
-  kWait,        ///< Not enough is known; ask again.
-  kHeld,        ///< An entry holds the running task.
-  kEnded,       ///< Its end is known.
-  kNotStarted,  ///< Certain: it never started and cannot start any more.
-  kGone,        ///< Certain: it does not run; it may have run.
+  kWait,        ///< Too little is known; ask again.
+  kHeld,        ///< An entry controls the running task.
+  kEnded,       ///< The result of the task is known.
+  kNotStarted,  ///< Certain: it never started and cannot start.
+  kGone,        ///< Certain: it is not running; it may have run.
 };
 
 struct Settlement {
@@ -45,8 +47,8 @@
   wire::ReportCall report;
 };
 
-/// Decides from the answers what became of a task whose controller is silent.
-/// Pure; safe from any thread.
+/// Resolves the outcome of a task whose controller is unresponsive.
+/// Pure function; safe to call from any thread.
 Settlement Settle(const SettlementInput& input);
 
 }  // namespace mimosarail::requests
