--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -10,22 +10,25 @@
 
 namespace mimosarail::control {
 
-/// The upstreams of the cell: sessions for those whose rack prefers this
-/// entry, and what the instance list says of all. Control thread only.
+/// The upstreams of the cell: sessions for the upstreams on racks assigned to
+/// this entry, and the instance list entries of all upstreams. Control thread
+/// only.
 class Controller {
  public:
-  /// The ports and the listener outlive it.
+  /// The executor, the port and the listener must outlive it.
   Controller(Executor& executor, ports::UpstreamPort& port,
              SessionListener& listener, SessionOptions options);
 
-  /// Takes over the instance list.
+  /// Applies a new version of the instance list.
   void SetListed(const std::vector<wire::ListedInstance>& instances);
   /// `controller_of` maps each rack to its preferred controller; `minority`
-  /// tells that this entry hears less than half of the others.
+  /// is set if this entry receives heartbeats from less than half of the other
+  /// entries.
   void SetAssignment(std::map<std::string, std::string> controller_of,
                      bool minority);
 
-  /// Sessions by upstream name: those wanted here and those not yet let go.
+  /// Sessions by upstream name, including those that are no longer assigned to
+  /// this entry but not yet finished.
   const std::map<std::string, std::shared_ptr<UpstreamSession>>& sessions()
       const {
     return sessions_;
@@ -39,13 +42,14 @@
   const std::map<std::string, wire::ListedInstance>& listed() const {
     return listed_;
   }
-  /// Rises when the list of upstreams changed.
+  /// Incremented when the list of upstreams changes.
   int64_t list_version() const { return list_version_; }
   /// Preferred controller of a rack, or "" while unknown.
   std::string ControllerOf(const std::string& rack) const;
-  /// Names of upstreams attached here with the inventory counted in.
+  /// Names of the upstreams attached here whose inventory has been adopted.
   std::vector<std::string> Attached() const;
-  /// Those of which control was confirmed by the upstream after `since`.
+  /// Names of the attached upstreams that have confirmed control of this entry
+  /// after `since`.
   std::vector<std::string> AttachedSince(TimePoint since) const;
   /// When an upstream last left the instance list; epoch if never.
   TimePoint last_delisting() const { return last_delisting_; }
--- a/src/control/upstream_session.cc
+++ b/src/control/upstream_session.cc
@@ -17,11 +17,11 @@
     EnumName{SessionPhase::kReady, "ready"},
 }};
 
-/// Leases are renewed this many times within their length.
+/// Number of renewals within one lease duration.
 constexpr int kRenewalsPerLease = 3;
 constexpr int kCollectAttempts = 3;
 
-bool Whole(const wire::TaskStatus& status) {
+bool IsComplete(const wire::TaskStatus& status) {
   return static_cast<int64_t>(status.answer.size()) == status.answer_length &&
          Digest(status.answer) == status.answer_digest;
 }
@@ -48,7 +48,7 @@
       options_(std::move(options)),
       listed_(std::move(listed)),
       attach_retry_(options_.attach_retry),
-      contest_(options_.contest_first),
+      contest_backoff_(options_.contest_backoff_initial),
       random_(options_.seed ^ Hash64(listed_.name)) {
   row_ = room_.Add(
       {.name = listed_.name,
@@ -67,16 +67,16 @@
   return delisted_ || phase_ == SessionPhase::kIdle;
 }
 
-/// Callbacks of calls made before the last attach or loss of control must not
-/// touch the present state: a renewal reply that was on its way would bring
-/// back tasks that the new inventory has already settled.
+/// Drops replies to calls made before the last attach or loss of control: a
+/// delayed renewal reply would restore tasks that the new inventory has already
+/// resolved.
 template <typename Reply>
 Callback<Reply> UpstreamSession::Guard(
     std::function<void(const Result<Reply>&)> handle) {
-  return [weak = weak_from_this(), era = era_,
+  return [weak = weak_from_this(), generation = generation_,
           handle = std::move(handle)](const Result<Reply>& reply) {
     const auto self = weak.lock();
-    if (self && self->era_ == era) handle(reply);
+    if (self && self->generation_ == generation) handle(reply);
   };
 }
 
@@ -97,18 +97,18 @@
 void UpstreamSession::UpdateUsable() {
   const bool was = room_.row(row_).usable;
   room_.SetUsable(row_, usable());
-  if (was != usable()) listener_.OnRoomChanged();
+  if (was != usable()) listener_.OnCapacityChanged();
 }
 
 void UpstreamSession::Attach() {
-  // Attaching without being preferred would take the upstream from the entry
-  // that is; the owners of the tasks find them there.
-  if (!preferred_) return MoveAway();
+  // Attaching without being the preferred controller would take the upstream
+  // from the entry that is. The owners of the tasks find them there.
+  if (!preferred_) return HandOver();
   phase_ = SessionPhase::kAttaching;
   UpdateUsable();
-  ++era_;
-  // Also after a lost reply: that attach may have taken effect, and only a
-  // higher term fences what was sent under it.
+  ++generation_;
+  // The term is also increased after a lost reply: that attach may have taken
+  // effect, and only a higher term fences calls sent under it.
   term_ = std::max(seen_term_, term_) + 1;
   seen_term_ = term_;
   wire::AttachCall call;
@@ -129,7 +129,7 @@
     const auto self = weak.lock();
     if (!self) return;
     self->attach_pending_ = false;
-    self->CheckLapse();
+    self->CheckLeaseExpiry();
     if (self->phase_ != SessionPhase::kReady) self->Attach();
   });
 }
@@ -137,13 +137,15 @@
 void UpstreamSession::OnAttach(const Result<wire::AttachReply>& reply) {
   if (!reply.ok()) {
     AttachLater(attach_retry_);
-    attach_retry_ = std::min(attach_retry_ * 2, options_.attach_retry_longest);
+    attach_retry_ = std::min(attach_retry_ * 2, options_.attach_retry_max);
     return;
   }
   attach_retry_ = options_.attach_retry;
   if (reply.value().status != wire::CallStatus::kOk) {
     seen_term_ = std::max(seen_term_, reply.value().term);
-    if (executor_.Now() < contest_until_) return AttachLater(contest_);
+    if (executor_.Now() < contest_backoff_until_) {
+      return AttachLater(contest_backoff_);
+    }
     return Attach();
   }
   phase_ = SessionPhase::kReady;
@@ -151,34 +153,36 @@
                  {{"upstream", listed_.name},
                   {"term", std::to_string(term_)},
                   {"tasks", std::to_string(reply.value().inventory.size())}});
-  Count(reply.value());
+  AdoptInventory(reply.value());
 }
 
-/// Counts in what the old terms left behind. Every start of an older term is
-/// fenced from here on, so a doubtful start that is absent never will happen.
-void UpstreamSession::Count(const wire::AttachReply& reply) {
+/// Adopts the tasks left by older terms. Every start of an older term is fenced
+/// from now on, so a start in doubt that is absent from the inventory cannot
+/// take effect any more.
+void UpstreamSession::AdoptInventory(const wire::AttachReply& reply) {
   room_.SetCapacity(row_, placement::ToAmount(reply.capacity, reply.slots));
-  std::map<std::string, Task> before = TakeTasks();
+  std::map<std::string, Task> before = ReleaseTasks();
   seen_end_ = 0;
-  const uint64_t era = era_;
+  const uint64_t generation = generation_;
   std::vector<std::string> unwanted;
   for (const wire::TaskStatus& status : reply.inventory) {
     before.erase(status.spec.task_id);
-    CountStatus(status, unwanted);
+    AdoptTask(status, unwanted);
   }
   for (const auto& [id, task] : before) {
     if (task.phase == TaskPhase::kRunning) {
       listener_.OnLost(listed_.name, task.spec);
     } else {
-      listener_.OnNotStarted(listed_.name, task.spec, "absent after fencing");
+      listener_.OnNotStarted(listed_.name, task.spec,
+                             "absent from the inventory after fencing");
     }
   }
-  if (era != era_) return;
+  if (generation != generation_) return;
   StopBeforeRenew(unwanted);
 }
 
-void UpstreamSession::CountStatus(const wire::TaskStatus& status,
-                                  std::vector<std::string>& unwanted) {
+void UpstreamSession::AdoptTask(const wire::TaskStatus& status,
+                                std::vector<std::string>& unwanted) {
   if (status.state != wire::TaskState::kRunning) {
     return HandleEnd(status);
   }
@@ -190,14 +194,15 @@
   }
 }
 
-/// A task whose attempt was given up must not have its lease renewed: its
-/// owner may have started it elsewhere once the lease was sure to be over.
+/// The lease of a task whose attempt was abandoned must not be renewed: its
+/// owner may have started it elsewhere once the lease was certain to have
+/// expired.
 void UpstreamSession::StopBeforeRenew(
     const std::vector<std::string>& unwanted) {
   if (unwanted.empty()) {
     UpdateUsable();
     Renew();
-    return listener_.OnRoomChanged();
+    return listener_.OnCapacityChanged();
   }
   wire::SteerCall call;
   call.upstream = listed_.name;
@@ -212,11 +217,13 @@
                 }
                 UpdateUsable();
                 Renew();
-                listener_.OnRoomChanged();
+                listener_.OnCapacityChanged();
               }));
 }
 
-void UpstreamSession::NoteExtension() { last_extension_ = executor_.Now(); }
+void UpstreamSession::RecordLeaseExtension() {
+  last_lease_extension_ = executor_.Now();
+}
 
 void UpstreamSession::Renew() {
   wire::RenewCall call;
@@ -226,7 +233,7 @@
   call.wait_ms = options_.lease.count() / kRenewalsPerLease;
   call.seen = seen_end_;
   call.release = std::exchange(release_, {});
-  NoteExtension();
+  RecordLeaseExtension();
   port_.Renew(listed_.address, call,
               Guard<wire::RenewReply>(
                   [this, released = call.release, sent = executor_.Now()](
@@ -237,14 +244,15 @@
                               const std::vector<std::string>& released,
                               TimePoint sent) {
   if (!reply.ok()) {
-    // Releasing twice does no harm; not releasing would fill the upstream.
+    // Releasing twice is harmless. Without a release, the upstream would keep
+    // the results and run full.
     release_.insert(release_.end(), released.begin(), released.end());
     return LoseContact();
   }
   if (reply.value().status != wire::CallStatus::kOk) {
     return LoseControl(reply.value().term);
   }
-  contest_ = options_.contest_first;
+  contest_backoff_ = options_.contest_backoff_initial;
   confirmed_since_ = sent;
   for (const wire::TaskStatus& status : reply.value().ended) {
     HandleEnd(status);
@@ -254,14 +262,15 @@
 
 void UpstreamSession::Start(const wire::TaskSpec& task) {
   MR_EXPECT(phase_ == SessionPhase::kReady,
-            return listener_.OnNotStarted(listed_.name, task, "not attached"));
+            return listener_.OnNotStarted(listed_.name, task,
+                                          "upstream is not attached"));
   tasks_[task.task_id] = {task, TaskPhase::kStarting};
   wire::StartCall call;
   call.upstream = listed_.name;
   call.term = term_;
   call.lease_ms = options_.lease.count();
   call.task = task;
-  NoteExtension();
+  RecordLeaseExtension();
   port_.Start(
       listed_.address, call,
       Guard<wire::StartReply>([this, id = task.task_id](const auto& reply) {
@@ -272,11 +281,11 @@
 void UpstreamSession::OnStart(const std::string& task_id,
                               const Result<wire::StartReply>& reply) {
   const auto found = tasks_.find(task_id);
-  if (found == tasks_.end()) return;  // it ended before the reply came
+  if (found == tasks_.end()) return;  // it ended before the reply arrived
   if (!reply.ok() && reply.error().code != Errc::kUnavailable) {
-    // Neither running nor free: the room stays reserved, and attaching with a
-    // higher term settles it.
-    found->second.phase = TaskPhase::kDoubtful;
+    // The start is in doubt: the capacity stays reserved until an attach with a
+    // higher term resolves it.
+    found->second.phase = TaskPhase::kInDoubt;
     return LoseContact();
   }
   if (reply.ok() && reply.value().status == wire::CallStatus::kOk) {
@@ -306,18 +315,20 @@
 void UpstreamSession::HandleEnd(const wire::TaskStatus& status) {
   seen_end_ = std::max(seen_end_, status.sequence);
   const bool answered = status.state == wire::TaskState::kFinished;
-  if (answered && !Whole(status)) return CollectEnd(status, kCollectAttempts);
+  if (answered && !IsComplete(status)) {
+    return CollectEnd(status, kCollectAttempts);
+  }
   Drop(status.spec.task_id);
   if (answered) room_.NoteSuccess(row_);
   if (status.state == wire::TaskState::kFailed) {
     room_.NoteFailure(row_, executor_.Now());
   }
   listener_.OnEnded(listed_.name, status);
-  listener_.OnRoomChanged();
+  listener_.OnCapacityChanged();
 }
 
-/// The answer was too long for the reply, or came cut: fetch it until length
-/// and digest agree. A cut answer is never handed on.
+/// Fetches an answer that was too long for the reply or arrived truncated,
+/// until length and digest match. A truncated answer is never passed on.
 void UpstreamSession::CollectEnd(wire::TaskStatus status, int attempts_left) {
   if (attempts_left == 0) {
     status.state = wire::TaskState::kLapsed;
@@ -333,7 +344,7 @@
                                  attempts_left](const auto& reply) mutable {
         if (reply.ok() && reply.value().found) {
           status.answer = reply.value().answer;
-          if (Whole(status)) return HandleEnd(status);
+          if (IsComplete(status)) return HandleEnd(status);
         }
         CollectEnd(std::move(status), attempts_left - 1);
       }));
@@ -366,28 +377,31 @@
   release_.push_back(task_id);
 }
 
-/// Another controller attached with a higher term: whatever runs there is its
-/// business now. This entry neither renews nor judges it any more.
+/// Another controller has attached with a higher term and is now responsible
+/// for the tasks of the upstream. This entry no longer renews their leases or
+/// determines their results.
 void UpstreamSession::LoseControl(int64_t term) {
   seen_term_ = std::max(seen_term_, term);
   logging::Event(logging::Level::kInfo, "upstream_moved",
                  {{"upstream", listed_.name}, {"term", std::to_string(term)}});
-  MoveAway();
+  HandOver();
   if (!preferred_) return;
-  // Two entries whose views differ would take the upstream from each other
-  // without end, and no settlement could finish; each waits longer after every
-  // loss, and one that is probably cut off itself yields at once.
-  if (minority_) contest_ = options_.contest_longest;
-  contest_until_ = executor_.Now() + contest_;
-  AttachLater(contest_);
-  contest_ = std::min(contest_ * 2, options_.contest_longest);
+  // Two entries with different views of the membership would take the upstream
+  // from each other again and again, and the outcome of its tasks could never
+  // be resolved. Each of them therefore waits longer after every loss, and an
+  // entry that is probably partitioned uses the maximum backoff immediately.
+  if (minority_) contest_backoff_ = options_.contest_backoff_max;
+  contest_backoff_until_ = executor_.Now() + contest_backoff_;
+  AttachLater(contest_backoff_);
+  contest_backoff_ =
+      std::min(contest_backoff_ * 2, options_.contest_backoff_max);
 }
 
-void UpstreamSession::MoveAway() {
-  ++era_;
+void UpstreamSession::HandOver() {
+  ++generation_;
   phase_ = SessionPhase::kIdle;
   release_.clear();
-  const std::map<std::string, Task> tasks = TakeTasks();
+  const std::map<std::string, Task> tasks = ReleaseTasks();
   UpdateUsable();
   for (const auto& [id, task] : tasks) {
     listener_.OnMoved(listed_.name, task.spec,
@@ -395,7 +409,7 @@
   }
 }
 
-std::map<std::string, UpstreamSession::Task> UpstreamSession::TakeTasks() {
+std::map<std::string, UpstreamSession::Task> UpstreamSession::ReleaseTasks() {
   std::map<std::string, Task> tasks = std::exchange(tasks_, {});
   for (const auto& [id, task] : tasks) {
     room_.Give(row_, placement::TaskAmount(task.spec.size), GroupOf(task.spec));
@@ -404,39 +418,41 @@
 }
 
 void UpstreamSession::LoseContact() {
-  ++era_;
+  ++generation_;
   phase_ = SessionPhase::kAttaching;
   UpdateUsable();
   for (auto& [id, task] : tasks_) {
-    if (task.phase == TaskPhase::kStarting) task.phase = TaskPhase::kDoubtful;
+    if (task.phase == TaskPhase::kStarting) task.phase = TaskPhase::kInDoubt;
   }
   AttachLater(Millis(0));
 }
 
-/// With the upstream silent, the leases of what runs there end by its own
-/// clock: at the latest when the last call that could extend one has arrived
-/// and run out. A start without a reply is different: it may lie unread in a
-/// frozen upstream and take effect when that wakes, however late. It stays
-/// reserved until an attach settles it; its owner is told to look around.
-void UpstreamSession::CheckLapse() {
+/// While the upstream is unresponsive, the leases of its tasks expire by its
+/// own clock: at the latest one lease duration after the last call that could
+/// extend them has arrived. A start without a reply is different: it may be
+/// queued unread in a paused upstream and take effect when that resumes, at any
+/// later time. Its capacity stays reserved until an attach resolves it, and its
+/// owner is notified so that it queries the other entries.
+void UpstreamSession::CheckLeaseExpiry() {
   if (phase_ == SessionPhase::kReady || tasks_.empty()) return;
-  const auto horizon = last_extension_ + options_.lease + options_.max_delay;
+  const auto horizon =
+      last_lease_extension_ + options_.lease + options_.max_delay;
   if (executor_.Now() <= horizon) return;
-  std::vector<wire::TaskSpec> lapsed;
-  std::vector<wire::TaskSpec> doubtful;
+  std::vector<wire::TaskSpec> expired;
+  std::vector<wire::TaskSpec> in_doubt;
   for (auto& [id, task] : tasks_) {
     if (task.phase == TaskPhase::kRunning) {
-      lapsed.push_back(task.spec);
-    } else if (!task.told) {
-      task.told = true;
-      doubtful.push_back(task.spec);
+      expired.push_back(task.spec);
+    } else if (!task.reported_in_doubt) {
+      task.reported_in_doubt = true;
+      in_doubt.push_back(task.spec);
     }
   }
-  for (const wire::TaskSpec& task : lapsed) {
+  for (const wire::TaskSpec& task : expired) {
     Drop(task.task_id);
     listener_.OnLapseAssumed(listed_.name, task);
   }
-  for (const wire::TaskSpec& task : doubtful) {
+  for (const wire::TaskSpec& task : in_doubt) {
     listener_.OnMoved(listed_.name, task, false);
   }
 }
--- a/src/control/upstream_session.h
+++ b/src/control/upstream_session.h
@@ -17,108 +17,114 @@
   Millis lease{8000};
   Millis max_delay{2000};
   Millis attach_retry{200};
-  Millis attach_retry_longest{2000};
-  Millis contest_first{1000};
-  Millis contest_longest{30000};
+  Millis attach_retry_max{2000};
+  Millis contest_backoff_initial{1000};
+  Millis contest_backoff_max{30000};
   uint64_t seed = 1;
 };
 
-/// Learns what becomes of the tasks of a session. Control thread only.
+/// Receives the results of the tasks of a session. Control thread only.
 class SessionListener {
  public:
   virtual ~SessionListener() = default;
-  /// A running task was found in the inventory. False has it stopped before
-  /// any lease is renewed.
+  /// A running task was found in the inventory. If this returns false, the task
+  /// is stopped before any lease is renewed.
   virtual bool OnFound(const std::string& upstream,
                        const wire::TaskSpec& task) = 0;
-  /// Upstream's word: the task ended. Release() it once its end is safe.
+  /// The upstream reports that the task ended. Release() the task once its
+  /// result is stored elsewhere.
   virtual void OnEnded(const std::string& upstream,
                        const wire::TaskStatus& status) = 0;
   /// Certain: the start did not and will not take effect.
   virtual void OnNotStarted(const std::string& upstream,
                             const wire::TaskSpec& task,
                             const std::string& reason) = 0;
-  /// It had started and is gone without an end in the inventory.
+  /// The task had started and is no longer in the inventory, not even as ended.
   virtual void OnLost(const std::string& upstream,
                       const wire::TaskSpec& task) = 0;
-  /// The upstream was silent past the lease; another controller may know more.
+  /// The upstream was unresponsive for longer than the lease. Another
+  /// controller may know more.
   virtual void OnLapseAssumed(const std::string& upstream,
                               const wire::TaskSpec& task) = 0;
-  /// Another controller has taken the upstream. `began`: the upstream had
-  /// confirmed the start.
+  /// Another controller has attached the upstream. `began` is set if the
+  /// upstream had confirmed the start.
   virtual void OnMoved(const std::string& upstream, const wire::TaskSpec& task,
                        bool began) = 0;
-  /// Room came free, or the session became usable or unusable.
-  virtual void OnRoomChanged() = 0;
+  /// Capacity was released, or the session became usable or unusable.
+  virtual void OnCapacityChanged() = 0;
 };
 
 enum class SessionPhase {
-  kIdle,       ///< Not wanted here.
-  kAttaching,  ///< Wanted; control or the inventory is missing.
-  kReady,      ///< In control, inventory counted in.
+  kIdle,       ///< Not assigned to this entry.
+  kAttaching,  ///< Assigned; control or the inventory is missing.
+  kReady,      ///< In control, inventory adopted.
 };
 
 std::string_view SessionPhaseName(SessionPhase phase);
 
-/// Control of one upstream by this entry: attach with a rising term, count the
-/// inventory in before anything starts, renew all leases in one call, settle
-/// doubtful starts. Control thread only.
+/// Control of one upstream by this entry: attaches with increasing terms,
+/// adopts the inventory before it starts tasks, renews all leases in one call
+/// and resolves starts that are in doubt. Control thread only.
 class UpstreamSession : public std::enable_shared_from_this<UpstreamSession> {
  public:
-  /// The ports, room and listener outlive it.
+  /// The executor, port, room and listener must outlive it.
   UpstreamSession(Executor& executor, ports::UpstreamPort& port,
                   placement::Room& room, SessionListener& listener,
                   SessionOptions options, wire::ListedInstance listed);
 
-  /// Whether this entry is the preferred controller. Losing preference stops
-  /// new starts; leases are renewed until another controller has attached.
+  /// Sets whether this entry is the preferred controller. If it no longer is,
+  /// new starts stop, and leases are renewed until another controller has
+  /// attached.
   void SetPreferred(bool preferred);
-  /// Whether this entry hears only a minority of the others.
+  /// Sets whether this entry receives heartbeats from only a minority of the
+  /// other entries.
   void SetMinority(bool minority) { minority_ = minority; }
-  /// Takes over what the instance list says now (address, leaving).
+  /// Applies a changed instance list entry, such as a new address or state.
   void Update(const wire::ListedInstance& listed);
-  /// The instance list no longer has the upstream.
+  /// The upstream is no longer in the instance list.
   void SetDelisted() { delisted_ = true; }
 
-  /// Starts a task whose room is reserved on row(). Precondition: usable().
+  /// Starts a task whose capacity is reserved on row(). Precondition: usable().
   void Start(const wire::TaskSpec& task);
-  /// Asks the upstream to stop tasks; their ends come as usual.
+  /// Asks the upstream to stop tasks. Their results are reported as usual.
   void Stop(const std::vector<std::string>& task_ids);
   void Steer(wire::SteerAction::type action,
              const std::vector<std::string>& task_ids, int32_t percent);
-  /// The end of the task is known where it matters; the upstream may forget it.
+  /// The owner has received the result of the task; the upstream may discard
+  /// it.
   void Release(const std::string& task_id);
 
   bool usable() const;
   SessionPhase phase() const { return phase_; }
   /// Send time of the latest renewal that the upstream has answered under the
-  /// present term; proves control at some moment after it.
+  /// current term. Proves control at some time after it.
   TimePoint confirmed_since() const { return confirmed_since_; }
   placement::RowId row() const { return row_; }
   const wire::ListedInstance& listed() const { return listed_; }
   int64_t term() const { return term_; }
   bool delisted() const { return delisted_; }
-  /// Nothing of it is left to watch.
+  /// Whether the session has nothing left to monitor and can be removed.
   bool finished() const;
   size_t running() const { return tasks_.size(); }
 
-  /// Hash that spreads tasks of one team and work apart.
+  /// Hash of the kind of work, used to spread tasks of one kind.
   static uint64_t GroupOf(const wire::TaskSpec& task);
 
  private:
-  enum class TaskPhase { kStarting, kDoubtful, kRunning };
+  enum class TaskPhase { kStarting, kInDoubt, kRunning };
   struct Task {
     wire::TaskSpec spec;
     TaskPhase phase = TaskPhase::kStarting;
-    bool told = false;  ///< The owner knows that the start is in doubt.
+    /// The owner knows that the start is in doubt.
+    bool reported_in_doubt = false;
   };
 
   void Attach();
   void AttachLater(Millis delay);
   void OnAttach(const Result<wire::AttachReply>& reply);
-  void Count(const wire::AttachReply& reply);
-  void CountStatus(const wire::TaskStatus& status,
-                   std::vector<std::string>& unwanted);
+  void AdoptInventory(const wire::AttachReply& reply);
+  void AdoptTask(const wire::TaskStatus& status,
+                 std::vector<std::string>& unwanted);
   void StopBeforeRenew(const std::vector<std::string>& unwanted);
   void Renew();
   void OnRenew(const Result<wire::RenewReply>& reply,
@@ -128,13 +134,13 @@
   void HandleEnd(const wire::TaskStatus& status);
   void CollectEnd(wire::TaskStatus status, int attempts_left);
   void LoseControl(int64_t term);
-  void MoveAway();
-  std::map<std::string, Task> TakeTasks();
+  void HandOver();
+  std::map<std::string, Task> ReleaseTasks();
   void LoseContact();
-  void CheckLapse();
+  void CheckLeaseExpiry();
   void Drop(const std::string& task_id);
   void UpdateUsable();
-  void NoteExtension();
+  void RecordLeaseExtension();
   template <typename Reply>
   Callback<Reply> Guard(std::function<void(const Result<Reply>&)> handle);
 
@@ -152,14 +158,15 @@
   bool attach_pending_ = false;
   int64_t term_ = 0;
   int64_t seen_term_ = 0;
-  /// Rises with each attach and loss; callbacks of older calls are dropped.
-  uint64_t era_ = 0;
+  /// Incremented with each attach and each loss of contact or control. Replies
+  /// to calls of older generations are dropped.
+  uint64_t generation_ = 0;
   Millis attach_retry_;
-  Millis contest_;
-  TimePoint contest_until_{};
-  TimePoint last_extension_{};
+  Millis contest_backoff_;
+  TimePoint contest_backoff_until_{};
+  TimePoint last_lease_extension_{};
   TimePoint confirmed_since_{};
-  int64_t seen_end_ = 0;  ///< Highest sequence of an end under this term.
+  int64_t seen_end_ = 0;  ///< Highest sequence of a result under this term.
   std::map<std::string, Task> tasks_;
   std::vector<std::string> release_;
   std::mt19937_64 random_;
--- a/src/execution/execution.cc
+++ b/src/execution/execution.cc
@@ -60,13 +60,13 @@
 Execution::Execution(Executor& executor, requests::PeerPort& peers,
                      ExecutionOptions options, RouteTo route,
                      std::function<bool(const wire::ReportCall&)> report_here,
-                     std::function<void()> room_changed)
+                     std::function<void()> capacity_changed)
     : executor_(executor),
       peers_(peers),
       options_(options),
       route_(std::move(route)),
       report_here_(std::move(report_here)),
-      room_changed_(std::move(room_changed)),
+      capacity_changed_(std::move(capacity_changed)),
       policy_(placement::MakeScoredPolicy(options.seed)) {}
 
 void Execution::Start() {
@@ -78,26 +78,26 @@
   return found != fences_.end() && attempt < found->second.below;
 }
 
-Execution::Held* Execution::FindHeld(const std::string& task_id) {
-  const auto found = held_.find(task_id);
-  return found == held_.end() ? nullptr : &found->second;
+Execution::ManagedTask* Execution::FindTask(const std::string& task_id) {
+  const auto found = tasks_.find(task_id);
+  return found == tasks_.end() ? nullptr : &found->second;
 }
 
 wire::PlaceReply Execution::Place(const wire::PlaceCall& call) {
   const wire::RequestSpec& spec = call.context.spec;
   wire::PlaceReply reply;
-  // The owner, or an entry that took the request over, has been told that
-  // this attempt is not here and never will be: a call that was delayed on
-  // the way must not start it now.
+  // The owner, or an entry that reclaims the request, has received the answer
+  // that this attempt is not here and never will be. A delayed call must not
+  // start it now.
   if (Fenced(spec.id, call.attempt)) {
     reply.status = wire::PlaceStatus::kFenced;
     return reply;
   }
-  const bool held =
+  const bool already_placed =
       std::any_of(call.indices.begin(), call.indices.end(), [&](int32_t index) {
-        return held_.contains(TaskId(spec.id, call.attempt, index));
+        return tasks_.contains(TaskId(spec.id, call.attempt, index));
       });
-  if (held) {
+  if (already_placed) {
     reply.status = wire::PlaceStatus::kAccepted;
     return reply;
   }
@@ -118,8 +118,8 @@
 void Execution::StartOn(const wire::PlaceCall& call,
                         const std::vector<placement::RowId>& rows) {
   const wire::RequestSpec& spec = call.context.spec;
-  // The upstream carries the context back to whoever controls it next; the
-  // payload is in the task already.
+  // The upstream returns the context to its next controller. The payload is
+  // already part of the task.
   wire::AttemptContext context = call.context;
   context.spec.payload.clear();
   const std::string context_bytes = rpc::Encode(context);
@@ -136,11 +136,11 @@
     task.work = spec.work;
     task.payload = spec.payload;
     task.context = context_bytes;
-    Held& held = held_[task.task_id];
-    held.context = context;
-    held.task = task;
-    held.task.payload.clear();
-    held.upstream = session->listed().name;
+    ManagedTask& managed = tasks_[task.task_id];
+    managed.context = context;
+    managed.task = task;
+    managed.task.payload.clear();
+    managed.upstream = session->listed().name;
     starts.emplace_back(session, std::move(task));
   }
   for (auto& [session, task] : starts) {
@@ -156,24 +156,24 @@
       fence.below = call.fence_below;
       fence.set_at = executor_.Now();
     }
-    // A process that was paused believes that it controls what others have
-    // taken since. Only control that the upstream confirmed after the fence
-    // proves that no start of another term is still to come.
+    // After a process pause this entry may still list upstreams that other
+    // entries have attached since. Only control that the upstream confirmed
+    // after the fence proves that no start of another term can follow.
     reply.attached = controller_->AttachedSince(fence.set_at);
   }
   const auto fence = fences_.find(call.request_id);
   if (fence != fences_.end()) reply.fence_below = fence->second.below;
   const std::string prefix = call.request_id + "/";
-  for (auto it = held_.lower_bound(prefix);
-       it != held_.end() && it->first.starts_with(prefix); ++it) {
-    const Held& held = it->second;
+  for (auto it = tasks_.lower_bound(prefix);
+       it != tasks_.end() && it->first.starts_with(prefix); ++it) {
+    const ManagedTask& managed = it->second;
     wire::TaskWord word;
-    word.attempt = held.task.attempt;
-    word.index = held.task.index;
-    word.ended = held.ended;
-    word.upstream = held.upstream;
-    word.tasks = held.context.spec.tasks;
-    if (held.ended) word.report = held.report;
+    word.attempt = managed.task.attempt;
+    word.index = managed.task.index;
+    word.ended = managed.ended;
+    word.upstream = managed.upstream;
+    word.tasks = managed.context.spec.tasks;
+    if (managed.ended) word.report = managed.report;
     reply.tasks.push_back(std::move(word));
   }
 }
@@ -181,29 +181,31 @@
 bool Execution::Stop(const std::string& request_id) {
   bool any = false;
   const std::string prefix = request_id + "/";
-  for (auto it = held_.lower_bound(prefix);
-       it != held_.end() && it->first.starts_with(prefix); ++it) {
-    Held& held = it->second;
-    if (held.ended) continue;
+  for (auto it = tasks_.lower_bound(prefix);
+       it != tasks_.end() && it->first.starts_with(prefix); ++it) {
+    ManagedTask& managed = it->second;
+    if (managed.ended) continue;
     any = true;
-    held.stopping = true;
-    control::UpstreamSession* session = controller_->Find(held.upstream);
+    managed.stopping = true;
+    control::UpstreamSession* session = controller_->Find(managed.upstream);
     if (session != nullptr) session->Stop({it->first});
   }
   return any;
 }
 
 bool Execution::Preempt(const wire::PlaceCall& call) {
-  // The least urgent repeatable tasks on one upstream whose room, together
-  // with what is free there, holds one task of the call.
+  // Selects the least urgent repeatable tasks of one upstream whose resources,
+  // together with the free capacity there, suffice for one task of the call.
+  // The upstream with the fewest such tasks is used.
   const placement::Ask ask = MakeAsk(call.context, 1, executor_.Now());
-  std::map<std::string, std::vector<const Held*>> by_upstream;
-  for (const auto& [id, held] : held_) {
+  std::map<std::string, std::vector<const ManagedTask*>> by_upstream;
+  for (const auto& [id, managed] : tasks_) {
     const bool may =
-        !held.ended && !held.stopping && held.context.spec.repeatable &&
-        held.context.spec.kind == wire::WorkKind::kBatch &&
-        held.context.treatment.priority > call.context.treatment.priority;
-    if (may) by_upstream[held.upstream].push_back(&held);
+        !managed.ended && !managed.stopping &&
+        managed.context.spec.repeatable &&
+        managed.context.spec.kind == wire::WorkKind::kBatch &&
+        managed.context.treatment.priority > call.context.treatment.priority;
+    if (may) by_upstream[managed.upstream].push_back(&managed);
   }
   std::vector<std::string> best;
   std::string best_upstream;
@@ -214,25 +216,26 @@
     if (!placement::Allows(ask, controller_->room().racks()[row.rack])) {
       continue;
     }
-    std::sort(
-        candidates.begin(), candidates.end(), [](const Held* a, const Held* b) {
-          return a->context.treatment.priority > b->context.treatment.priority;
-        });
-    placement::Amount room = row.free;
+    std::sort(candidates.begin(), candidates.end(),
+              [](const ManagedTask* a, const ManagedTask* b) {
+                return a->context.treatment.priority >
+                       b->context.treatment.priority;
+              });
+    placement::Amount freed = row.free;
     std::vector<std::string> victims;
-    for (const Held* held : candidates) {
-      if (ask.size.FitsIn(room)) break;
-      room += placement::TaskAmount(held->task.size);
-      victims.push_back(held->task.task_id);
+    for (const ManagedTask* managed : candidates) {
+      if (ask.size.FitsIn(freed)) break;
+      freed += placement::TaskAmount(managed->task.size);
+      victims.push_back(managed->task.task_id);
     }
-    if (!ask.size.FitsIn(room) || victims.empty()) continue;
+    if (!ask.size.FitsIn(freed) || victims.empty()) continue;
     if (best.empty() || victims.size() < best.size()) {
       best = std::move(victims);
       best_upstream = upstream;
     }
   }
   if (best.empty()) return false;
-  for (const std::string& id : best) held_[id].stopping = true;
+  for (const std::string& id : best) tasks_[id].stopping = true;
   control::UpstreamSession* session = controller_->Find(best_upstream);
   session->Steer(wire::SteerAction::kCheckpoint, best, 0);
   session->Stop(best);
@@ -241,22 +244,22 @@
 
 std::vector<std::string> Execution::HeldOn(const std::string& upstream) const {
   std::vector<std::string> out;
-  for (const auto& [id, held] : held_) {
-    if (held.upstream == upstream && !held.ended) out.push_back(id);
+  for (const auto& [id, managed] : tasks_) {
+    if (managed.upstream == upstream && !managed.ended) out.push_back(id);
   }
   return out;
 }
 
 bool Execution::OnFound(const std::string& upstream,
                         const wire::TaskSpec& task) {
-  Held& held = held_[task.task_id];
-  held.task = task;
-  held.task.payload.clear();
-  held.upstream = upstream;
-  held.ended = false;
-  held.serial = ++last_serial_;
-  rpc::DecodeInto(task.context, held.context);
-  return !Fenced(task.request_id, task.attempt) && !held.stopping;
+  ManagedTask& managed = tasks_[task.task_id];
+  managed.task = task;
+  managed.task.payload.clear();
+  managed.upstream = upstream;
+  managed.ended = false;
+  managed.serial = ++last_serial_;
+  rpc::DecodeInto(task.context, managed.context);
+  return !Fenced(task.request_id, task.attempt) && !managed.stopping;
 }
 
 void Execution::OnEnded(const std::string& upstream,
@@ -272,37 +275,38 @@
 
 void Execution::OnLost(const std::string& upstream,
                        const wire::TaskSpec& task) {
-  End(upstream, task, TaskEnd::kLost, "gone from the inventory", nullptr);
+  End(upstream, task, TaskEnd::kLost,
+      "no longer in the inventory of the upstream", nullptr);
 }
 
 void Execution::OnLapseAssumed(const std::string& upstream,
                                const wire::TaskSpec& task) {
-  End(upstream, task, TaskEnd::kLapseAssumed, "upstream silent past the lease",
-      nullptr, true);
+  End(upstream, task, TaskEnd::kLapseAssumed,
+      "upstream unresponsive for longer than the lease", nullptr, true);
 }
 
 void Execution::OnMoved(const std::string& upstream, const wire::TaskSpec& task,
                         bool began) {
-  End(upstream, task, TaskEnd::kMoved, "another controller has the upstream",
-      nullptr, began);
+  End(upstream, task, TaskEnd::kMoved,
+      "another controller has attached the upstream", nullptr, began);
 }
 
 void Execution::End(const std::string& upstream, const wire::TaskSpec& task,
                     TaskEnd::type end, const std::string& reason,
                     const wire::TaskStatus* status, bool began) {
-  Held& held = held_[task.task_id];
-  if (held.ended && held.report.result == TaskEnd::kDone) return;
-  if (held.task.task_id.empty()) {
-    // An end found in the inventory of an upstream that was taken over.
-    held.task = task;
-    held.task.payload.clear();
-    rpc::DecodeInto(task.context, held.context);
+  ManagedTask& managed = tasks_[task.task_id];
+  if (managed.ended && managed.report.result == TaskEnd::kDone) return;
+  if (managed.task.task_id.empty()) {
+    // A result found in the inventory of a newly attached upstream.
+    managed.task = task;
+    managed.task.payload.clear();
+    rpc::DecodeInto(task.context, managed.context);
   }
-  held.upstream = upstream;
-  held.ended = true;
-  held.serial = ++last_serial_;
-  held.ended_at = executor_.Now();
-  wire::ReportCall& report = held.report;
+  managed.upstream = upstream;
+  managed.ended = true;
+  managed.serial = ++last_serial_;
+  managed.ended_at = executor_.Now();
+  wire::ReportCall& report = managed.report;
   report = wire::ReportCall();
   report.request_id = task.request_id;
   report.attempt = task.attempt;
@@ -311,8 +315,8 @@
   report.reason = reason;
   report.upstream = upstream;
   report.began = began;
-  held.kept_upstream = status != nullptr;
-  report.owner_incarnation = held.context.owner_incarnation;
+  managed.kept_upstream = status != nullptr;
+  report.owner_incarnation = managed.context.owner_incarnation;
   if (status != nullptr) {
     report.answer = status->answer;
     report.digest = status->answer_digest;
@@ -322,21 +326,21 @@
 }
 
 void Execution::Report(const std::string& task_id) {
-  Held* held = FindHeld(task_id);
-  if (held == nullptr || !held->ended || held->reporting) return;
+  ManagedTask* managed = FindTask(task_id);
+  if (managed == nullptr || !managed->ended || managed->reporting) return;
   const OwnerRoute route =
-      route_(held->context.owner, held->context.owner_incarnation);
+      route_(managed->context.owner, managed->context.owner_incarnation);
   if (route.self) {
-    const uint64_t serial = held->serial;
-    return OnReported(task_id, serial, report_here_(held->report));
+    const uint64_t serial = managed->serial;
+    return OnReported(task_id, serial, report_here_(managed->report));
   }
   if (!route.alive) return;
-  held->reporting = true;
+  managed->reporting = true;
   ++reports_;
-  peers_.Report(route.address, held->report,
-                [this, task_id, serial = held->serial](
+  peers_.Report(route.address, managed->report,
+                [this, task_id, serial = managed->serial](
                     const Result<wire::ReportReply>& reply) {
-                  Held* reported = FindHeld(task_id);
+                  ManagedTask* reported = FindTask(task_id);
                   if (reported == nullptr) return;
                   reported->reporting = false;
                   if (reply.ok()) {
@@ -347,39 +351,41 @@
 
 void Execution::OnReported(const std::string& task_id, uint64_t serial,
                            bool taken) {
-  const Held* held = FindHeld(task_id);
-  // The word may have changed while the report was on its way: an upstream
-  // that moved away and came back has the task running again.
-  if (!taken || held == nullptr || held->serial != serial) return;
+  const ManagedTask* managed = FindTask(task_id);
+  // The state may have changed while the report was in flight: on an upstream
+  // that moved to another controller and back, the task is running again.
+  if (!taken || managed == nullptr || managed->serial != serial) return;
   Forget(task_id);
 }
 
-/// Only now may the upstream forget the end: until the owner has it, the
-/// upstream's inventory is what survives the death of this entry.
+/// Discards the task and releases its result at the upstream. Not before the
+/// owner has the result: until then only the upstream's inventory survives a
+/// crash of this entry.
 void Execution::Forget(const std::string& task_id) {
-  const auto found = held_.find(task_id);
-  if (found == held_.end()) return;
+  const auto found = tasks_.find(task_id);
+  if (found == tasks_.end()) return;
   control::UpstreamSession* session = controller_->Find(found->second.upstream);
-  // A task that only was assumed lapsed, or moved away, may still run there:
-  // releasing it would have its later end forgotten before it is told.
+  // A task whose lease expiry was only assumed, or whose upstream moved to
+  // another controller, may still run there. Releasing it would discard its
+  // later result before that is reported.
   if (session != nullptr && found->second.kept_upstream) {
     session->Release(task_id);
   }
-  held_.erase(found);
+  tasks_.erase(found);
 }
 
 void Execution::Sweep() {
   const TimePoint now = executor_.Now();
   std::vector<std::string> old;
   std::vector<std::string> due;
-  for (const auto& [id, held] : held_) {
-    if (!held.ended) continue;
-    (now - held.ended_at > options_.keep_ends ? old : due).push_back(id);
+  for (const auto& [id, managed] : tasks_) {
+    if (!managed.ended) continue;
+    (now - managed.ended_at > options_.end_retention ? old : due).push_back(id);
   }
   for (const std::string& id : old) Forget(id);
   for (const std::string& id : due) Report(id);
   std::erase_if(fences_, [&](const auto& entry) {
-    return now - entry.second.set_at > options_.keep_ends;
+    return now - entry.second.set_at > options_.end_retention;
   });
 }
 
--- a/src/execution/execution.h
+++ b/src/execution/execution.h
@@ -16,12 +16,12 @@
 
 struct ExecutionOptions {
   Millis report_retry{500};
-  /// How long an end is kept for owners that are gone.
-  Millis keep_ends{600000};
+  /// How long a result is kept for an owner that is dead.
+  Millis end_retention{600000};
   uint64_t seed = 1;
 };
 
-/// How the owner of an attempt is reached.
+/// Liveness and address of the owner of an attempt.
 struct OwnerRoute {
   bool self = false;
   bool alive = false;
@@ -29,39 +29,41 @@
 };
 
 /// The controller's side of attempts: places their tasks on the upstreams
-/// under this entry, watches them, and reports each end to the owner until it
-/// is taken. Control thread only.
+/// controlled by this entry, monitors them, and reports each result to the
+/// owner until the owner has received it. Control thread only.
 class Execution final : public control::SessionListener {
  public:
   using RouteTo =
       std::function<OwnerRoute(const std::string& owner, int64_t incarnation)>;
-  /// `report_here` takes reports of attempts that this entry owns itself and
-  /// answers whether it knew them. `room_changed` runs often: keep it cheap.
+  /// `report_here` receives reports of attempts that this entry owns itself and
+  /// returns whether it knows them. `capacity_changed` is called often and must
+  /// be cheap.
   Execution(Executor& executor, requests::PeerPort& peers,
             ExecutionOptions options, RouteTo route,
             std::function<bool(const wire::ReportCall&)> report_here,
-            std::function<void()> room_changed);
+            std::function<void()> capacity_changed);
 
   /// Must be called once, before anything else.
   void Bind(control::Controller& controller) { controller_ = &controller; }
   void Start();
 
-  /// Starts the tasks of an attempt, all or none. Asking again for what is
-  /// already held is accepted without a second start.
+  /// Starts all tasks of an attempt, or none. A repeated call for tasks that
+  /// were already started is accepted and starts nothing.
   wire::PlaceReply Place(const wire::PlaceCall& call);
-  /// What is held of a request here; see FindCall for the fence.
+  /// Reports the tasks of a request that this entry controls. See FindCall for
+  /// the fence.
   void Find(const wire::FindCall& call, wire::FindReply& reply);
-  /// Stops every held task of the request; true if there were any.
+  /// Stops all tasks of the request; returns whether there were any.
   bool Stop(const std::string& request_id);
 
-  /// Running tasks that could make way for a request of this priority.
-  /// Returns true if tasks were asked to stop.
+  /// Stops running tasks of lower priority to release capacity for one task of
+  /// the call. Returns true if tasks were asked to stop.
   bool Preempt(const wire::PlaceCall& call);
 
-  size_t held() const { return held_.size(); }
+  size_t held() const { return tasks_.size(); }
   int64_t starts() const { return starts_; }
   int64_t reports() const { return reports_; }
-  /// What the tasks of each upstream take, as told to operators.
+  /// Ids of the running tasks on the upstream.
   std::vector<std::string> HeldOn(const std::string& upstream) const;
 
   bool OnFound(const std::string& upstream,
@@ -75,20 +77,20 @@
                       const wire::TaskSpec& task) override;
   void OnMoved(const std::string& upstream, const wire::TaskSpec& task,
                bool began) override;
-  void OnRoomChanged() override { room_changed_(); }
+  void OnCapacityChanged() override { capacity_changed_(); }
 
  private:
-  struct Held {
+  struct ManagedTask {
     wire::AttemptContext context;
     wire::TaskSpec task;
     std::string upstream;
     bool ended = false;
     bool stopping = false;
     bool reporting = false;
-    /// The upstream itself keeps this end until it is released.
+    /// The upstream stores this result until it is released.
     bool kept_upstream = false;
     wire::ReportCall report;
-    uint64_t serial = 0;  ///< Of the report; rises with every new word.
+    uint64_t serial = 0;  ///< Of the report; changes with every new state.
     TimePoint ended_at{};
   };
   struct Fence {
@@ -106,17 +108,17 @@
   void OnReported(const std::string& task_id, uint64_t serial, bool taken);
   void Forget(const std::string& task_id);
   void Sweep();
-  Held* FindHeld(const std::string& task_id);
+  ManagedTask* FindTask(const std::string& task_id);
 
   Executor& executor_;
   requests::PeerPort& peers_;
   ExecutionOptions options_;
   RouteTo route_;
   std::function<bool(const wire::ReportCall&)> report_here_;
-  std::function<void()> room_changed_;
+  std::function<void()> capacity_changed_;
   control::Controller* controller_ = nullptr;
   std::unique_ptr<placement::Policy> policy_;
-  std::map<std::string, Held> held_;  ///< By task id.
+  std::map<std::string, ManagedTask> tasks_;  ///< By task id.
   std::map<std::string, Fence> fences_;
   uint64_t last_serial_ = 0;
   int64_t starts_ = 0;
@@ -127,7 +129,7 @@
 std::string TaskId(const std::string& request_id, int32_t attempt,
                    int32_t index);
 
-/// What an attempt asks of the decision core. The context must outlive it.
+/// Returns the placement query of an attempt. The context must outlive it.
 placement::Ask MakeAsk(const wire::AttemptContext& context, int32_t tasks,
                        TimePoint now);
 
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -10,9 +10,10 @@
 namespace mimosarail::instance {
 namespace {
 
-/// Team use goes with every so many heartbeats, and for so many teams.
-constexpr int64_t kTeamsEvery = 4;
-constexpr size_t kMaxTeamsTold = 64;
+/// Team use is sent with one of this many heartbeats.
+constexpr int64_t kHeartbeatsPerTeamUse = 4;
+/// Number of teams whose use is sent with one heartbeat.
+constexpr size_t kMaxTeamsPerHeartbeat = 64;
 constexpr Millis kPhasePoll{100};
 constexpr Millis kShutdownPoll{50};
 
@@ -28,8 +29,9 @@
       [this] { OnMembershipChanged(); });
   execution_ = std::make_unique<execution::Execution>(
       ports_.executor, ports_.peers,
-      execution::ExecutionOptions{.keep_ends = options_.requests.outcome_window,
-                                  .seed = options_.seed},
+      execution::ExecutionOptions{
+          .end_retention = options_.requests.outcome_window,
+          .seed = options_.seed},
       [this](const std::string& owner, int64_t incarnation) {
         return RouteTo(owner, incarnation);
       },
@@ -95,13 +97,15 @@
   if (!config_->fold().rules()) {
     out.emplace_back(config_->log_up()
                          ? "no configuration has been published"
-                         : "the log does not answer and no peer has told the "
+                         : "the log is unreachable and no peer has sent the "
                            "configuration");
   }
-  if (!list_read_) out.emplace_back("the instance list does not answer");
-  const bool greeted =
+  if (!list_read_) out.emplace_back("the instance list has not been read yet");
+  const bool listened =
       ports_.executor.Now() - started_ >= options_.membership.return_after;
-  if (!greeted) out.emplace_back("listening for other instances");
+  if (!listened) {
+    out.emplace_back("listening for heartbeats of other instances");
+  }
   return out;
 }
 
@@ -129,10 +133,10 @@
   heartbeat.free_largest = placement::ToResources(room.MostFree());
   heartbeat.upstreams = static_cast<int32_t>(controller_->sessions().size());
   heartbeat.waiting = static_cast<int32_t>(requests_->waiting());
-  if (heartbeats_filled_++ % kTeamsEvery != 0) return;
+  if (heartbeats_filled_++ % kHeartbeatsPerTeamUse != 0) return;
   heartbeat.has_teams = true;
   for (auto& [team, use] : requests_->TeamUse()) {
-    if (heartbeat.teams.size() >= kMaxTeamsTold) break;
+    if (heartbeat.teams.size() >= kMaxTeamsPerHeartbeat) break;
     heartbeat.teams.push_back(use);
   }
 }
@@ -154,11 +158,12 @@
 }
 
 void Instance::OnMembershipChanged() {
-  // Runs from inside Membership; the assignment may use it only afterwards.
-  if (reassigning_) return;
-  reassigning_ = true;
+  // Called from inside Membership; the assignment must not use it before this
+  // call has returned.
+  if (reassign_pending_) return;
+  reassign_pending_ = true;
   ports_.executor.Post([this] {
-    reassigning_ = false;
+    reassign_pending_ = false;
     Reassign();
     requests_->OnMembershipChanged();
   });
@@ -198,7 +203,7 @@
   return route;
 }
 
-// ---- Calls of peers
+// ---- Calls from peers
 
 void Instance::OnHeartbeat(const wire::Heartbeat& heartbeat) {
   members_->Receive(heartbeat);
@@ -208,13 +213,13 @@
   wire::PlaceReply reply;
   reply.status = wire::PlaceStatus::kNotReady;
   if (!ready()) return reply;
-  // A call that was long on its way may come after its owner has settled the
-  // attempt as never started. The heartbeat that it names tells its age in
-  // this entry's own time.
+  // A delayed call may arrive after its owner has resolved the attempt as never
+  // started. The heartbeat number in the call gives its age by this entry's own
+  // clock.
   const auto age = (members_->sequence() - call.heartbeat_seen) *
                    options_.membership.heartbeat;
   if (age > options_.requests.place_validity) {
-    reply.detail = "the call is too old";
+    reply.detail = "the placement call is too old";
     ports_.metrics.Count({.name = "stale_place_calls_total"});
     return reply;
   }
@@ -255,13 +260,14 @@
 
 wire::CancelReply Instance::OnCancel(const wire::CancelCall& call) {
   wire::CancelReply reply;
-  // An owner asks its controllers by attempt; another entry asks the owner.
+  // An owner sends the attempt to its controllers. Other entries send a
+  // negative attempt to the owner.
   reply.known = call.attempt >= 0 ? execution_->Stop(call.request_id)
                                   : requests_->Cancel(call.request_id);
   return reply;
 }
 
-// ---- Books
+// ---- Metrics and cost
 
 void Instance::OnFirstStart(const requests::Record& record) {
   ports_.metrics.Observe(
@@ -335,8 +341,10 @@
   RunEvery(ports_.executor, kShutdownPoll, [this] { CheckShutdown(); });
 }
 
-/// Leaves once nothing in flight needs this process: its requests have ended,
-/// its racks are with others, ends are with their owners, costs in the log.
+/// Completes the shutdown once nothing in flight needs this process: its
+/// requests have ended, other entries control its upstreams, owners have
+/// received all results, and costs are in the log. At the shutdown limit it
+/// completes regardless.
 void Instance::CheckShutdown() {
   if (!shutdown_done_) return;
   const bool late = ports_.executor.Now() >= shutdown_until_;
@@ -349,7 +357,7 @@
                     (execution_->held() == 0 || attached == 0);
   const bool quiet = idle && (attached == 0 || alone);
   if (!quiet && !late) return;
-  if (late) requests_->AbandonWaiting("this instance is leaving");
+  if (late) requests_->AbandonWaiting("this instance is shutting down");
   if (!cost_->empty() && !late) return cost_->Flush([](bool) {});
   logging::Event(late ? logging::Level::kWarning : logging::Level::kInfo,
                  "left",
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -29,7 +29,7 @@
   uint64_t seed = 1;
 };
 
-/// The ways out of an entry instance. All outlive it.
+/// External interfaces used by an entry instance. All must outlive it.
 struct InstancePorts {
   Executor& executor;
   ports::UpstreamPort& upstreams;
@@ -42,23 +42,23 @@
 };
 
 /// The control state of one entry instance, without threads or sockets: the
-/// daemon and the fault-schedule tests drive the same object. Control thread
-/// only, but for the metrics.
+/// daemon and the fault injection tests use the same class. Control thread
+/// only, except for the metrics.
 class Instance {
  public:
   Instance(InstancePorts ports, InstanceOptions options);
   void Start();
 
-  /// Stops taking work, hands racks over, finishes what is in flight; `done`
-  /// runs once, at the latest after the shutdown limit.
+  /// Stops accepting requests, hands over its racks and waits for work in
+  /// flight. `done` is called once, at the latest after the shutdown limit.
   void BeginShutdown(std::function<void()> done);
 
-  /// What a start or the readiness waits for; empty when ready.
+  /// Returns the conditions that prevent readiness; empty when ready.
   std::vector<std::string> Blockers() const;
   bool ready() const { return phase_ == wire::EntryPhase::kReady; }
   wire::EntryPhase::type phase() const { return phase_; }
 
-  // Calls of peers.
+  // Calls from peers.
   void OnHeartbeat(const wire::Heartbeat& heartbeat);
   wire::PlaceReply OnPlace(const wire::PlaceCall& call);
   wire::ReportReply OnReport(const wire::ReportCall& call);
@@ -95,7 +95,7 @@
   TimePoint started_{};
   bool list_read_ = false;
   int64_t list_version_ = 0;
-  bool reassigning_ = false;
+  bool reassign_pending_ = false;
   int64_t heartbeats_filled_ = 0;
   std::function<void()> shutdown_done_;
   TimePoint shutdown_until_{};
--- a/src/instance/lookup.cc
+++ b/src/instance/lookup.cc
@@ -5,8 +5,8 @@
 namespace mimosarail::instance {
 namespace {
 
-constexpr Millis kOwnerPoll{1000};
-constexpr Millis kAskAgain{200};
+constexpr Millis kOwnerPollTimeout{1000};
+constexpr Millis kRetryInterval{200};
 
 }  // namespace
 
@@ -24,16 +24,16 @@
   if (requests_.Find(id) != nullptr) {
     return AwaitHere(id, wait, std::move(done));
   }
-  auto job = std::make_shared<Job>();
-  job->id = id;
-  job->until = executor_.Now() + wait;
-  job->done = std::move(done);
-  AskAll(job);
+  auto query = std::make_shared<Query>();
+  query->id = id;
+  query->until = executor_.Now() + wait;
+  query->done = std::move(done);
+  QueryAll(query);
 }
 
 void Lookup::AwaitHere(const std::string& id, Millis wait,
                        std::function<void(LookupResult)> done) {
-  // The outcome and the time limit race; the first one answers.
+  // Whichever comes first, the outcome or the time limit, calls `done`.
   auto once =
       std::make_shared<std::function<void(LookupResult)>>(std::move(done));
   const auto answer = [once](LookupResult result) {
@@ -56,91 +56,94 @@
   });
 }
 
-void Lookup::AskAll(const std::shared_ptr<Job>& job) {
-  job->answers.clear();
-  job->silent_peer = false;
+void Lookup::QueryAll(const std::shared_ptr<Query>& query) {
+  query->answers.clear();
+  query->unreachable_peer = false;
   wire::FindCall call;
-  call.request_id = job->id;
-  execution_.Find(call, job->answers[members_.options().name]);
-  job->open = 1;
+  call.request_id = query->id;
+  execution_.Find(call, query->answers[members_.options().name]);
+  query->open = 1;
   for (const auto& [name, peer] : members_.peers()) {
     if (peer.state == membership::PeerState::kDead) {
-      job->silent_peer = true;
+      query->unreachable_peer = true;
       continue;
     }
-    ++job->open;
-    peers_.Find(peer.address, call,
-                [this, job, name = name](const Result<wire::FindReply>& reply) {
-                  if (reply.ok()) {
-                    job->answers[name] = reply.value();
-                  } else {
-                    job->silent_peer = true;
-                  }
-                  if (--job->open == 0) Conclude(job);
-                });
+    ++query->open;
+    peers_.Find(
+        peer.address, call,
+        [this, query, name = name](const Result<wire::FindReply>& reply) {
+          if (reply.ok()) {
+            query->answers[name] = reply.value();
+          } else {
+            query->unreachable_peer = true;
+          }
+          if (--query->open == 0) Conclude(query);
+        });
   }
-  if (--job->open == 0) Conclude(job);
+  if (--query->open == 0) Conclude(query);
 }
 
-void Lookup::Conclude(const std::shared_ptr<Job>& job) {
+void Lookup::Conclude(const std::shared_ptr<Query>& query) {
   LookupResult result;
-  for (const auto& [name, reply] : job->answers) {
+  for (const auto& [name, reply] : query->answers) {
     if (reply.owner == wire::OwnerState::kEnded) {
-      return job->done({.state = LookupState::kEnded,
-                        .outcome = reply.outcome,
-                        .owner = name});
+      return query->done({.state = LookupState::kEnded,
+                          .outcome = reply.outcome,
+                          .owner = name});
     }
     if (reply.owner == wire::OwnerState::kAbsent) continue;
     result.owner = name;
     result.why = reply.why;
   }
-  const bool over = executor_.Now() >= job->until;
+  const bool over = executor_.Now() >= query->until;
   if (!result.owner.empty()) {
-    if (over) return job->done(std::move(result));
-    return AskOwner(job, result.owner);
+    if (over) return query->done(std::move(result));
+    return QueryOwner(query, result.owner);
   }
-  const requests::TaskSummary summary = requests::SummarizeTasks(job->answers);
+  const requests::TaskSummary summary =
+      requests::SummarizeTasks(query->answers);
   if (summary.done()) {
-    return job->done({.state = LookupState::kEnded,
-                      .outcome = requests::CombineAnswers(summary)});
+    return query->done({.state = LookupState::kEnded,
+                        .outcome = requests::CombineAnswers(summary)});
   }
   if (summary.running && !over) {
-    executor_.RunAfter(kAskAgain, [this, job] { AskAll(job); });
+    executor_.RunAfter(kRetryInterval, [this, query] { QueryAll(query); });
     return;
   }
   if (summary.running) {
-    result.why = "running; its owner is gone";
-    return job->done(std::move(result));
+    result.why = "running; its owner is dead";
+    return query->done(std::move(result));
   }
   if (summary.failed()) {
     result.state = LookupState::kEnded;
     result.outcome.verdict = wire::Verdict::kUnknown;
-    result.outcome.reason = "it started and did not finish; its owner is gone";
-    return job->done(std::move(result));
+    result.outcome.reason = "it started and did not finish; its owner is dead";
+    return query->done(std::move(result));
   }
-  result.state =
-      job->silent_peer ? LookupState::kUnreachable : LookupState::kUnknownId;
-  job->done(std::move(result));
+  result.state = query->unreachable_peer ? LookupState::kUnreachable
+                                         : LookupState::kUnknownId;
+  query->done(std::move(result));
 }
 
-void Lookup::AskOwner(const std::shared_ptr<Job>& job,
-                      const std::string& owner) {
+void Lookup::QueryOwner(const std::shared_ptr<Query>& query,
+                        const std::string& owner) {
   const membership::Peer* peer = members_.Find(owner);
-  if (peer == nullptr) return AskAll(job);
+  if (peer == nullptr) return QueryAll(query);
   wire::FindCall call;
-  call.request_id = job->id;
+  call.request_id = query->id;
   const auto left =
-      std::chrono::duration_cast<Millis>(job->until - executor_.Now());
-  call.wait_ms = std::min(left, kOwnerPoll).count();
+      std::chrono::duration_cast<Millis>(query->until - executor_.Now());
+  call.wait_ms = std::min(left, kOwnerPollTimeout).count();
   peers_.Find(
-      peer->address, call, [this, job](const Result<wire::FindReply>& reply) {
+      peer->address, call, [this, query](const Result<wire::FindReply>& reply) {
         const bool ended =
             reply.ok() && reply.value().owner == wire::OwnerState::kEnded;
         if (!ended) {
-          executor_.RunAfter(kAskAgain, [this, job] { AskAll(job); });
+          executor_.RunAfter(kRetryInterval,
+                             [this, query] { QueryAll(query); });
           return;
         }
-        job->done(
+        query->done(
             {.state = LookupState::kEnded, .outcome = reply.value().outcome});
       });
 }
--- a/src/instance/lookup.h
+++ b/src/instance/lookup.h
@@ -13,8 +13,8 @@
 
 enum class LookupState {
   kEnded,        ///< `outcome` is final.
-  kPending,      ///< Not ended yet; `why` tells what it waits for.
-  kUnknownId,    ///< Every entry answered, and none knows the id.
+  kPending,      ///< Not ended yet; `why` names what it waits for.
+  kUnknownId,    ///< All entries answered, and none knows the id.
   kUnreachable,  ///< None knows the id, but not every entry answered.
 };
 
@@ -25,8 +25,8 @@
   std::string why;
 };
 
-/// Finds what became of a request, wherever its owner is and also after its
-/// owner died. Control thread only.
+/// Finds the state or outcome of a request at any owner, also after its owner
+/// has died. Control thread only.
 class Lookup {
  public:
   Lookup(Executor& executor, requests::PeerPort& peers,
@@ -36,23 +36,24 @@
   /// Waits up to `wait` for the outcome.
   void Await(const std::string& id, Millis wait,
              std::function<void(LookupResult)> done);
-  /// Cancels at the owner; `done` tells whether one was found.
+  /// Cancels the request at its owner. `done` receives whether one was found.
   void Cancel(const std::string& id, std::function<void(bool)> done);
 
  private:
-  struct Job {
+  struct Query {
     std::string id;
     TimePoint until;
     std::function<void(LookupResult)> done;
     std::map<std::string, wire::FindReply> answers;
     size_t open = 0;
-    bool silent_peer = false;
+    bool unreachable_peer = false;
   };
   void AwaitHere(const std::string& id, Millis wait,
                  std::function<void(LookupResult)> done);
-  void AskAll(const std::shared_ptr<Job>& job);
-  void Conclude(const std::shared_ptr<Job>& job);
-  void AskOwner(const std::shared_ptr<Job>& job, const std::string& owner);
+  void QueryAll(const std::shared_ptr<Query>& query);
+  void Conclude(const std::shared_ptr<Query>& query);
+  void QueryOwner(const std::shared_ptr<Query>& query,
+                  const std::string& owner);
 
   Executor& executor_;
   requests::PeerPort& peers_;
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -1,5 +1,6 @@
-// Contracts of the platform's interfaces, as docs/PLATFORM.md numbers them,
-// and what a session makes of each fault. A new adapter runs the same tables.
+// Contracts of the platform interfaces, numbered as in docs/PLATFORM.md, and
+// the reaction of a session to each fault. A new adapter must pass the same
+// tables.
 
 #define BOOST_TEST_MODULE contract
 #include <boost/test/data/test_case.hpp>
@@ -19,7 +20,7 @@
 using standins::LogServerFake;
 using standins::UpstreamServerFake;
 
-wire::ListedInstance Listed() {
+wire::ListedInstance ListedUpstream() {
   wire::ListedInstance listed;
   listed.name = "up";
   listed.role = wire::ListedRole::kUpstream;
@@ -32,7 +33,7 @@
   return listed;
 }
 
-wire::TaskSpec TaskOf(const std::string& id, int64_t run_ms) {
+wire::TaskSpec MakeTask(const std::string& id, int64_t run_ms) {
   wire::TaskSpec task;
   task.task_id = id;
   task.request_id = id;
@@ -41,12 +42,12 @@
   return task;
 }
 
-/// One upstream stand-in and short words to call it.
-struct UpstreamBench {
+/// One fake upstream and shorthands to call it.
+struct UpstreamFixture {
   ManualClock clock;
   ManualExecutor executor{clock};
   standins::History history;
-  UpstreamServerFake upstream{executor, history, Listed()};
+  UpstreamServerFake upstream{executor, history, ListedUpstream()};
 
   wire::AttachReply Attach(const std::string& controller, int64_t term) {
     wire::AttachCall call;
@@ -61,7 +62,7 @@
     wire::StartCall call;
     call.term = term;
     call.lease_ms = 1000;
-    call.task = TaskOf(id, run_ms);
+    call.task = MakeTask(id, run_ms);
     wire::StartReply out;
     upstream.Start(call, [&](const wire::StartReply& r) { out = r; });
     return out;
@@ -87,7 +88,7 @@
 
 struct UpstreamContract {
   const char* name;
-  bool (*holds)(UpstreamBench&);
+  bool (*holds)(UpstreamFixture&);
 };
 
 std::ostream& operator<<(std::ostream& out, const UpstreamContract& c) {
@@ -98,25 +99,25 @@
 
 const std::vector<UpstreamContract> kUpstreamContracts{
     {"P1 a higher term takes control",
-     [](UpstreamBench& b) {
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        return b.Attach("b", 2).status == CallStatus::kOk;
      }},
-    {"P1 an equal or lower term is refused and told the present one",
-     [](UpstreamBench& b) {
+    {"P1 an equal or lower term is refused with the current term",
+     [](UpstreamFixture& b) {
        b.Attach("a", 5);
        const auto reply = b.Attach("b", 5);
        return reply.status == CallStatus::kStaleTerm && reply.term == 5;
      }},
     {"P2 a start of an older term has no effect",
-     [](UpstreamBench& b) {
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Attach("b", 2);
        return b.Start(1, "t", 10).status == CallStatus::kStaleTerm &&
               b.Starts() == 0;
      }},
     {"P2 a renewal of an older term extends nothing",
-     [](UpstreamBench& b) {
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10000);
        b.Attach("b", 2);
@@ -126,21 +127,21 @@
        const auto inventory = b.Attach("b", 3).inventory;
        return inventory.at(0).state == wire::TaskState::kLapsed;
      }},
-    {"P3 the inventory tells what runs",
-     [](UpstreamBench& b) {
+    {"P3 the inventory lists running tasks",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10000);
        const auto inventory = b.Attach("b", 2).inventory;
        return inventory.size() == 1 && inventory[0].spec.task_id == "t";
      }},
-    {"P4 a start that comes twice runs once",
-     [](UpstreamBench& b) {
+    {"P4 a repeated start runs once",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10);
        return b.Start(1, "t", 10).status == CallStatus::kOk && b.Starts() == 1;
      }},
-    {"P4 also after its end was released",
-     [](UpstreamBench& b) {
+    {"P4 a start repeated after the release of its result runs once",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10);
        b.clock.RunFor(Millis(50));
@@ -148,15 +149,15 @@
        b.Start(1, "t", 10);
        return b.Starts() == 1;
      }},
-    {"P5 a task without renewal lapses",
-     [](UpstreamBench& b) {
+    {"P5 the lease of a task without renewal expires",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10000);
        b.clock.RunFor(Millis(1100));
        return b.Renew(1, 0).ended.at(0).state == wire::TaskState::kLapsed;
      }},
-    {"P5 a frozen upstream runs nothing past the lease",
-     [](UpstreamBench& b) {
+    {"P5 a paused upstream runs no task past its lease",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 1500);
        b.executor.Pause();
@@ -165,8 +166,8 @@
        b.clock.RunFor(Millis(50));
        return b.Renew(1, 0).ended.at(0).state == wire::TaskState::kLapsed;
      }},
-    {"P6 an end is told again until it is seen, and kept until released",
-     [](UpstreamBench& b) {
+    {"P6 a result is repeated until acknowledged and stored until released",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10);
        b.clock.RunFor(Millis(50));
@@ -178,8 +179,8 @@
        return first.ended.size() == 1 && again.ended.size() == 1 &&
               seen.ended.empty() && kept && b.Attach("c", 3).inventory.empty();
      }},
-    {"P6 a release does not touch what still runs",
-     [](UpstreamBench& b) {
+    {"P6 a release does not affect a running task",
+     [](UpstreamFixture& b) {
        b.Attach("a", 1);
        b.Start(1, "t", 10000);
        b.Renew(1, 0, {"t"});
@@ -221,7 +222,7 @@
 }
 
 const std::vector<LogContract> kLogContracts{
-    {"P7 offsets rise by one and reads keep their order",
+    {"P7 offsets increase by one and reads return records in order",
      [](ManualClock& c, LogServerFake& log) {
        Append(c, log, "a");
        Append(c, log, "b");
@@ -232,10 +233,10 @@
     {"P7 an append without a reply may have taken effect",
      [](ManualClock& c, LogServerFake& log) {
        log.faults().drop_append_replies = 1;
-       const bool told = Append(c, log, "a").has_value();
-       return !told && Read(c, log, 0)->records.size() == 1;
+       const bool answered = Append(c, log, "a").has_value();
+       return !answered && Read(c, log, 0)->records.size() == 1;
      }},
-    {"P8 what is trimmed is told by first_retained",
+    {"P8 first_retained shows which records were trimmed",
      [](ManualClock& c, LogServerFake& log) {
        Append(c, log, "a");
        c.RunFor(Millis(2000));
@@ -243,22 +244,22 @@
        const auto read = Read(c, log, 0);
        return read->first_retained == 1 && read->records.size() == 1;
      }},
-    {"P9 a read waits for a record, and comes back empty in time",
+    {"P9 a read waits for a record and returns empty after its wait",
      [](ManualClock& c, LogServerFake& log) {
        const auto read = Read(c, log, 0, 300);
        return read.has_value() && read->records.empty();
      }},
-    {"P10 an outage swallows calls and loses nothing",
+    {"P10 calls during an outage get no reply and no record is lost",
      [](ManualClock& c, LogServerFake& log) {
        Append(c, log, "a");
        log.faults().down = true;
-       const bool silent = !Read(c, log, 0) && !Append(c, log, "b");
+       const bool no_reply = !Read(c, log, 0) && !Append(c, log, "b");
        log.faults().down = false;
-       return silent && Read(c, log, 0)->records.size() == 1;
+       return no_reply && Read(c, log, 0)->records.size() == 1;
      }},
 };
 
-/// Notes what a session says.
+/// Records the events of a session.
 struct Listener : control::SessionListener {
   bool OnFound(const std::string&, const wire::TaskSpec& t) override {
     Note("found", t);
@@ -282,16 +283,16 @@
                bool began) override {
     Note(began ? "moved, had begun" : "moved", t);
   }
-  void OnRoomChanged() override {}
+  void OnCapacityChanged() override {}
   void Note(const std::string& what, const wire::TaskSpec& task) {
-    said += what + " " + task.task_id + ";";
+    events += what + " " + task.task_id + ";";
   }
-  std::string said;
+  std::string events;
   std::string answer;
   bool keep = true;
 };
 
-/// A port whose replies a test scripts; counts what is sent.
+/// A port with scripted replies that counts the calls.
 struct ScriptedPort : ports::UpstreamPort {
   explicit ScriptedPort(ManualClock& c) : executor(c) {}
   template <typename Reply>
@@ -301,7 +302,7 @@
   void Attach(const std::string&, const wire::AttachCall& call,
               Callback<wire::AttachReply> done) override {
     ++attaches;
-    if (silent) return Answer<wire::AttachReply>(done, Errc::kTimeout);
+    if (unresponsive) return Answer<wire::AttachReply>(done, Errc::kTimeout);
     wire::AttachReply reply = attach;
     if (call.term <= lowest_term) {
       reply.status = CallStatus::kStaleTerm;
@@ -341,7 +342,7 @@
   Result<wire::StartReply> start{wire::StartReply()};
   wire::RenewReply renew;
   wire::CollectReply collect;
-  bool silent = false;
+  bool unresponsive = false;
   int64_t lowest_term = 0;
   int renewals = 0;
   int attaches = 0;
@@ -351,25 +352,25 @@
 };
 
 /// A session over a scripted port.
-struct SessionBench {
-  SessionBench() {
-    port.attach.capacity = Listed().capacity;
+struct SessionFixture {
+  SessionFixture() {
+    port.attach.capacity = ListedUpstream().capacity;
     port.attach.slots = 4;
   }
   void Open() {
     session = std::make_shared<control::UpstreamSession>(
         executor, port, room, listener,
-        control::SessionOptions{.controller = "me"}, Listed());
+        control::SessionOptions{.controller = "me"}, ListedUpstream());
     session->SetPreferred(true);
     clock.RunFor(Millis(20));
   }
-  void StartOne(Millis span = Millis(3)) {
-    room.Take(session->row(), placement::TaskAmount(TaskOf("t", 1).size),
-              control::UpstreamSession::GroupOf(TaskOf("t", 1)));
-    session->Start(TaskOf("t", 1));
+  void StartOneTask(Millis span = Millis(3)) {
+    room.Take(session->row(), placement::TaskAmount(MakeTask("t", 1).size),
+              control::UpstreamSession::GroupOf(MakeTask("t", 1)));
+    session->Start(MakeTask("t", 1));
     clock.RunFor(span);
   }
-  bool RoomIsWhole() {
+  bool AllCapacityFree() {
     return room.row(session->row()).free == room.row(session->row()).capacity;
   }
   ManualClock clock;
@@ -382,7 +383,7 @@
 
 struct SessionFault {
   const char* name;
-  bool (*holds)(SessionBench&);
+  bool (*holds)(SessionFixture&);
 };
 
 std::ostream& operator<<(std::ostream& out, const SessionFault& c) {
@@ -392,7 +393,7 @@
 wire::TaskStatus Status(wire::TaskState::type state, const std::string& answer,
                         int64_t length) {
   wire::TaskStatus status;
-  status.spec = TaskOf("t", 1);
+  status.spec = MakeTask("t", 1);
   status.state = state;
   status.answer = answer;
   status.answer_length = length;
@@ -402,102 +403,104 @@
 }
 
 const std::vector<SessionFault> kSessionFaults{
-    {"nothing starts before the inventory is counted in",
-     [](SessionBench& b) {
+    {"the inventory is adopted before any task starts",
+     [](SessionFixture& b) {
        b.port.attach.inventory.push_back(
            Status(wire::TaskState::kRunning, "", 0));
        b.Open();
        return b.room.row(b.session->row()).free[placement::Dimension::kCores] ==
                   3000 &&
-              b.listener.said == "found t;";
+              b.listener.events == "found t;";
      }},
-    {"a higher term than the one that is told is taken",
-     [](SessionBench& b) {
+    {"a session attaches with a higher term than the reported one",
+     [](SessionFixture& b) {
        b.port.lowest_term = 41;
        b.Open();
        return b.session->term() == 42 && b.session->usable();
      }},
-    {"a refused start is certain and frees its room",
-     [](SessionBench& b) {
+    {"a refused start is certain and releases its capacity",
+     [](SessionFixture& b) {
        b.Open();
        wire::StartReply refused;
        refused.status = CallStatus::kRefused;
        b.port.start = refused;
-       b.StartOne();
-       return b.listener.said == "not started t;" && b.RoomIsWhole();
+       b.StartOneTask();
+       return b.listener.events == "not started t;" && b.AllCapacityFree();
      }},
-    {"a start without reply keeps its room until an attach settles it",
-     [](SessionBench& b) {
+    {"a start without reply keeps its capacity until an attach resolves it",
+     [](SessionFixture& b) {
        b.Open();
        b.port.start = Result<wire::StartReply>(Errc::kTimeout);
-       b.StartOne(Millis(1));
-       const bool reserved = !b.RoomIsWhole() && b.listener.said.empty();
+       b.StartOneTask(Millis(1));
+       const bool reserved = !b.AllCapacityFree() && b.listener.events.empty();
        b.clock.RunFor(Millis(50));
-       return reserved && b.listener.said == "not started t;" &&
-              b.RoomIsWhole() && b.port.starts == 1;
+       return reserved && b.listener.events == "not started t;" &&
+              b.AllCapacityFree() && b.port.starts == 1;
      }},
-    {"a start without reply that did run is found, not started again",
-     [](SessionBench& b) {
+    {"a start without reply that took effect is found and not repeated",
+     [](SessionFixture& b) {
        b.Open();
        b.port.start = Result<wire::StartReply>(Errc::kDisconnected);
        b.port.attach.inventory.push_back(
            Status(wire::TaskState::kRunning, "", 0));
-       b.StartOne();
+       b.StartOneTask();
        b.clock.RunFor(Millis(50));
-       return b.listener.said == "found t;" && b.port.starts == 1 &&
-              !b.RoomIsWhole();
+       return b.listener.events == "found t;" && b.port.starts == 1 &&
+              !b.AllCapacityFree();
      }},
-    {"a start without reply is not taken for lapsed, however long",
-     [](SessionBench& b) {
+    {"the lease of a start without reply is never assumed to have expired",
+     [](SessionFixture& b) {
        b.Open();
        b.port.start = Result<wire::StartReply>(Errc::kTimeout);
-       b.port.silent = true;
-       b.StartOne();
+       b.port.unresponsive = true;
+       b.StartOneTask();
        b.clock.RunFor(Millis(60000));
-       const bool reserved = !b.RoomIsWhole();
-       b.port.silent = false;
+       const bool reserved = !b.AllCapacityFree();
+       b.port.unresponsive = false;
        b.clock.RunFor(Millis(10000));
-       return reserved && b.listener.said == "moved t;not started t;" &&
-              b.RoomIsWhole();
+       return reserved && b.listener.events == "moved t;not started t;" &&
+              b.AllCapacityFree();
      }},
-    {"what ran at a silent upstream is assumed lapsed past the lease only",
-     [](SessionBench& b) {
+    {"at an unresponsive upstream, expiry is assumed only after the lease",
+     [](SessionFixture& b) {
        b.Open();
-       b.StartOne();
-       b.port.silent = true;
+       b.StartOneTask();
+       b.port.unresponsive = true;
        b.port.start = Result<wire::StartReply>(Errc::kTimeout);
-       b.room.Take(b.session->row(), placement::TaskAmount(TaskOf("u", 1).size),
-                   control::UpstreamSession::GroupOf(TaskOf("u", 1)));
-       b.session->Start(TaskOf("u", 1));
+       b.room.Take(b.session->row(),
+                   placement::TaskAmount(MakeTask("u", 1).size),
+                   control::UpstreamSession::GroupOf(MakeTask("u", 1)));
+       b.session->Start(MakeTask("u", 1));
        b.clock.RunFor(Millis(9000));
-       const bool early = b.listener.said.empty();
+       const bool early = b.listener.events.empty();
        b.clock.RunFor(Millis(6000));
-       return early && b.listener.said == "lapse assumed t;moved u;";
+       return early && b.listener.events == "lapse assumed t;moved u;";
      }},
     {"a start that was never sent is certain",
-     [](SessionBench& b) {
+     [](SessionFixture& b) {
        b.Open();
        b.port.start = Result<wire::StartReply>(Errc::kUnavailable);
-       b.StartOne();
-       return b.listener.said == "not started t;";
+       b.StartOneTask();
+       return b.listener.events == "not started t;";
      }},
-    {"a stale term hands every task over",
-     [](SessionBench& b) {
+    {"a stale term hands over every task",
+     [](SessionFixture& b) {
        b.Open();
-       b.StartOne();
+       b.StartOneTask();
        wire::StartReply stale;
        stale.status = CallStatus::kStaleTerm;
        stale.term = 9;
        b.port.start = stale;
-       b.room.Take(b.session->row(), placement::TaskAmount(TaskOf("u", 1).size),
-                   control::UpstreamSession::GroupOf(TaskOf("u", 1)));
-       b.session->Start(TaskOf("u", 1));
+       b.room.Take(b.session->row(),
+                   placement::TaskAmount(MakeTask("u", 1).size),
+                   control::UpstreamSession::GroupOf(MakeTask("u", 1)));
+       b.session->Start(MakeTask("u", 1));
        b.clock.RunFor(Millis(5));
-       return b.listener.said == "not started u;moved, had begun t;" &&
-              b.RoomIsWhole() && !b.session->usable();
+       return b.listener.events == "not started u;moved, had begun t;" &&
+              b.AllCapacityFree() && !b.session->usable();
      }},
-    {"a cut answer is collected until it is whole",
-     [](SessionBench& b) {
+    {"a truncated answer is collected until it is complete",
+     [](SessionFixture& b) {
        b.port.collect.found = true;
        b.port.collect.answer = "whole answer";
        b.port.attach.inventory.push_back(
@@ -505,8 +508,8 @@
        b.Open();
        return b.listener.answer == "whole answer" && b.port.collects == 1;
      }},
-    {"an answer that stays cut is never handed on",
-     [](SessionBench& b) {
+    {"an answer that stays truncated is never passed on",
+     [](SessionFixture& b) {
        b.port.collect.found = true;
        b.port.collect.answer = "whole ansWer";
        b.port.attach.inventory.push_back(
@@ -515,23 +518,23 @@
        b.clock.RunFor(Millis(50));
        return b.listener.answer != "whole ansWer" && b.port.collects == 3;
      }},
-    {"a task that is not wanted is stopped before any renewal",
-     [](SessionBench& b) {
+    {"an unwanted task is stopped before any renewal",
+     [](SessionFixture& b) {
        b.listener.keep = false;
        b.port.attach.inventory.push_back(
            Status(wire::TaskState::kRunning, "", 0));
        b.Open();
        return b.port.order == "stop;renew;";
      }},
-    {"a leaving upstream gets nothing new",
-     [](SessionBench& b) {
+    {"a leaving upstream gets no new tasks",
+     [](SessionFixture& b) {
        b.Open();
-       wire::ListedInstance leaving = Listed();
+       wire::ListedInstance leaving = ListedUpstream();
        leaving.state = wire::ListedState::kLeaving;
        b.session->Update(leaving);
        return !b.session->usable() &&
               !b.room.Take(b.session->row(),
-                           placement::TaskAmount(TaskOf("t", 1).size));
+                           placement::TaskAmount(MakeTask("t", 1).size));
      }},
 };
 
@@ -539,8 +542,8 @@
 
 BOOST_DATA_TEST_CASE(upstream_contract,
                      boost::unit_test::data::make(kUpstreamContracts), c) {
-  UpstreamBench bench;
-  BOOST_TEST(c.holds(bench));
+  UpstreamFixture fixture;
+  BOOST_TEST(c.holds(fixture));
 }
 
 BOOST_DATA_TEST_CASE(log_contract, boost::unit_test::data::make(kLogContracts),
@@ -553,15 +556,15 @@
 
 BOOST_DATA_TEST_CASE(session_faults,
                      boost::unit_test::data::make(kSessionFaults), c) {
-  SessionBench bench;
-  BOOST_TEST(c.holds(bench));
+  SessionFixture fixture;
+  BOOST_TEST(c.holds(fixture));
 }
 
-// The list tells that an upstream leaves, but late (P11).
+// The instance list reports a leaving upstream with a delay (P11).
 BOOST_AUTO_TEST_CASE(list_contract) {
   ManualClock clock;
   ManualExecutor executor(clock);
-  standins::InstanceListFake list(executor, {Listed()});
+  standins::InstanceListFake list(executor, {ListedUpstream()});
   list.SetLag(Millis(500));
   list.SetState("up", wire::ListedState::kLeaving);
   clock.RunFor(Millis(400));
@@ -570,20 +573,20 @@
   BOOST_TEST((list.Fetch(0).instances[0].state == wire::ListedState::kLeaving));
 }
 
-// A key is sent to two entries: the owner counts the request and its cost, the
-// entry that passes the answer on must not count it again (the bill was
-// double).
+// A keyed request is sent to two entries. The owner counts it and its cost. If
+// the entry that forwards the answer counted it too, the team would be billed
+// twice.
 BOOST_AUTO_TEST_CASE(cost_of_a_followed_key_is_counted_once) {
   Cell cell({.seed = 3});
   BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
   spec.keyed = true;
   spec.id = "part";
-  const auto one = cell.Submit(0, spec);
-  const auto two = cell.Submit(1, spec);
-  BOOST_REQUIRE(cell.RunUntil([&] { return one->answered && two->answered; },
-                              Millis(20000)));
-  BOOST_TEST(one->outcome.answer == two->outcome.answer);
+  const auto first = cell.Submit(0, spec);
+  const auto second = cell.Submit(1, spec);
+  BOOST_REQUIRE(cell.RunUntil(
+      [&] { return first->answered && second->answered; }, Millis(20000)));
+  BOOST_TEST(first->outcome.answer == second->outcome.answer);
   int counted = 0;
   for (int i = 0; i < cell.entries(); ++i) {
     const std::string text = cell.node(i).metrics->Text();
@@ -597,8 +600,8 @@
 namespace mimosarail::sim {
 namespace {
 
-/// The entry with the most upstreams.
-instance::Instance& RichestEntry(Cell& cell) {
+/// Returns the entry with the most attached upstreams.
+instance::Instance& EntryWithMostUpstreams(Cell& cell) {
   int best = 0;
   for (int i = 1; i < cell.entries(); ++i) {
     const auto attached = [&](int n) {
@@ -609,7 +612,7 @@
   return *cell.node(best).instance;
 }
 
-wire::PlaceCall PlaceOf(const std::string& id, int32_t attempt) {
+wire::PlaceCall MakePlaceCall(const std::string& id, int32_t attempt) {
   wire::PlaceCall call;
   call.context.spec = MakeSpec("late", 50);
   call.context.spec.id = id;
@@ -622,47 +625,50 @@
 
 }  // namespace
 
-// A request that may be repeated crashes each upstream that starts it, which is
-// back after a second. It must not take down one upstream after another.
-BOOST_AUTO_TEST_CASE(a_request_that_crashes_its_upstreams_is_given_up) {
+// A repeatable request crashes each upstream that starts it; the upstream
+// restarts after a second. The request must not crash one upstream after
+// another.
+BOOST_AUTO_TEST_CASE(request_that_crashes_upstreams_is_abandoned) {
   Cell cell({.seed = 6});
   BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
   spec.repeatable = true;
   spec.payload = "crash=1";
-  const auto told = cell.Submit(0, spec);
+  const auto submission = cell.Submit(0, spec);
   cell.Run(Millis(60000));
   int starts = 0;
   for (const auto& e : cell.history().events()) starts += e["event"] == "start";
-  BOOST_TEST(told->answered);
+  BOOST_TEST(submission->answered);
   BOOST_TEST(starts >= 2);
-  // Three upstreams have crashed under it then.
+  // Three upstreams have crashed while running it by then.
   BOOST_TEST(starts <= 3);
 }
 
-// An owner has settled an attempt as never started, and started the next one
-// elsewhere. Its old placement call comes out of the network now.
+// An owner has resolved an attempt as never started and has started the next
+// one elsewhere. If its delayed placement call were accepted now, both attempts
+// would run.
 BOOST_AUTO_TEST_CASE(a_fenced_attempt_is_refused_for_good) {
   Cell cell({.seed = 4});
   BOOST_REQUIRE(cell.WaitUntilReady());
-  instance::Instance& entry = RichestEntry(cell);
+  instance::Instance& entry = EntryWithMostUpstreams(cell);
   wire::FindCall fence;
   fence.request_id = "late";
   fence.fence_below = 1001;
   entry.OnFind(fence, [](const wire::FindReply&) {});
-  BOOST_TEST((entry.OnPlace(PlaceOf("late", 1000)).status ==
+  BOOST_TEST((entry.OnPlace(MakePlaceCall("late", 1000)).status ==
               wire::PlaceStatus::kFenced));
-  BOOST_TEST((entry.OnPlace(PlaceOf("late", 1001)).status ==
+  BOOST_TEST((entry.OnPlace(MakePlaceCall("late", 1001)).status ==
               wire::PlaceStatus::kAccepted));
 }
 
-// A placement call lay in a broken link for longer than its owner waits before
-// it settles; the heartbeat that it names tells its age.
+// A placement call was delayed for longer than its owner waits before it
+// resolves the attempt. The heartbeat number in the call shows its age, and it
+// must be refused.
 BOOST_AUTO_TEST_CASE(a_placement_call_that_is_too_old_is_refused) {
   Cell cell({.seed = 5});
   BOOST_REQUIRE(cell.WaitUntilReady());
-  instance::Instance& entry = RichestEntry(cell);
-  wire::PlaceCall call = PlaceOf("old", 1000);
+  instance::Instance& entry = EntryWithMostUpstreams(cell);
+  wire::PlaceCall call = MakePlaceCall("old", 1000);
   call.heartbeat_seen = entry.members().sequence();
   cell.Run(Millis(10000));
   BOOST_TEST((entry.OnPlace(call).status == wire::PlaceStatus::kNotReady));
@@ -679,18 +685,19 @@
 void FillCell(Cell& cell, int64_t run_ms) {
   for (int i = 0; i < 24; ++i) {
     wire::RequestSpec spec = MakeSpec("filler", run_ms);
-    spec.urgent = true;  // also takes the reserve
+    spec.urgent = true;  // also uses the reserve
     cell.Submit(i % 3, spec);
   }
 }
 
 }  // namespace
 
-// An entry that owns a waiting key is cut off from the other entries, but not
-// from the upstreams. The caller asks another entry, which finds the owner dead
-// and the task nowhere. If it took the key over, the owner would start it too
-// as soon as room came free.
-BOOST_AUTO_TEST_CASE(a_key_is_not_taken_from_an_owner_that_is_only_cut_off) {
+// The owner of a waiting keyed request is partitioned from the other entries,
+// but not from the upstreams. The caller submits the key to another entry,
+// which considers the owner dead and finds the task nowhere. If that entry
+// reclaimed the key, the owner would start the request too as soon as capacity
+// is released.
+BOOST_AUTO_TEST_CASE(key_is_not_reclaimed_from_partitioned_owner) {
   Cell cell({.seed = 6});
   BOOST_REQUIRE(cell.WaitUntilReady());
   FillCell(cell, 25000);
@@ -713,31 +720,32 @@
   }
 }
 
-// A request failed once and then waits for its next attempt until its deadline.
-// "Not run" would have its caller believe that nothing had happened.
-BOOST_AUTO_TEST_CASE(what_failed_once_is_never_told_not_run) {
+// A request fails once and then waits for its next attempt until its deadline.
+// The verdict "not run" would tell the caller that it had no effect.
+BOOST_AUTO_TEST_CASE(request_that_failed_is_not_reported_as_not_run) {
   Cell cell({.seed = 7});
   BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("fails", 10);
   spec.size.millicores = 4000;
   spec.payload = "fail=1";
   spec.deadline_ms = 5000;
-  const auto told = cell.Submit(0, spec);
+  const auto submission = cell.Submit(0, spec);
   BOOST_REQUIRE(cell.RunUntil(
-      [&] { return StartsOf(cell.history().events(), told->id) > 0; },
+      [&] { return StartsOf(cell.history().events(), submission->id) > 0; },
       Millis(5000)));
   FillCell(cell, 20000);
-  BOOST_REQUIRE(cell.RunUntil([&] { return told->answered; }, Millis(15000)));
-  BOOST_TEST((told->outcome.verdict == wire::Verdict::kUnknown));
+  BOOST_REQUIRE(
+      cell.RunUntil([&] { return submission->answered; }, Millis(15000)));
+  BOOST_TEST((submission->outcome.verdict == wire::Verdict::kUnknown));
 }
 
 }  // namespace mimosarail::sim
 
 namespace mimosarail::sim {
 
-// Nobody reaches entry-2, which reaches all upstreams and believes that the
-// others are dead. If it kept taking their racks, no settlement could ever
-// confirm all upstreams at once and callers would be told "unknown".
+// No entry can reach entry-2, which can reach all upstreams and considers the
+// other entries dead. If it kept attaching their upstreams, no entry could
+// confirm all upstreams at once, and callers would get the verdict "unknown".
 BOOST_AUTO_TEST_CASE(isolated_entry_stops_contesting_upstreams) {
   Cell cell({.seed = 8});
   BOOST_REQUIRE(cell.WaitUntilReady());
