--- a/src/configlog/config_fold.cc
+++ b/src/configlog/config_fold.cc
@@ -17,8 +17,8 @@
     EnumName{Decision::kDuplicate, "duplicate"},
 }};
 
-/// Records kept while waiting for a checkpoint; older ones are dropped, which
-/// only narrows the choice of checkpoints.
+/// Limit of the records buffered while waiting for a checkpoint. The oldest
+/// ones are dropped beyond it, which only narrows the choice of checkpoints.
 constexpr size_t kMaxBuffer = 5000;
 
 Checkpoint FromRecord(const wire::ConfigRecord& record) {
@@ -45,8 +45,8 @@
   return out;
 }
 
-std::vector<std::string> Order(const json::Json& config,
-                               const std::map<std::string, json::Json>& kept) {
+std::vector<std::string> SharedRuleOrder(
+    const json::Json& config, const std::map<std::string, json::Json>& kept) {
   std::vector<std::string> out;
   if (!config.contains("rules") || !config["rules"].is_array()) return out;
   for (const json::Json& rule : config["rules"]) {
@@ -82,7 +82,8 @@
                     rule.dump());
     }
   }
-  if (Order(old_config, new_rules) != Order(new_config, old_rules)) {
+  if (SharedRuleOrder(old_config, new_rules) !=
+      SharedRuleOrder(new_config, old_rules)) {
     out.push_back("~ order of rules");
   }
   for (const char* section : {"limits", "prices"}) {
@@ -98,8 +99,9 @@
 
 void ConfigFold::Consume(int64_t first_retained,
                          const std::vector<wire::LogRecord>& records) {
-  if (first_retained > position_) Gap(first_retained);
-  // Only a reader that saw the very first record knows without a checkpoint.
+  if (first_retained > position_) BeginGap(first_retained);
+  // Without a checkpoint, the revision in force is known only to a reader that
+  // has read the stream from its very first record.
   if (!known_ && position_ == 0 && first_retained == 0) known_ = true;
   for (const wire::LogRecord& record : records) {
     if (record.offset < position_) continue;
@@ -112,11 +114,11 @@
   }
 }
 
-/// Records were trimmed before they were read: one of them may have changed
-/// the revision. What is in force here stays so, but no record may be judged
-/// against it until a checkpoint closes the gap, or this entry would accept a
-/// publish that all others refuse.
-void ConfigFold::Gap(int64_t first_retained) {
+/// Handles records that were trimmed before they were read. One of them may
+/// have changed the revision. The revision in force here stays in force, but no
+/// record may be decided against it until a checkpoint closes the gap.
+/// Otherwise this entry could accept a publish that all other entries refuse.
+void ConfigFold::BeginGap(int64_t first_retained) {
   known_ = false;
   position_ = first_retained;
   covered_from_ = first_retained;
@@ -136,12 +138,12 @@
   Restore(FromRecord(decoded.value()));
 }
 
-/// Starts from a checkpoint and folds every record that came after it. A
-/// checkpoint that an instance wrote late, when a newer publish was already in
-/// the log, is still true as of its own offset, and the publish is folded on
-/// top: a re-append can never bring an older revision back. One whose `as_of`
-/// lies before the buffered run cannot be trusted: a publish between the two
-/// may be among the trimmed records.
+/// Starts from a checkpoint and folds every record that follows it. A
+/// checkpoint that an instance appended late, when a newer publish was already
+/// in the log, is still valid as of its own offset, and the publish is folded
+/// on top of it: a re-append can never bring an older revision back. A
+/// checkpoint whose `as_of` lies before the buffered records is rejected: a
+/// publish between the two may be among the trimmed records.
 bool ConfigFold::Restore(const Checkpoint& checkpoint) {
   if (checkpoint.as_of < covered_from_) return false;
   if (checkpoint.revision < state_.revision) return false;
@@ -155,7 +157,7 @@
   known_ = true;
   state_ = checkpoint;
   rules_ = std::move(rules);
-  newest_copy_ = std::max(newest_copy_, checkpoint.as_of);
+  newest_checkpoint_ = std::max(newest_checkpoint_, checkpoint.as_of);
   const std::vector<wire::LogRecord> buffered = std::move(buffer_);
   buffer_.clear();
   for (const wire::LogRecord& record : buffered) {
@@ -168,7 +170,9 @@
 bool ConfigFold::Adopt(const Checkpoint& checkpoint) {
   if (known_ && checkpoint.as_of <= position_) return false;
   if (known_) {
-    // Ahead of this reader: its own records will tell, unless the log is down.
+    // The checkpoint is ahead of this reader. If it states no newer revision,
+    // nothing has to be adopted: the reader gets there by its own reads. A
+    // newer one is adopted because the log may be down.
     if (checkpoint.revision <= state_.revision) return false;
     covered_from_ = position_;
   }
@@ -178,15 +182,15 @@
 void ConfigFold::ConsumeOne(const wire::LogRecord& record) {
   const auto decoded = rpc::Decode<wire::ConfigRecord>(record.data);
   if (!decoded.ok()) {
-    return Audit({.offset = record.offset,
-                  .revision = state_.revision,
-                  .decision = Decision::kInvalid,
-                  .findings = {{"record", "does not decode"}}});
+    return AddAudit({.offset = record.offset,
+                     .revision = state_.revision,
+                     .decision = Decision::kInvalid,
+                     .findings = {{"record", "does not decode"}}});
   }
   if (decoded.value().kind == wire::ConfigKind::kPublish) {
     return Decide(record.offset, decoded.value());
   }
-  newest_copy_ = std::max(newest_copy_, decoded.value().as_of);
+  newest_checkpoint_ = std::max(newest_checkpoint_, decoded.value().as_of);
 }
 
 void ConfigFold::Decide(int64_t offset, const wire::ConfigRecord& record) {
@@ -197,36 +201,36 @@
                    .base = record.base,
                    .revision = state_.revision};
   if (const AuditEntry* earlier = FindAudit(record.id)) {
-    // The publisher lost the reply to its append and appended again.
+    // The reply to the append was lost, and the publisher appended again.
     entry.revision = earlier->revision;
     entry.decision = Decision::kDuplicate;
-    return Audit(std::move(entry));
+    return AddAudit(std::move(entry));
   }
   if (record.base != state_.revision) {
     entry.decision = Decision::kStaleBase;
     entry.findings.push_back(
         {"base", "revision " + std::to_string(state_.revision) + " by " +
                      state_.author + " is in force"});
-    return Audit(std::move(entry));
+    return AddAudit(std::move(entry));
   }
   Findings findings;
   auto parsed = rules::RuleSet::Parse(record.text, findings);
   if (!parsed) {
     entry.decision = Decision::kInvalid;
     entry.findings = findings.list();
-    return Audit(std::move(entry));
+    return AddAudit(std::move(entry));
   }
   entry.difference = Difference(state_.text, record.text);
   state_ = FromRecord(record);
   state_.revision = record.base + 1;
   state_.as_of = offset + 1;
   rules_ = std::make_shared<const rules::RuleSet>(std::move(*parsed));
-  newest_copy_ = std::max(newest_copy_, offset + 1);
+  newest_checkpoint_ = std::max(newest_checkpoint_, offset + 1);
   entry.revision = state_.revision;
-  Audit(std::move(entry));
+  AddAudit(std::move(entry));
 }
 
-void ConfigFold::Audit(AuditEntry entry) {
+void ConfigFold::AddAudit(AuditEntry entry) {
   audit_.push_back(std::move(entry));
   if (audit_.size() > kMaxAudit) audit_.pop_front();
 }
--- a/src/configlog/config_follower.cc
+++ b/src/configlog/config_follower.cc
@@ -7,8 +7,8 @@
 namespace mimosarail::configlog {
 namespace {
 
-constexpr Millis kAskPeersEvery{500};
-constexpr Millis kCheckpointPoll{100};
+constexpr Millis kPeerFetchInterval{500};
+constexpr Millis kCheckpointCheckInterval{100};
 
 }  // namespace
 
@@ -26,24 +26,24 @@
       reader_(executor, log,
               {.stream = kConfigStream, .read_wait = options_.read_wait},
               [this](const wire::ReadReply& reply) { Consume(reply); }),
-      copy_seen_at_(executor.Now()) {}
+      checkpoint_seen_at_(executor.Now()) {}
 
 void ConfigFollower::Start() {
   reader_.Start();
-  RunEvery(executor_, kAskPeersEvery, [this] { AskPeers(); });
-  RunEvery(executor_, kCheckpointPoll, [this] { CheckpointIfOld(); });
+  RunEvery(executor_, kPeerFetchInterval, [this] { FetchFromPeers(); });
+  RunEvery(executor_, kCheckpointCheckInterval, [this] { CheckpointIfOld(); });
 }
 
 void ConfigFollower::Consume(const wire::ReadReply& reply) {
   fold_.Consume(reply.first_retained, reply.records);
-  NoticeChange();
+  OnFoldChanged();
 }
 
-void ConfigFollower::NoticeChange() {
+void ConfigFollower::OnFoldChanged() {
   ResolvePublishes();
-  if (fold_.newest_copy() != copy_seen_) {
-    copy_seen_ = fold_.newest_copy();
-    copy_seen_at_ = executor_.Now();
+  if (fold_.newest_checkpoint() != checkpoint_seen_) {
+    checkpoint_seen_ = fold_.newest_checkpoint();
+    checkpoint_seen_at_ = executor_.Now();
   }
   if (fold_.revision() == last_revision_) return;
   last_revision_ = fold_.revision();
@@ -93,7 +93,7 @@
   log_.Append(call, [this, id](const Result<wire::AppendReply>& reply) {
     if (reply.ok()) return;
     // The append may have taken effect. Appending the same id again is safe:
-    // the fold judges only its first copy.
+    // the fold applies only the first record with this id.
     executor_.RunAfter(options_.append_retry,
                        [this, id] { AppendPublish(id); });
   });
@@ -123,20 +123,23 @@
   }
 }
 
-/// The log keeps records for a limited time only: without a fresh copy the
-/// configuration would vanish with its last publish, and an instance that
-/// starts later would find none.
+/// Appends a checkpoint if the newest one in the log is too old. The log keeps
+/// records for a limited time only: without checkpoints the configuration
+/// would expire together with its last publish, and an instance that starts
+/// later would find none.
 void ConfigFollower::CheckpointIfOld() {
   if (!fold_.known() || fold_.revision() == 0 || !reader_.up()) return;
-  // Entries would all append at the same moment; a spread by name lets the
-  // others see the first one's copy and skip theirs.
+  // Without a spread all entries would append at the same moment. A delay
+  // derived from the name lets the other entries read the first checkpoint and
+  // skip their own.
   const auto spread = Millis(static_cast<int64_t>(
       Hash64(options_.name) %
       static_cast<uint64_t>(options_.checkpoint_every.count() / 4 + 1)));
-  if (executor_.Now() - copy_seen_at_ < options_.checkpoint_every + spread) {
+  if (executor_.Now() - checkpoint_seen_at_ <
+      options_.checkpoint_every + spread) {
     return;
   }
-  copy_seen_at_ = executor_.Now();
+  checkpoint_seen_at_ = executor_.Now();
   const Checkpoint& state = fold_.state();
   wire::ConfigRecord record;
   record.kind = wire::ConfigKind::kCheckpoint;
@@ -151,34 +154,36 @@
   call.records.push_back(rpc::Encode(record));
   ++appends_;
   log_.Append(call, [](const Result<wire::AppendReply>&) {
-    // If it failed, the copy stays old and the next round appends again.
+    // If the append failed, the checkpoint in the log stays old and a later
+    // check appends again.
   });
 }
 
-void ConfigFollower::AskPeers() {
+void ConfigFollower::FetchFromPeers() {
   const bool needed = !fold_.known() || !reader_.up();
   if (!needed) return;
   for (const std::string& address : peers_()) {
     source_.FetchConfig(
         address, [this](const Result<wire::ConfigFetchReply>& reply) {
           if (!reply.ok() || reply.value().revision == 0) return;
-          const wire::ConfigFetchReply& told = reply.value();
-          const bool adopted = fold_.Adopt({.revision = told.revision,
-                                            .as_of = told.as_of,
-                                            .id = told.id,
-                                            .author = told.author,
-                                            .unix_ms = told.unix_ms,
-                                            .text = told.text});
+          const wire::ConfigFetchReply& fetched = reply.value();
+          const bool adopted = fold_.Adopt({.revision = fetched.revision,
+                                            .as_of = fetched.as_of,
+                                            .id = fetched.id,
+                                            .author = fetched.author,
+                                            .unix_ms = fetched.unix_ms,
+                                            .text = fetched.text});
           if (!adopted) return;
           reader_.Seek(fold_.position());
-          NoticeChange();
+          OnFoldChanged();
         });
   }
 }
 
 wire::ConfigFetchReply ConfigFollower::Describe() const {
   wire::ConfigFetchReply reply;
-  // What is in force but not joined to the log must not spread further.
+  // A revision that is in force here but is separated from the log by trimmed
+  // records must not be passed on to other entries.
   if (!fold_.known()) return reply;
   const Checkpoint& state = fold_.state();
   reply.revision = state.revision;
--- a/src/configlog/config_follower.h
+++ b/src/configlog/config_follower.h
@@ -13,7 +13,7 @@
 
 inline constexpr char kConfigStream[] = "config";
 
-/// Asks a peer which configuration is in force there.
+/// Fetches from a peer the configuration that is in force there.
 class ConfigSource {
  public:
   virtual ~ConfigSource() = default;
@@ -23,16 +23,17 @@
 
 enum class PublishState { kDecided, kRefusedHere, kUnconfirmed };
 
-/// What became of a publish. `entry` is the log's verdict if kDecided,
-/// holds the findings if kRefusedHere, and only the id if kUnconfirmed: the
-/// record may still come into force.
+/// The result of a publish. `entry` is the audit entry of the record if
+/// kDecided, holds the findings if kRefusedHere (nothing was appended), and
+/// only the id and the revision in force if kUnconfirmed: the record may still
+/// come into force.
 struct PublishResult {
   PublishState state = PublishState::kUnconfirmed;
   AuditEntry entry;
 };
 
 struct ConfigFollowerOptions {
-  std::string name;  ///< Of this entry; makes record ids unique.
+  std::string name;  ///< Name of this entry; makes record ids unique.
   int64_t incarnation = 0;
   Millis read_wait{1000};
   Millis checkpoint_every{60000};
@@ -41,20 +42,20 @@
 };
 
 /// Keeps the configuration in force up to date: reads the log, publishes,
-/// appends checkpoints before the log's retention ends, and learns from peers
-/// when the log is down. Control thread only.
+/// appends checkpoints before the log's retention ends, and fetches the
+/// configuration from peers when the log is down. Control thread only.
 class ConfigFollower {
  public:
-  /// `changed` runs when another revision came into force. `peers` tells whom
-  /// to ask. The ports outlive it.
+  /// `changed` runs when another revision came into force. `peers` returns the
+  /// addresses of the peers to fetch from. The ports outlive it.
   ConfigFollower(Executor& executor, ports::LogPort& log, ConfigSource& source,
                  ConfigFollowerOptions options,
                  std::function<std::vector<std::string>()> peers,
                  std::function<void()> changed);
 
   void Start();
-  /// Appends `text` as the successor of revision `base`, and waits for the
-  /// log's verdict by reading the record back.
+  /// Appends `text` as the successor of revision `base`, and learns the
+  /// decision by reading the record back from the log.
   void Publish(const std::string& text, const std::string& author, int64_t base,
                std::function<void(PublishResult)> done);
 
@@ -62,6 +63,7 @@
   bool log_up() const { return reader_.up(); }
   int64_t appends() const { return appends_; }
   int64_t reads() const { return reader_.reads(); }
+  /// The reply to a peer that fetches the configuration.
   wire::ConfigFetchReply Describe() const;
 
  private:
@@ -72,12 +74,12 @@
   };
 
   void Consume(const wire::ReadReply& reply);
-  void NoticeChange();
+  void OnFoldChanged();
   void ResolvePublishes();
   void AppendPublish(const std::string& id);
   void ExpirePublish(const std::string& id);
   void CheckpointIfOld();
-  void AskPeers();
+  void FetchFromPeers();
 
   Executor& executor_;
   ports::LogPort& log_;
@@ -91,8 +93,8 @@
   int64_t last_revision_ = 0;
   int64_t next_id_ = 0;
   int64_t appends_ = 0;
-  int64_t copy_seen_ = -1;
-  TimePoint copy_seen_at_{};
+  int64_t checkpoint_seen_ = -1;
+  TimePoint checkpoint_seen_at_{};
 };
 
 }  // namespace mimosarail::configlog
--- a/src/configlog/configlog.thrift
+++ b/src/configlog/configlog.thrift
@@ -3,8 +3,8 @@
 enum ConfigKind { kPublish = 0, kCheckpoint = 1 }
 
 /** A record of the configuration stream.
- *  A publish is based on a revision; a checkpoint states the revision in force
- *  after every record below `as_of`. */
+ *  A publish succeeds the revision `base`. A checkpoint states in `base` the
+ *  revision in force after all records with an offset below `as_of`. */
 struct ConfigRecord {
   1: ConfigKind kind
   2: string id
--- a/src/configlog/gen/configlog_types.h
+++ b/src/configlog/gen/configlog_types.h
@@ -53,8 +53,8 @@
 
 /**
  * A record of the configuration stream.
- * A publish is based on a revision; a checkpoint states the revision in force
- * after every record below `as_of`.
+ * A publish succeeds the revision `base`. A checkpoint states in `base` the
+ * revision in force after all records with an offset below `as_of`.
  */
 class ConfigRecord : public virtual ::apache::thrift::TBase {
  public:
