--- a/src/membership/gen/heartbeat_types.h
+++ b/src/membership/gen/heartbeat_types.h
@@ -119,7 +119,8 @@
 } _Heartbeat__isset;
 
 /**
- * Bounded in size: what one entry instance says of itself twice a second.
+ * The state that one entry instance reports of itself twice a second.
+ * Bounded in size.
  */
 class Heartbeat : public virtual ::apache::thrift::TBase {
  public:
@@ -160,12 +161,13 @@
   int32_t upstreams;
   int32_t waiting;
   /**
-   * Now and then, at most kMaxTeamsTold of them.
+   * Valid if `has_teams`: sent only with some of the heartbeats, at most
+   * kMaxTeamsTold teams.
    */
   std::vector<TeamUse>  teams;
   bool has_teams;
   /**
-   * Names of the entries that it hears now.
+   * Names of the entries from which the sender receives heartbeats.
    */
   std::vector<std::string>  heard;
 
--- a/src/membership/heartbeat.thrift
+++ b/src/membership/heartbeat.thrift
@@ -5,7 +5,8 @@
 
 struct TeamUse { 1: string team 2: i64 millicores 3: i32 waiting }
 
-/** Bounded in size: what one entry instance says of itself twice a second. */
+/** The state that one entry instance reports of itself twice a second.
+ *  Bounded in size. */
 struct Heartbeat {
   1: string name
   2: i64 incarnation
@@ -19,9 +20,10 @@
   10: i32 free_slots
   11: i32 upstreams
   12: i32 waiting
-  /** Now and then, at most kMaxTeamsTold of them. */
+  /** Valid if `has_teams`: sent only with some of the heartbeats, at most
+   *  kMaxTeamsTold teams. */
   13: list<TeamUse> teams
   14: bool has_teams
-  /** Names of the entries that it hears now. */
+  /** Names of the entries from which the sender receives heartbeats. */
   15: list<string> heard
 }
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -17,7 +17,7 @@
     EnumName{PeerState::kDead, "dead"},
 }};
 
-/// A dead peer is forgotten after this many times the dead limit.
+/// A dead peer is removed after this many times `dead_after`.
 constexpr int kForgetFactor = 40;
 
 bool Heard(const Peer& peer) {
@@ -51,12 +51,12 @@
   const auto gap = std::chrono::duration_cast<Millis>(now - last_tick_);
   longest_gap_ = std::max(longest_gap_, gap);
   last_tick_ = now;
-  // After a pause of our own, silence of others proves nothing: what they sent
-  // meanwhile still waits in the socket. Without this every peer would look
-  // dead at once and all racks would be contested.
+  // After a pause of this process, missing heartbeats prove nothing: those that
+  // arrived meanwhile are still queued in the socket. Without this correction
+  // every peer would look dead at once and all racks would be contested.
   if (gap > options_.suspect_after) {
-    // Calls that were made before the pause are told by the number of the
-    // heartbeat they name, and must count as old.
+    // Peers' calls name the heartbeat that they are based on. Skipping the
+    // numbers of the pause makes calls from before it count as old.
     sequence_ += gap / options_.heartbeat;
     for (auto& [name, peer] : peers_) {
       if (peer.state != PeerState::kDead) peer.heard = now;
@@ -101,28 +101,29 @@
   const bool known = peer.last.incarnation != 0;
   if (known && heartbeat.incarnation < peer.last.incarnation) return;
   const bool same = heartbeat.incarnation == peer.last.incarnation;
-  // Datagrams may arrive twice or out of order; an old one must not undo what
-  // a newer one said, such as that the peer is leaving.
+  // Datagrams may arrive twice or out of order; an old one must not overwrite
+  // the state of a newer one, such as that the peer is leaving.
   if (known && same && heartbeat.sequence <= peer.last.sequence) return;
-  const bool silent = !known || !same || peer.state == PeerState::kDead;
-  if (silent) peer.heard_since = now;
-  const bool reborn = known && !same;
-  const bool told_change = known && (heartbeat.phase != peer.last.phase ||
-                                     heartbeat.revision != peer.last.revision);
+  const bool first_contact = !known || !same || peer.state == PeerState::kDead;
+  if (first_contact) peer.heard_since = now;
+  const bool restarted = known && !same;
+  const bool status_change =
+      known && (heartbeat.phase != peer.last.phase ||
+                heartbeat.revision != peer.last.revision);
   std::vector<wire::TeamUse> teams = std::move(peer.last.teams);
   peer.name = heartbeat.name;
   peer.address = heartbeat.address;
   peer.failure_domain = heartbeat.failure_domain;
   peer.last = heartbeat;
-  if (!heartbeat.has_teams && !reborn) peer.last.teams = std::move(teams);
+  if (!heartbeat.has_teams && !restarted) peer.last.teams = std::move(teams);
   peer.heard = now;
   const bool mutual = std::find(heartbeat.heard.begin(), heartbeat.heard.end(),
                                 options_.name) != heartbeat.heard.end();
   const bool link_change = mutual != peer.mutual;
   peer.mutual = mutual;
-  if (silent) SetState(peer, PeerState::kReturning);
+  if (first_contact) SetState(peer, PeerState::kReturning);
   UpdateState(peer, now);
-  if (reborn || told_change || link_change) changed_();
+  if (restarted || status_change || link_change) changed_();
 }
 
 void Membership::UpdateState(Peer& peer, TimePoint now) {
@@ -135,8 +136,9 @@
     return SetState(peer, peer.state == PeerState::kDead ? PeerState::kDead
                                                          : PeerState::kSuspect);
   }
-  // Hysteresis: a peer that flickers would take racks and lose them again with
-  // each flicker; it must be heard for a while before it counts.
+  // Hysteresis: a peer with an unstable link would get racks and lose them
+  // again each time. It must send heartbeats for `return_after` before it
+  // counts as alive.
   if (peer.state == PeerState::kReturning &&
       now - peer.heard_since < options_.return_after) {
     return;
@@ -207,11 +209,11 @@
 std::vector<const Peer*> Membership::Controllers() const {
   std::vector<const Peer*> out;
   for (const auto& [name, peer] : peers_) {
-    // With a link cut in one direction the peer is heard but can neither be
-    // called nor learn who has its racks.
-    const bool reached = peer.mutual && (peer.state == PeerState::kAlive ||
-                                         peer.state == PeerState::kSuspect);
-    if (reached && peer.last.phase == wire::EntryPhase::kReady) {
+    // With a link that is partitioned in one direction, heartbeats of the peer
+    // arrive, but it can neither be called nor learn which entry has its racks.
+    const bool reachable = peer.mutual && (peer.state == PeerState::kAlive ||
+                                           peer.state == PeerState::kSuspect);
+    if (reachable && peer.last.phase == wire::EntryPhase::kReady) {
       out.push_back(&peer);
     }
   }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -12,14 +12,15 @@
 
 namespace mimosarail::membership {
 
-/// How a peer looks from here. Views may differ between entries, so only
-/// liveness may depend on them, never a promise.
+/// The state of a peer as seen by this entry. Views may differ between entries,
+/// so only liveness may depend on them, never a guarantee given to a caller.
 enum class PeerState {
-  kListed,     ///< Known of, never heard.
-  kReturning,  ///< Heard again, not yet for long enough to be given racks.
+  kListed,     ///< In the instance list; no heartbeat received yet.
+  kReturning,  ///< Sends heartbeats again, but not yet for long enough to be
+               ///< assigned racks.
   kAlive,
-  kSuspect,  ///< Silent for a while; keeps its racks.
-  kDead,     ///< Silent for long; its racks are taken over.
+  kSuspect,  ///< Unresponsive for `suspect_after`; keeps its racks.
+  kDead,     ///< Unresponsive for `dead_after`; its racks are taken over.
 };
 
 std::string_view PeerStateName(PeerState state);
@@ -30,13 +31,18 @@
   std::string failure_domain;
   PeerState state = PeerState::kListed;
   wire::Heartbeat last;
+  /// When the last heartbeat arrived, or when a later pause of this process
+  /// ended.
   TimePoint heard{};
+  /// When heartbeats began to arrive: the first ever, or the first after a
+  /// restart or the state kDead.
   TimePoint heard_since{};
-  /// It hears this entry too; calls to one that does not would be lost.
+  /// The peer receives heartbeats of this entry too. Calls to a peer that does
+  /// not would be lost.
   bool mutual = false;
 };
 
-/// Sends one datagram's worth of heartbeat; loss is expected.
+/// Sends a heartbeat as one datagram; loss is expected.
 class HeartbeatSender {
  public:
   virtual ~HeartbeatSender() = default;
@@ -56,44 +62,49 @@
   Millis return_after{2000};
 };
 
-/// Who the other entry instances are and how they do. Control thread only.
+/// Tracks the other entry instances and their states by heartbeats. Control
+/// thread only.
 class Membership {
  public:
-  /// `executor` and `sender` outlive it. `fill` completes a heartbeat with what
-  /// this entry says of itself; `changed` runs when any peer's state changed.
+  /// `executor` and `sender` outlive it. `fill` adds the state of this entry to
+  /// a heartbeat; `changed` runs when the state of any peer changed.
   Membership(Executor& executor, HeartbeatSender& sender,
              MembershipOptions options,
              std::function<void(wire::Heartbeat&)> fill,
              std::function<void()> changed);
 
-  /// Starts the heartbeats.
   void Start();
-  /// Sends a heartbeat now, as when the phase changes.
+  /// Sends a heartbeat at once, for example when the phase changes.
   void Announce();
   void Receive(const wire::Heartbeat& heartbeat);
-  /// The instance list, a hint of whom to greet.
+  /// Adds the entries of the instance list to those that get heartbeats.
   void SetListed(const std::vector<wire::ListedInstance>& instances);
 
-  /// Peers by name, without this entry.
+  /// All peers by name, without this entry.
   const std::map<std::string, Peer>& peers() const { return peers_; }
   const Peer* Find(const std::string& name) const;
-  /// Alive or suspect, and still the process with this incarnation.
+  /// Whether `name` is this entry or a peer that is neither dead nor merely
+  /// listed, and is still the process with this incarnation.
   bool Lives(const std::string& name, int64_t incarnation) const;
-  /// Certain, as far as the platform's word goes: a newer process runs under
-  /// the name, or the instance list no longer has it and it is not heard.
+  /// Whether the process is confirmed to have ended, relying on the platform: a
+  /// newer process runs under the name, or the instance list no longer contains
+  /// it and it sends no heartbeats.
   bool SurelyGone(const std::string& name, int64_t incarnation) const;
-  /// This entry hears less than half of the listed entries: it is more likely
-  /// cut off than all the others dead. Ties go to the smallest name.
+  /// Whether this entry exchanges heartbeats with less than half of the listed
+  /// entries, itself counted in. It is then more likely partitioned than all
+  /// the others dead. With exactly half, the side with the smallest name is not
+  /// the minority.
   bool InMinority() const;
-  /// Ready peers that may be given racks, without this entry.
+  /// Ready peers that may be assigned racks, without this entry.
   std::vector<const Peer*> Controllers() const;
   const MembershipOptions& options() const { return options_; }
 
-  /// Number of the last heartbeat sent; tells how old a peer's call is.
+  /// Number of the last heartbeat sent. Calls of peers name the heartbeat that
+  /// they are based on, which shows how old they are.
   int64_t sequence() const { return sequence_; }
 
-  /// Longest gap between two ticks of this process since the last call: shows
-  /// that it was paused itself.
+  /// Returns and resets the longest gap between two ticks since the last call.
+  /// A long gap shows that this process was paused.
   Millis TakeLongestGap();
 
  private:
--- a/src/membership/rack_assignment.cc
+++ b/src/membership/rack_assignment.cc
@@ -14,7 +14,8 @@
   size_t controller;
 };
 
-/// Strongest wishes first; the order does not depend on who else is there.
+/// Orders the strongest preferences first. The order of two choices does not
+/// depend on which other controllers exist.
 bool Stronger(const Choice& a, const Choice& b) {
   if (a.same_domain != b.same_domain) return a.same_domain;
   if (a.hash != b.hash) return a.hash > b.hash;
--- a/src/membership/rack_assignment.h
+++ b/src/membership/rack_assignment.h
@@ -16,10 +16,11 @@
   std::string failure_domain;
 };
 
-/// Which controller is preferred for each rack: rendezvous hashing with a bound
-/// on each controller's load, its own failure domain first. Equal inputs give
-/// equal results on every entry, and few racks move when one controller comes
-/// or goes. Pure; safe from any thread.
+/// Returns the preferred controller of each rack. Uses rendezvous hashing with
+/// a bound on the load of each controller; controllers in the failure domain of
+/// the rack are preferred. Equal inputs give equal results on every entry, and
+/// few racks move when one controller is added or removed. Pure; safe from any
+/// thread.
 std::map<std::string, std::string> AssignRacks(
     std::vector<RackPlace> racks, std::vector<ControllerPlace> controllers);
 
