--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -133,7 +133,8 @@
   return then;
 }
 
-/// True if every value that `inner` admits is admitted by `outer`.
+/// Whether every value that `inner` admits is admitted by `outer` too. An empty
+/// list admits every value.
 bool ListCovers(const std::vector<std::string>& outer,
                 const std::vector<std::string>& inner) {
   if (outer.empty()) return true;
@@ -185,7 +186,7 @@
     for (size_t earlier = 0; earlier < later; ++earlier) {
       if (rules[earlier].name == rules[later].name) {
         findings.Add(text.PlaceOf(path),
-                     "name \"" + rules[later].name + "\" stands twice");
+                     "duplicate rule name \"" + rules[later].name + "\"");
       }
       if (Covers(rules[earlier].when, rules[later].when)) {
         findings.Add(text.PlaceOf(path),
@@ -197,8 +198,8 @@
   }
   if (rules.empty() || !AlwaysHolds(rules.back().when)) {
     findings.Add(text.PlaceOf("rules"),
-                 "the last rule must hold always (no when), so that each "
-                 "request meets a rule");
+                 "the last rule must match every request (no when), so that a "
+                 "rule applies to each request");
   }
 }
 
@@ -305,7 +306,7 @@
   if (!when.teams.empty() && !Contains(when.teams, spec.team)) return "team";
   if (!when.works.empty() && !Contains(when.works, spec.work)) return "work";
   if (!when.failure_domains.empty()) {
-    // A request that names no failure domain may run outside the rule's.
+    // A request that names no failure domain may run outside those of the rule.
     const bool inside = !spec.failure_domains.empty() &&
                         ListCovers(when.failure_domains, spec.failure_domains);
     if (!inside) return "failure_domain";
--- a/src/rules/rule_set.h
+++ b/src/rules/rule_set.h
@@ -11,14 +11,14 @@
 
 namespace mimosarail::rules {
 
-/// What a rule's conditions look at.
+/// The input of a rule's conditions.
 struct Facts {
   const wire::RequestSpec* spec = nullptr;  ///< Never null when matching.
   int64_t waiting = 0;                      ///< Requests waiting at the entry.
   int32_t minute_of_day = 0;                ///< UTC.
 };
 
-/// Conditions of a rule; an absent one always holds.
+/// The conditions of a rule; an absent condition always holds.
 struct Condition {
   std::vector<std::string> teams;
   std::vector<std::string> works;
@@ -33,7 +33,8 @@
   std::optional<int64_t> max_deadline_ms;
   std::optional<int64_t> min_waiting;
   std::optional<int64_t> min_cost_nanos;
-  std::optional<int32_t> from_minute;  ///< With to_minute; may pass midnight.
+  /// Set together with `to_minute`; the span may pass midnight.
+  std::optional<int32_t> from_minute;
   std::optional<int32_t> to_minute;
 };
 
@@ -43,7 +44,8 @@
   wire::Treatment then;
 };
 
-/// What a team may use at once, over the whole cell; absent is unlimited.
+/// The resources that a team may use at a time, over the whole cell. An absent
+/// value is unlimited.
 struct TeamLimit {
   std::optional<int64_t> millicores;
   std::optional<int64_t> waiting;
@@ -55,7 +57,7 @@
   int64_t accelerator_second = 20000000;  ///< Nanos.
 };
 
-/// Which rule decided and, for those before it, why they did not.
+/// The rule that decided and, for each rule before it, why it does not hold.
 struct Match {
   const Rule* rule = nullptr;
   std::vector<Finding> passed_over;
@@ -66,7 +68,7 @@
 class RuleSet {
  public:
   /// Parses and checks the whole text; the same text gives the same findings
-  /// on every entry. Empty when there are findings.
+  /// on every entry. Returns nothing if there are findings.
   static std::optional<RuleSet> Parse(const std::string& text,
                                       Findings& findings);
 
@@ -75,6 +77,7 @@
   /// Decide(), with the reason why each earlier rule does not hold.
   Match Explain(const Facts& facts) const;
 
+  /// The limit of `team`, else the limit of the team "*"; null without either.
   const TeamLimit* LimitOf(const std::string& team) const;
   int64_t max_waiting() const { return max_waiting_; }
   const std::vector<Rule>& rules() const { return rules_; }
@@ -84,6 +87,7 @@
   int64_t EstimatedCost(const wire::RequestSpec& spec) const;
 
  private:
+  /// The first condition that does not hold; empty if all hold.
   std::string Mismatch(const Condition& when, const Facts& facts) const;
 
   std::vector<Rule> rules_;
@@ -92,7 +96,7 @@
   Prices prices_;
 };
 
-/// Names of the enumerations as rules and callers write them.
+/// Names of the enumerators as rules and callers write them.
 std::string_view KindName(wire::WorkKind::type kind);
 std::optional<wire::WorkKind::type> FindKind(std::string_view name);
 std::string_view GoalName(wire::PlacementGoal::type goal);
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -1,4 +1,5 @@
-// What operators write: rules, limits, prices, and what is said of mistakes.
+// Parsing of the rules, limits and prices that operators write, and the
+// findings that faulty texts give.
 
 #define BOOST_TEST_MODULE rules
 #include <boost/test/data/test_case.hpp>
@@ -23,7 +24,7 @@
 const std::vector<BadText> kBadTexts{
     {"{", "1:2", "not JSON"},
     {"[]", "", "must be an object"},
-    {R"({"rules": []})", "rules", "the last rule must hold always"},
+    {R"({"rules": []})", "rules", "the last rule must match every request"},
     {R"({"rules": [], "rules": []})", "1:15 rules", "stands twice"},
     {R"({"rule": [{"name": "a"}]})", "1:2 rule", "unknown key"},
     {R"({"rules": [{"name": "a", "then": {"priority": 10}}]})",
@@ -37,7 +38,7 @@
                    {"name": "c"}]})",
      "rules[1]", "unreachable"},
     {R"({"rules": [{"name": "a", "when": {"urgent": true}}, {"name": "a"}]})",
-     "rules[1]", "stands twice"},
+     "rules[1]", "duplicate rule name \"a\""},
     {R"({"rules": [{"name": "a", "then": {"refuse": "no", "retries": 1}}]})",
      "rules[0].then.retries", "contradicts refuse"},
     {R"({"rules": [{"name": "a", "when": {"repeatable": false},
@@ -69,14 +70,14 @@
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(bad_texts_are_refused_with_place,
+BOOST_DATA_TEST_CASE(malformed_texts_are_refused_with_the_place,
                      boost::unit_test::data::make(kBadTexts), bad) {
   const std::string found = FindingsOf(bad.text);
   BOOST_TEST(found.find(bad.place) != std::string::npos, found);
   BOOST_TEST(found.find(bad.message) != std::string::npos, found);
 }
 
-BOOST_AUTO_TEST_CASE(all_findings_come_together) {
+BOOST_AUTO_TEST_CASE(all_findings_of_a_text_are_reported_at_once) {
   Findings findings;
   RuleSet::Parse(R"({"limits": {"waiting": 0}, "rules": [
     {"name": "a", "when": {"colour": 1}, "then": {"priority": 77}},
@@ -115,7 +116,8 @@
     {R"({"failure_domain": ["Silom"]})", false},
 };
 
-BOOST_DATA_TEST_CASE(conditions, boost::unit_test::data::make(kMatchCases), c) {
+BOOST_DATA_TEST_CASE(a_rule_holds_only_if_its_condition_does,
+                     boost::unit_test::data::make(kMatchCases), c) {
   Findings findings;
   const auto rules =
       RuleSet::Parse(std::string(R"({"rules": [{"name": "first", "when": )") +
@@ -141,7 +143,7 @@
   spec.team = "other";
   BOOST_TEST(rules->Decide({.spec = &spec}).name == "two");
   spec.size.accelerators = 1;
-  // 2 cores at 0.5 and an accelerator at 2, for 10 s.
+  // 2 cores at 0.5 and one accelerator at 2, for 10 s.
   BOOST_TEST(rules->Cost(spec.size, 10000) == 30 * 1000000000LL);
 }
 
