--- a/src/peers/peer_server.h
+++ b/src/peers/peer_server.h
@@ -5,8 +5,9 @@
 
 namespace mimosarail::peers {
 
-/// Registers the calls of other entry instances; each runs on the control
-/// thread. Call before Server::Listen(); all arguments outlive the server.
+/// Registers handlers for the calls of other entry instances; each runs on the
+/// control thread. Call before Server::Listen(); all arguments outlive the
+/// server.
 void ServePeers(rpc::Server& server, Executor& executor,
                 instance::Instance& instance);
 
--- a/src/peers/udp_heartbeats.cc
+++ b/src/peers/udp_heartbeats.cc
@@ -27,12 +27,12 @@
         asio::buffer(buffer), from,
         [self = shared_from_this()](std::error_code error, size_t size) {
           if (error == asio::error::operation_aborted) return;
-          if (!error) self->Take(size);
+          if (!error) self->HandleDatagram(size);
           self->ReceiveNext();
         });
   }
 
-  void Take(size_t size) {
+  void HandleDatagram(size_t size) {
     bytes += static_cast<int64_t>(size);
     auto decoded =
         rpc::Decode<wire::Heartbeat>(std::string_view(buffer.data(), size));
@@ -61,7 +61,7 @@
 
 Result<uint16_t> UdpHeartbeats::Listen(const std::string& address) {
   const auto parsed = rpc::ParseEndpoint(address);
-  if (!parsed) return {Errc::kInvalid, "bad address " + address};
+  if (!parsed) return {Errc::kInvalid, "invalid address " + address};
   const udp::endpoint endpoint(parsed->address, parsed->port);
   std::error_code error;
   d_->socket.open(endpoint.protocol(), error);
@@ -78,8 +78,8 @@
   asio::post(d_->strand, [d = d_, bytes = rpc::Encode(heartbeat),
                           to = udp::endpoint(parsed->address, parsed->port)] {
     d->bytes += static_cast<int64_t>(bytes.size());
-    // A heartbeat that can't be sent at once is as good as lost: the next one
-    // says more.
+    // A heartbeat that cannot be sent at once is dropped: the next one carries
+    // newer state.
     std::error_code ignored;
     d->socket.send_to(asio::buffer(bytes), to, 0, ignored);
   });
--- a/src/peers/udp_heartbeats.h
+++ b/src/peers/udp_heartbeats.h
@@ -13,15 +13,15 @@
 
 namespace mimosarail::peers {
 
-/// Heartbeats over UDP. Send() may be called from any thread; what arrives is
-/// handed to `receive` on the executor.
+/// Heartbeats over UDP. Send() may be called from any thread; received
+/// heartbeats are passed to `receive` on the executor.
 class UdpHeartbeats final : public membership::HeartbeatSender {
  public:
   /// `io` and `executor` outlive it.
   UdpHeartbeats(asio::io_context& io, Executor& executor,
                 std::function<void(const wire::Heartbeat&)> receive);
   ~UdpHeartbeats() override;
-  /// Binds "ip:port".
+  /// Binds "ip:port" and returns the port.
   Result<uint16_t> Listen(const std::string& address);
   void Send(const std::string& address,
             const wire::Heartbeat& heartbeat) override;
