--- a/src/cost/cost_book.cc
+++ b/src/cost/cost_book.cc
@@ -10,7 +10,7 @@
 namespace mimosarail::cost {
 namespace {
 
-constexpr int32_t kReadAtOnce = 500;
+constexpr int32_t kMaxRecordsPerRead = 500;
 
 void AddTo(wire::CostLine& sum, const wire::CostLine& line) {
   sum.rule = line.rule;
@@ -32,14 +32,15 @@
 
 using DayKey = std::tuple<std::string, std::string, int64_t, std::string>;
 
-/// One pass over the stream.
-struct Summing {
+/// The state of one pass over the stream.
+struct CostSummation {
   std::map<DayKey, wire::CostLine> sums;
-  /// A batch whose append reply was lost is in the log twice.
+  /// Batches already counted, by entry and number: a batch whose append reply
+  /// was lost is in the log twice.
   std::set<std::pair<std::string, int64_t>> seen;
   std::function<void(Result<std::vector<DayLine>>)> done;
 
-  void Take(const std::string& data) {
+  void AddBatch(const std::string& data) {
     const auto batch = rpc::Decode<wire::CostBatch>(data);
     if (!batch.ok()) return;
     const wire::CostBatch& read = batch.value();
@@ -59,23 +60,23 @@
   }
 };
 
-void ReadOn(ports::LogPort& log, const std::shared_ptr<Summing>& summing,
-            int64_t start) {
+void ReadNext(ports::LogPort& log,
+              const std::shared_ptr<CostSummation>& summation, int64_t start) {
   wire::ReadCall call;
   call.stream = kCostStream;
   call.start = start;
-  call.max_records = kReadAtOnce;
-  log.Read(call, [&log, summing](const Result<wire::ReadReply>& reply) {
-    if (!reply.ok()) return summing->done(reply.error());
+  call.max_records = kMaxRecordsPerRead;
+  log.Read(call, [&log, summation](const Result<wire::ReadReply>& reply) {
+    if (!reply.ok()) return summation->done(reply.error());
     int64_t next = reply.value().first_retained;
     for (const wire::LogRecord& record : reply.value().records) {
-      summing->Take(record.data);
+      summation->AddBatch(record.data);
       next = record.offset + 1;
     }
     const bool more =
         !reply.value().records.empty() && next < reply.value().upper;
-    if (more) return ReadOn(log, summing, next);
-    summing->done(summing->Lines());
+    if (more) return ReadNext(log, summation, next);
+    summation->done(summation->Lines());
   });
 }
 
@@ -104,7 +105,8 @@
   ++unconfirmed_;
   auto bytes = std::make_shared<std::string>(rpc::Encode(batch));
   auto append = std::make_shared<std::function<void()>>();
-  // Appended until confirmed, under the same number: readers count it once.
+  // Appends the batch until an append is confirmed. The number stays the same,
+  // so that readers count the batch once.
   *append = [this, bytes, done = std::move(done),
              weak = std::weak_ptr(append)] {
     wire::AppendCall call;
@@ -125,9 +127,9 @@
 
 void SumByDay(ports::LogPort& log,
               std::function<void(Result<std::vector<DayLine>>)> done) {
-  auto summing = std::make_shared<Summing>();
-  summing->done = std::move(done);
-  ReadOn(log, summing, 0);
+  auto summation = std::make_shared<CostSummation>();
+  summation->done = std::move(done);
+  ReadNext(log, summation, 0);
 }
 
 }  // namespace mimosarail::cost
--- a/src/cost/cost_book.h
+++ b/src/cost/cost_book.h
@@ -18,16 +18,18 @@
   Millis flush_every{10000};
 };
 
-/// Sums cost by rule, revision and team, and appends the sums to the log from
-/// time to time, so that they add up over entries and restarts. Control thread
+/// Sums cost by rule, revision and team, and appends the sums to the log
+/// periodically, so that they add up over entries and restarts. Control thread
 /// only.
 class CostBook {
  public:
   CostBook(Executor& executor, ports::LogPort& log, CostBookOptions options);
   void Start();
   void Add(const wire::CostLine& line);
-  /// Appends what is not yet in the log; `done` tells whether all of it is.
+  /// Appends the sums that are not yet in the log; `done` receives whether the
+  /// log has confirmed all batches.
   void Flush(std::function<void(bool)> done);
+  /// Whether no sums are left to append and no append is unconfirmed.
   bool empty() const { return lines_.empty() && unconfirmed_ == 0; }
   int64_t appends() const { return appends_; }
 
@@ -42,13 +44,13 @@
   int64_t next_batch_ = 0;
 };
 
-/// One day's sums, as operators compare them.
+/// The sums of one day.
 struct DayLine {
   std::string day;  ///< "2026-12-02", UTC.
   wire::CostLine sum;
 };
 
-/// Reads the whole stream and sums it by day, rule, revision and team; an
+/// Reads the whole stream and sums it by day, rule, revision and team. Gives an
 /// error if the log does not answer. Control thread only.
 void SumByDay(ports::LogPort& log,
               std::function<void(Result<std::vector<DayLine>>)> done);
