--- a/src/callers/http_api.cc
+++ b/src/callers/http_api.cc
@@ -54,13 +54,13 @@
 
 }  // namespace
 
-/// What the control thread said to a call.
+/// The reply of the control thread to a call.
 template <typename T>
-struct Asked {
-  /// Empty if it did not answer in time.
+struct ControlReply {
+  /// Empty if the control thread did not answer in time.
   std::optional<T> value{};
-  /// Without an answer: whether it may have carried the call out.
-  bool begun = false;
+  /// Without an answer: whether the call may have been executed.
+  bool started = false;
 
   explicit operator bool() const { return value.has_value(); }
   const T& operator*() const { return *value; }
@@ -75,53 +75,60 @@
         metrics(metrics_in),
         options(std::move(options_in)) {}
 
-  /// Runs `work` on the control thread and waits for the value it hands to its
-  /// argument. With no answer in time, work that was not begun never is. `work`
-  /// may run after this has returned, and must own all that it uses.
+  /// Runs `work` on the control thread and waits for the value that it passes
+  /// to its argument. If the wait times out before `work` has started, `work`
+  /// never runs. Once started, it may still run after this function has
+  /// returned, and must own everything that it uses.
   template <typename T>
-  Asked<T> Ask(std::function<void(std::function<void(T)>)> work,
-               Millis extra = Millis(0)) {
+  ControlReply<T> CallControl(std::function<void(std::function<void(T)>)> work,
+                              Millis extra = Millis(0)) {
     auto promise = std::make_shared<std::promise<T>>();
     std::future<T> future = promise->get_future();
-    // Whoever sets it first, the control thread or the caller that gives up.
-    auto taken = std::make_shared<std::atomic<bool>>(false);
-    control.Post([work = std::move(work), promise, taken] {
-      // Its caller has been told that nothing ran, and may have gone elsewhere.
-      if (taken->exchange(true)) return;
+    // Set first either by the control thread, which then runs the work, or by
+    // this thread when the wait times out, which cancels the work.
+    auto claimed = std::make_shared<std::atomic<bool>>(false);
+    control.Post([work = std::move(work), promise, claimed] {
+      // The wait has timed out: the client was told that the request did not
+      // run, and may have sent it to another instance.
+      if (claimed->exchange(true)) return;
       work([promise](T value) { promise->set_value(std::move(value)); });
     });
     if (future.wait_for(options.control_timeout + extra) ==
         std::future_status::ready) {
       return {.value = future.get()};
     }
-    return {.begun = taken->exchange(true)};
+    return {.started = claimed->exchange(true)};
   }
 
-  /// Ask() for what the control thread can tell at once.
-  void Show(Response& response, std::function<Json(instance::Instance&)> view) {
-    const auto body = Ask<Json>(
+  /// Replies with the JSON view that the control thread builds at once.
+  void ReplyView(Response& response,
+                 std::function<Json(instance::Instance&)> view) {
+    const auto body = CallControl<Json>(
         [this, view = std::move(view)](auto done) { done(view(instance)); });
     if (body) return Reply(response, kOk, *body);
-    Busy(response);
+    ReplyBusy(response);
   }
 
-  void Busy(Response& response) {
+  void ReplyBusy(Response& response) {
     SetRetryAfter(response, kMillisPerSecond);
     Reply(response, kUnavailable,
           {{"verdict", "unknown"}, {"reason", "this instance is too busy"}});
   }
 
-  /// For a submission that got no answer in time.
-  void ReplyUnanswered(Response& response, const std::string& key, bool begun) {
+  /// Replies to a submission that the control thread did not answer in time.
+  void ReplySubmitTimeout(Response& response, const std::string& key,
+                          bool started) {
     wire::Outcome outcome;
-    outcome.verdict = begun ? wire::Verdict::kUnknown : wire::Verdict::kNotRun;
+    outcome.verdict =
+        started ? wire::Verdict::kUnknown : wire::Verdict::kNotRun;
     outcome.reason = "this instance is too busy";
-    outcome.retry_after_ms = begun ? 0 : kMillisPerSecond;
+    outcome.retry_after_ms = started ? 0 : kMillisPerSecond;
     ReplyOutcome(response, key, outcome);
   }
 
-  /// How long this call may wait: a waiting call holds a thread, so at most
-  /// half of them wait and the rest stay free for short calls.
+  /// The time that this call may wait. A waiting call occupies a thread: once
+  /// more than half of the threads wait, further calls do not, so that the rest
+  /// stay free for short calls.
   Millis AllowedWait(const Request& request) {
     int64_t wait = 0;
     try {
@@ -134,18 +141,19 @@
     return Millis(wait);
   }
 
-  /// `unanswered` is told if the control thread does not answer in time.
-  void Await(
-      Response& response, const std::string& id, Millis wait,
-      instance::LookupState unanswered = instance::LookupState::kUnreachable) {
+  /// Replies with the outcome of request `id`, or with the state
+  /// `timeout_state` if the control thread does not answer in time.
+  void Await(Response& response, const std::string& id, Millis wait,
+             instance::LookupState timeout_state =
+                 instance::LookupState::kUnreachable) {
     ++waiting;
-    const auto result = Ask<instance::LookupResult>(
+    const auto result = CallControl<instance::LookupResult>(
         [this, id, wait](auto done) {
           instance.lookup().Await(id, wait, std::move(done));
         },
         wait);
     --waiting;
-    if (!result) return ReplyLookup(response, id, {.state = unanswered});
+    if (!result) return ReplyLookup(response, id, {.state = timeout_state});
     ReplyLookup(response, id, *result);
   }
 
@@ -167,14 +175,14 @@
                      {{"id", id},
                       {"verdict", "unknown"},
                       {"reason",
-                       "no instance knows this id: it was never "
-                       "taken, or its window is over"}});
+                       "no instance knows this id: it was never accepted, or "
+                       "its outcome is no longer kept"}});
       case instance::LookupState::kUnreachable:
         SetRetryAfter(response, kMillisPerSecond);
         return Reply(response, kUnavailable,
                      {{"id", id},
                       {"verdict", "unknown"},
-                      {"reason", "not every instance can be asked"}});
+                      {"reason", "not every instance can be reached"}});
     }
   }
 
@@ -191,11 +199,11 @@
       }
     }
     const std::string key = spec->id;
-    const auto submitted =
-        Ask<requests::Submitted>([this, spec = std::move(*spec)](auto done) {
+    const auto submitted = CallControl<requests::Submitted>(
+        [this, spec = std::move(*spec)](auto done) {
           instance.requests().Submit(spec, std::move(done));
         });
-    if (!submitted) return ReplyUnanswered(response, key, submitted.begun);
+    if (!submitted) return ReplySubmitTimeout(response, key, submitted.started);
     if (!submitted->taken) {
       return ReplyOutcome(response, submitted->id, submitted->outcome);
     }
@@ -204,10 +212,10 @@
   }
 
   void Cancel(const std::string& id, Response& response) {
-    const auto found = Ask<bool>([this, id](auto done) {
+    const auto found = CallControl<bool>([this, id](auto done) {
       instance.lookup().Cancel(id, std::move(done));
     });
-    if (!found) return Busy(response);
+    if (!found) return ReplyBusy(response);
     if (!*found) {
       return Reply(response, kNotFound,
                    {{"id", id}, {"reason", "no instance owns this id"}});
@@ -227,27 +235,28 @@
     reader.Read("team", team, {1, 64});
     reader.Read("work", work, {1, 64});
     if (ids.empty() && team.empty() && work.empty()) {
-      reader.Add("ids", "name ids, a team or a kind of work");
+      reader.Add("ids", "specify ids, team or work");
     }
     reader.Finish();
     if (!findings.empty()) return ReplyFindings(response, findings);
-    const auto count = Ask<size_t>([this, ids, team, work](auto done) mutable {
-      auto& requests = instance.requests();
-      if (!team.empty() || !work.empty()) {
-        for (std::string& id : requests.Select([&](const auto& record) {
-               return (team.empty() || record.spec.team == team) &&
-                      (work.empty() || record.spec.work == work);
-             })) {
-          ids.push_back(std::move(id));
-        }
-      }
-      size_t cancelled = 0;
-      for (const std::string& id : ids) {
-        cancelled += requests.Cancel(id) ? 1 : 0;
-      }
-      done(cancelled);
-    });
-    if (!count) return Busy(response);
+    const auto count =
+        CallControl<size_t>([this, ids, team, work](auto done) mutable {
+          auto& requests = instance.requests();
+          if (!team.empty() || !work.empty()) {
+            for (std::string& id : requests.Select([&](const auto& record) {
+                   return (team.empty() || record.spec.team == team) &&
+                          (work.empty() || record.spec.work == work);
+                 })) {
+              ids.push_back(std::move(id));
+            }
+          }
+          size_t cancelled = 0;
+          for (const std::string& id : ids) {
+            cancelled += requests.Cancel(id) ? 1 : 0;
+          }
+          done(cancelled);
+        });
+    if (!count) return ReplyBusy(response);
     Reply(response, kOk, {{"cancelled", *count}});
   }
 
@@ -268,20 +277,20 @@
     reader.Finish();
     if (!findings.empty()) return ReplyFindings(response, findings);
     constexpr Millis kPublishWait{10000};
-    const auto result = Ask<configlog::PublishResult>(
+    const auto result = CallControl<configlog::PublishResult>(
         [this, config, author, base](auto done) {
           instance.config().Publish(config, author, base, std::move(done));
         },
         kPublishWait);
-    if (!result) return Busy(response);
+    if (!result) return ReplyBusy(response);
     const auto [status, body] = PublishJson(*result);
     Reply(response, status, body);
   }
 
   void Cost(Response& response) {
-    const auto result = Ask<Result<std::vector<cost::DayLine>>>(
+    const auto result = CallControl<Result<std::vector<cost::DayLine>>>(
         [this](auto done) { cost::SumByDay(instance.log(), std::move(done)); });
-    if (!result) return Busy(response);
+    if (!result) return ReplyBusy(response);
     if (!result->ok()) {
       SetRetryAfter(response, kMillisPerSecond);
       return Reply(response, kUnavailable,
@@ -292,22 +301,23 @@
   }
 
   void Ready(Response& response) {
-    const auto blockers = Ask<std::vector<std::string>>([this](auto done) {
-      auto list = instance.Blockers();
-      if (list.empty() && !instance.ready()) list.emplace_back("starting");
-      done(std::move(list));
-    });
-    if (!blockers) return Busy(response);
+    const auto blockers =
+        CallControl<std::vector<std::string>>([this](auto done) {
+          auto list = instance.Blockers();
+          if (list.empty() && !instance.ready()) list.emplace_back("starting");
+          done(std::move(list));
+        });
+    if (!blockers) return ReplyBusy(response);
     Reply(response, blockers->empty() ? kOk : kUnavailable,
           {{"ready", blockers->empty()}, {"waits_for", *blockers}});
   }
 
   void Metrics(Response& response) {
-    const auto updated = Ask<bool>([this](auto done) {
+    const auto updated = CallControl<bool>([this](auto done) {
       instance.UpdateGauges();
       done(true);
     });
-    if (!updated) return Busy(response);
+    if (!updated) return ReplyBusy(response);
     if (options.update_metrics) options.update_metrics();
     response.set_content(metrics.Text(), "text/plain; version=0.0.4");
   }
@@ -316,7 +326,7 @@
     server.Post("/v1/requests",
                 [this](const auto& q, auto& r) { Submit(q, r); });
     server.Get("/v1/requests", [this](const auto&, auto& r) {
-      Show(r, [](instance::Instance& i) { return QueueJson(i); });
+      ReplyView(r, [](instance::Instance& i) { return QueueJson(i); });
     });
     server.Get(R"(/v1/requests/([A-Za-z0-9._-]+))",
                [this](const Request& q, Response& r) {
@@ -328,17 +338,17 @@
     server.Post("/v1/cancel",
                 [this](const auto& q, auto& r) { CancelMany(q, r); });
     server.Get("/v1/instances", [this](const auto&, auto& r) {
-      Show(r, [](instance::Instance& i) { return InstancesJson(i); });
+      ReplyView(r, [](instance::Instance& i) { return InstancesJson(i); });
     });
     server.Get("/v1/upstreams", [this](const auto&, auto& r) {
-      Show(r, [](instance::Instance& i) { return UpstreamsJson(i); });
+      ReplyView(r, [](instance::Instance& i) { return UpstreamsJson(i); });
     });
     server.Get("/v1/rules", [this](const auto&, auto& r) {
-      Show(r, [](instance::Instance& i) { return RulesJson(i); });
+      ReplyView(r, [](instance::Instance& i) { return RulesJson(i); });
     });
     server.Post("/v1/rules", [this](const auto& q, auto& r) { Publish(q, r); });
     server.Get("/v1/audit", [this](const auto&, auto& r) {
-      Show(r, [](instance::Instance& i) { return AuditJson(i); });
+      ReplyView(r, [](instance::Instance& i) { return AuditJson(i); });
     });
     server.Get("/v1/cost", [this](const auto&, auto& r) { Cost(r); });
     server.Get("/metrics", [this](const auto&, auto& r) { Metrics(r); });
@@ -381,7 +391,8 @@
   server.set_read_timeout(kReadTimeoutSeconds);
   server.set_keep_alive_timeout(kKeepAliveSeconds);
   server.set_tcp_nodelay(true);
-  // The library's default would let two daemons share a port by mistake.
+  // The library's default (SO_REUSEPORT) would let two daemons share a port by
+  // mistake.
   server.set_socket_options([](socket_t socket) {
     const int on = 1;
     setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
--- a/src/callers/http_api.h
+++ b/src/callers/http_api.h
@@ -15,12 +15,13 @@
   int64_t max_body = 1 << 20;
   int64_t max_wait_ms = 30000;
   Millis control_timeout{5000};
-  /// Adds what only the daemon knows (CPU, bytes) before /metrics is shown.
+  /// Updates the metrics that only the daemon knows (CPU, bytes) before
+  /// /metrics is served.
   std::function<void()> update_metrics;
 };
 
-/// The HTTP interface of callers and operators (docs/API.md). Its handlers run
-/// on traffic threads and reach the control state by messages only.
+/// The HTTP interface for callers and operators (docs/API.md). Its handlers run
+/// on traffic threads and access the control state by messages only.
 class HttpApi {
  public:
   /// All arguments outlive it.
@@ -30,9 +31,10 @@
   HttpApi(const HttpApi&) = delete;
   HttpApi& operator=(const HttpApi&) = delete;
 
-  /// Binds and serves on threads of its own; returns the port.
+  /// Binds, serves on its own threads and returns the port.
   Result<uint16_t> Start();
-  /// Lets running handlers finish, then stops. Not from a handler.
+  /// Lets running handlers finish, then stops. Must not be called from a
+  /// handler.
   void Stop();
 
  private:
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -7,7 +7,7 @@
 
 using json::Json;
 
-constexpr size_t kMostShown = 1000;
+constexpr size_t kMaxListedRequests = 1000;
 constexpr int kHttpOk = 200;
 constexpr int kHttpAccepted = 202;
 constexpr int kHttpConflict = 409;
@@ -50,7 +50,7 @@
 
 Json QueueJson(instance::Instance& instance) {
   Json out = Json::array();
-  for (const auto& view : instance.requests().Views(kMostShown)) {
+  for (const auto& view : instance.requests().Views(kMaxListedRequests)) {
     out.push_back({{"id", view.id},
                    {"state", requests::PhaseName(view.phase)},
                    {"why", view.why},
--- a/src/callers/operator_json.h
+++ b/src/callers/operator_json.h
@@ -8,7 +8,8 @@
 
 namespace mimosarail::callers {
 
-// What operators are shown; control thread only, but for the last two.
+// JSON views for operators. Control thread only, except for the last two
+// functions.
 
 json::Json QueueJson(instance::Instance& instance);
 json::Json InstancesJson(instance::Instance& instance);
@@ -16,7 +17,7 @@
 json::Json RulesJson(instance::Instance& instance);
 json::Json AuditJson(instance::Instance& instance);
 
-/// HTTP status and body of a publish.
+/// HTTP status and body of the reply to a publish.
 std::pair<int, json::Json> PublishJson(const configlog::PublishResult& result);
 json::Json CostJson(const std::vector<cost::DayLine>& lines);
 
--- a/src/callers/request_json.h
+++ b/src/callers/request_json.h
@@ -9,26 +9,26 @@
 
 namespace mimosarail::callers {
 
-/// Reads a submission as callers write it (docs/API.md). `text` holds
-/// `object`, which stands at `path`. All faults go to `findings`. Safe from
-/// any thread.
+/// Reads a submission in the format that callers send (docs/API.md). `object`
+/// is the value at `path` in `text`. All faults are added to `findings`. Safe
+/// from any thread.
 std::optional<wire::RequestSpec> ReadRequest(const json::JsonText& text,
                                              const json::Json& object,
                                              const std::string& path,
                                              Findings& findings);
 
-/// ReadRequest() on a whole text.
+/// ReadRequest() for a text that is a single submission.
 std::optional<wire::RequestSpec> ParseRequest(const std::string& text,
                                               Findings& findings);
 
-/// Whether `key` may be an idempotency key: 1 to 64 of A-Z a-z 0-9 . _ -
+/// Whether `key` is a valid idempotency key: 1 to 64 of A-Z a-z 0-9 . _ -
 bool ValidKey(const std::string& key);
 
-/// The outcome as callers read it. An answer that is not UTF-8 is given in
-/// base64. Safe from any thread.
+/// The outcome in the format that callers receive. An answer that is not UTF-8
+/// is encoded in base64. Safe from any thread.
 json::Json OutcomeJson(const std::string& id, const wire::Outcome& outcome);
 
-/// HTTP status that goes with an outcome.
+/// HTTP status of the reply with this outcome.
 int HttpStatus(const wire::Outcome& outcome);
 
 json::Json FindingsJson(const Findings& findings);
