--- a/tests/sim/cell.cc
+++ b/tests/sim/cell.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-/// Every way out of a simulated entry.
+/// All outgoing ports of a simulated entry.
 class NodePorts final : public ports::UpstreamPort,
                         public ports::LogPort,
                         public ports::InstanceListPort,
@@ -172,10 +172,10 @@
           serve,
       Callback<Reply> done) {
     Node* peer = cell_.ByAddress(to);
-    const bool gone = peer == nullptr || peer->executor->dead();
+    const bool ended = peer == nullptr || peer->executor->dead();
     cell_.network_.Call<Reply>(
         self_, executor_, peer == nullptr ? to : peer->name,
-        gone ? nullptr : peer->executor.get(), timeout,
+        ended ? nullptr : peer->executor.get(), timeout,
         [peer, serve = std::move(serve)](auto reply) {
           serve(*peer->instance, reply);
         },
@@ -280,7 +280,7 @@
 void Cell::Kill(int i) { node(i).executor->Kill(); }
 
 void Cell::Restart(int i) {
-  // Callbacks on the way to the old process still hold pointers to it.
+  // Pending callbacks to the old process still hold pointers to it.
   dead_.push_back(std::move(nodes_[EntryName(i)]));
   StartNode(i);
 }
@@ -298,7 +298,7 @@
   return out;
 }
 
-void Cell::WatchRevisions() {
+void Cell::CheckRevisions() {
   for (const auto& [name, node] : nodes_) {
     const int64_t now = node->instance->config().fold().revision();
     if (now < node->newest_revision) revision_regressions.push_back(name);
@@ -310,7 +310,7 @@
   const TimePoint until = clock_.now() + span;
   while (clock_.now() < until) {
     clock_.RunUntil(std::min(until, clock_.now() + Millis(20)));
-    WatchRevisions();
+    CheckRevisions();
   }
 }
 
@@ -360,18 +360,20 @@
 
 std::shared_ptr<SubmitResult> Cell::Ask(int entry, const std::string& id,
                                         Millis wait) {
-  auto told = std::make_shared<SubmitResult>();
-  told->id = id;
+  auto lookup_result = std::make_shared<SubmitResult>();
+  lookup_result->id = id;
   Node& at = node(entry);
-  at.executor->Post([&at, told, id, wait] {
+  at.executor->Post([&at, lookup_result, id, wait] {
     at.instance->lookup().Await(
-        id, wait, [told](const instance::LookupResult& result) {
-          told->answered = result.state == instance::LookupState::kEnded;
-          told->found = result.state != instance::LookupState::kUnknownId;
-          told->outcome = result.outcome;
+        id, wait, [lookup_result](const instance::LookupResult& result) {
+          lookup_result->answered =
+              result.state == instance::LookupState::kEnded;
+          lookup_result->found =
+              result.state != instance::LookupState::kUnknownId;
+          lookup_result->outcome = result.outcome;
         });
   });
-  return told;
+  return lookup_result;
 }
 
 std::shared_ptr<configlog::PublishResult> Cell::Publish(
@@ -382,7 +384,9 @@
   at.executor->Post([&at, result, base, comment] {
     at.instance->config().Publish(
         Rules(comment), "operator", base,
-        [result](const configlog::PublishResult& told) { *result = told; });
+        [result](const configlog::PublishResult& published) {
+          *result = published;
+        });
   });
   return result;
 }
--- a/tests/sim/cell.h
+++ b/tests/sim/cell.h
@@ -28,7 +28,7 @@
   bool left = false;
 };
 
-/// What a caller was told about one submission.
+/// The reply to a caller about one submission.
 struct SubmitResult {
   std::string id;
   bool answered = false;
@@ -45,8 +45,8 @@
   Millis retention{3600000};
 };
 
-/// Entries, upstreams, log and list under one manual clock. Not a model of a
-/// cluster: it only carries messages and switches faults.
+/// Entries, upstreams, log and list under one manual clock. Contains no model
+/// of a cluster: it only carries messages and switches faults.
 class Cell {
  public:
   explicit Cell(CellOptions options);
@@ -71,22 +71,23 @@
   Network& network() { return network_; }
   const standins::History& history() const { return history_; }
 
-  /// Kills the process of an entry; callers waiting there are cut off.
+  /// Kills the process of an entry; callers that wait there get no reply.
   void Kill(int i);
   /// Starts a new process under the entry's name.
   void Restart(int i);
 
   void Run(Millis span);
-  /// Runs until `done`, at most `limit`; returns whether it came to that.
+  /// Runs until `done` holds, for at most `limit`; returns whether it holds.
   bool RunUntil(const std::function<bool()>& done, Millis limit);
   /// Publishes the default rules and waits until every entry is ready and
   /// every upstream attached.
   bool WaitUntilReady();
   bool AllAttached();
 
-  /// Submits at an entry; the result is filled in when the caller is told.
+  /// Submits at an entry; the result is filled in when the caller gets its
+  /// reply.
   std::shared_ptr<SubmitResult> Submit(int entry, wire::RequestSpec spec);
-  /// Asks an entry for the outcome.
+  /// Queries an entry for the outcome of request `id`.
   std::shared_ptr<SubmitResult> Ask(int entry, const std::string& id,
                                     Millis wait);
   /// Publishes rules with a comment in them, based on `base`.
@@ -94,13 +95,13 @@
                                                     const std::string& comment);
 
   Node* Find(const std::string& name);
-  /// By the address that the instance list tells.
+  /// Finds a node by its address in the instance list.
   Node* ByAddress(const std::string& address);
 
  private:
   friend class NodePorts;
   void StartNode(int i);
-  void WatchRevisions();
+  void CheckRevisions();
 
   CellOptions options_;
   ManualClock clock_;
@@ -117,11 +118,11 @@
   int64_t next_incarnation_ = 1;
 
  public:
-  /// Entries whose revision went back; must stay empty.
+  /// Names of entries whose revision decreased; must stay empty.
   std::vector<std::string> revision_regressions;
 };
 
-/// A small repeatable request; tests change what they need.
+/// A small repeatable request that tests modify as needed.
 wire::RequestSpec MakeSpec(const std::string& work, int64_t run_ms);
 
 }  // namespace mimosarail::sim
--- a/tests/sim/checker.cc
+++ b/tests/sim/checker.cc
@@ -11,7 +11,8 @@
 
 using nlohmann::json;
 
-struct Use {
+/// The resources in use at one upstream.
+struct Usage {
   int64_t millicores = 0;
   int64_t memory_mb = 0;
   int64_t accelerators = 0;
@@ -25,21 +26,21 @@
     connections += sign * event["connections"].get<int64_t>();
     tasks += sign;
   }
-  bool Over(const wire::Resources& capacity, int slots) const {
+  bool Exceeds(const wire::Resources& capacity, int slots) const {
     return millicores > capacity.millicores || memory_mb > capacity.memory_mb ||
            accelerators > capacity.accelerators ||
            connections > capacity.connections || tasks > slots;
   }
 };
 
-/// Follows the history in order.
+/// Replays the history in order and records violations.
 class Replay {
  public:
   Replay(const wire::Resources& capacity, int slots,
          std::vector<std::string>& violations)
       : capacity_(capacity), slots_(slots), violations_(violations) {}
 
-  void Take(const json& event) {
+  void Apply(const json& event) {
     const std::string kind = event["event"];
     if (kind == "start") return Start(event);
     if (event.contains("task") && kind != "start_fenced") return End(event);
@@ -49,7 +50,7 @@
     const auto found = starts_.find(request);
     return found == starts_.end() ? 0 : found->second.total;
   }
-  int MostStartsOfOneTask(const std::string& request) const {
+  int MaxStartsPerTask(const std::string& request) const {
     const auto found = starts_.find(request);
     if (found == starts_.end()) return 0;
     int most = 0;
@@ -68,19 +69,19 @@
   void Start(const json& event) {
     const std::string upstream = event["upstream"];
     const std::string request = event["request"];
-    Use& use = use_[upstream];
-    use.Add(event, 1);
-    if (use.Over(capacity_, slots_)) {
+    Usage& usage = usage_[upstream];
+    usage.Add(event, 1);
+    if (usage.Exceeds(capacity_, slots_)) {
       violations_.push_back("overcommit on " + upstream + " by " + request);
     }
     const std::string place =
         request + "#" + std::to_string(event["index"].get<int>());
-    auto& where = running_[place];
-    if (!where.empty()) {
-      violations_.push_back("two places at once: " + place + " on " + upstream +
-                            " and " + *where.begin());
+    auto& upstreams = running_[place];
+    if (!upstreams.empty()) {
+      violations_.push_back("running at two upstreams at once: " + place +
+                            " on " + upstream + " and " + *upstreams.begin());
     }
-    where.insert(upstream);
+    upstreams.insert(upstream);
     Starts& starts = starts_[request];
     ++starts.total;
     ++starts.by_index[event["index"].get<int>()];
@@ -88,7 +89,7 @@
 
   void End(const json& event) {
     const std::string upstream = event["upstream"];
-    use_[upstream].Add(event, -1);
+    usage_[upstream].Add(event, -1);
     running_[event["request"].get<std::string>() + "#" +
              std::to_string(event["index"].get<int>())]
         .erase(upstream);
@@ -97,25 +98,27 @@
   wire::Resources capacity_;
   int slots_;
   std::vector<std::string>& violations_;
-  std::map<std::string, Use> use_;
+  std::map<std::string, Usage> usage_;
   std::map<std::string, std::set<std::string>> running_;
   std::map<std::string, Starts> starts_;
 };
 
 void CheckAnswer(const Submission& submission,
-                 std::vector<std::string>& broken) {
-  const SubmitResult& told = *submission.result;
+                 std::vector<std::string>& violations) {
+  const SubmitResult& result = *submission.result;
   std::string expected;
   for (int i = 0; i < submission.spec.tasks; ++i) {
-    expected += submission.spec.work + " of " + told.id + " #" +
+    expected += submission.spec.work + " of " + result.id + " #" +
                 std::to_string(i) + ": " + submission.spec.payload;
   }
-  if (told.outcome.answer != expected) {
-    broken.push_back("answer of " + told.id +
-                     " is cut or crossed: " + told.outcome.answer);
+  if (result.outcome.answer != expected) {
+    violations.push_back("answer of " + result.id +
+                         " is truncated or belongs to another request: " +
+                         result.outcome.answer);
   }
-  if (told.outcome.digest != Digest(told.outcome.answer)) {
-    broken.push_back("digest of " + told.id + " does not fit");
+  if (result.outcome.digest != Digest(result.outcome.answer)) {
+    violations.push_back("digest of " + result.id +
+                         " does not match its answer");
   }
 }
 
@@ -124,41 +127,40 @@
 std::vector<std::string> CheckInvariants(
     const json& history, const std::vector<Submission>& submissions,
     const wire::Resources& capacity, int slots) {
-  std::vector<std::string> broken;
-  Replay replay(capacity, slots, broken);
-  // By time of effect; at equal times in the order of their noting.
+  std::vector<std::string> violations;
+  Replay replay(capacity, slots, violations);
+  // Sort by time of effect; events of equal time stay in recorded order.
   std::vector<const json*> ordered;
   for (const json& event : history) ordered.push_back(&event);
   std::stable_sort(ordered.begin(), ordered.end(),
                    [](const json* a, const json* b) {
                      return (*a)["t"].get<int64_t>() < (*b)["t"].get<int64_t>();
                    });
-  for (const json* event : ordered) replay.Take(*event);
+  for (const json* event : ordered) replay.Apply(*event);
   std::map<std::string, int> other_than_not_run;
   for (const Submission& submission : submissions) {
-    const SubmitResult& told = *submission.result;
+    const SubmitResult& result = *submission.result;
     const bool not_run =
-        told.answered && told.outcome.verdict == wire::Verdict::kNotRun;
-    if (!not_run) ++other_than_not_run[told.id];
-    if (told.answered && told.outcome.verdict == wire::Verdict::kDone) {
-      CheckAnswer(submission, broken);
-      if (replay.StartsOf(told.id) == 0) {
-        broken.push_back(told.id + " is done but never ran");
+        result.answered && result.outcome.verdict == wire::Verdict::kNotRun;
+    if (!not_run) ++other_than_not_run[result.id];
+    if (result.answered && result.outcome.verdict == wire::Verdict::kDone) {
+      CheckAnswer(submission, violations);
+      if (replay.StartsOf(result.id) == 0) {
+        violations.push_back(result.id + " is reported done but never ran");
       }
     }
-    if (!submission.spec.repeatable &&
-        replay.MostStartsOfOneTask(told.id) > 1) {
-      broken.push_back(told.id + " is not repeatable and ran twice");
+    if (!submission.spec.repeatable && replay.MaxStartsPerTask(result.id) > 1) {
+      violations.push_back(result.id + " is not repeatable but ran twice");
     }
   }
   for (const Submission& submission : submissions) {
-    const SubmitResult& told = *submission.result;
-    if (other_than_not_run.contains(told.id) || told.id.empty()) continue;
-    if (replay.StartsOf(told.id) > 0) {
-      broken.push_back(told.id + " was told not run, and ran");
+    const SubmitResult& result = *submission.result;
+    if (other_than_not_run.contains(result.id) || result.id.empty()) continue;
+    if (replay.StartsOf(result.id) > 0) {
+      violations.push_back(result.id + " is reported not run but ran");
     }
   }
-  return broken;
+  return violations;
 }
 
 int StartsOf(const json& history, const std::string& request_id) {
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -8,19 +8,19 @@
 
 namespace mimosarail::sim {
 
-/// One submission of a test and what its caller was told.
+/// One submission of a test and the reply to its caller.
 struct Submission {
   wire::RequestSpec spec;
   std::shared_ptr<SubmitResult> result;
 };
 
-/// Reads the upstreams' own history against what callers were told, and lists
-/// every broken promise; empty is good.
+/// Checks the replies to callers against the history that the upstreams
+/// recorded, and returns all violations.
 std::vector<std::string> CheckInvariants(
     const nlohmann::json& history, const std::vector<Submission>& submissions,
     const wire::Resources& capacity, int slots);
 
-/// How often tasks of the request were started.
+/// The number of task starts of the request.
 int StartsOf(const nlohmann::json& history, const std::string& request_id);
 
 }  // namespace mimosarail::sim
--- a/tests/sim/manual_executor.h
+++ b/tests/sim/manual_executor.h
@@ -10,7 +10,7 @@
 
 namespace mimosarail::sim {
 
-/// A clock that only moves when told to, and the work that hangs on it.
+/// A clock that advances only on request, and the work scheduled on it.
 class ManualClock {
  public:
   TimePoint now() const { return now_; }
@@ -18,7 +18,7 @@
     queue_.emplace(std::pair(std::max(when, now_), ++sequence_),
                    std::move(work));
   }
-  /// Runs everything due up to `until`, then stands there.
+  /// Runs all work due up to `until` and sets the clock to `until`.
   void RunUntil(TimePoint until) {
     while (!queue_.empty() && queue_.begin()->first.first <= until) {
       auto first = queue_.extract(queue_.begin());
@@ -30,7 +30,7 @@
   void RunFor(Millis span) { RunUntil(now_ + span); }
 
  private:
-  // Far from zero, as a real monotonic clock is.
+  // Starts far from zero, as real monotonic clocks usually do.
   TimePoint now_ = TimePoint() + std::chrono::hours(1);
   uint64_t sequence_ = 0;
   std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> queue_;
@@ -43,8 +43,8 @@
 
   TimePoint Now() const override { return clock_.now(); }
   int64_t UnixMillis() const override {
-    constexpr int64_t kSomeDay = 1796000000000;
-    return kSomeDay +
+    constexpr int64_t kUnixEpochOffsetMs = 1796000000000;
+    return kUnixEpochOffsetMs +
            std::chrono::duration_cast<Millis>(clock_.now().time_since_epoch())
                .count();
   }
@@ -60,7 +60,7 @@
   void Pause() { paused_ = true; }
   void Resume() {
     paused_ = false;
-    for (auto& work : std::exchange(held_, {})) Post(std::move(work));
+    for (auto& work : std::exchange(deferred_, {})) Post(std::move(work));
   }
   void Kill() { dead_ = true; }
   bool dead() const { return dead_; }
@@ -69,14 +69,14 @@
  private:
   void Run(std::function<void()> work) {
     if (dead_) return;
-    if (paused_) return held_.push_back(std::move(work));
+    if (paused_) return deferred_.push_back(std::move(work));
     work();
   }
 
   ManualClock& clock_;
   bool paused_ = false;
   bool dead_ = false;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
 };
 
 }  // namespace mimosarail::sim
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -10,7 +10,8 @@
 
 namespace mimosarail::sim {
 
-/// Carries messages between simulated processes, late, or never.
+/// Carries messages between simulated processes; may delay, duplicate or lose
+/// them.
 class Network {
  public:
   Network(ManualClock& clock, uint64_t seed) : clock_(clock), random_(seed) {}
@@ -22,22 +23,23 @@
     blocked_links_.erase({from, to});
   }
   void HealAll() { blocked_links_.clear(); }
-  /// In a thousand messages: how many are lost, come twice, or come seconds
-  /// late.
+  /// Of a thousand messages, how many are lost, delivered twice, or delayed by
+  /// up to 4.2 s.
   int lost_per_mille = 0;
   int duplicated_per_mille = 0;
   int delayed_per_mille = 0;
 
   void Send(const std::string& from, const std::string& to, Executor& executor,
-            std::function<void()> arrive, bool may_double) {
+            std::function<void()> arrive, bool may_duplicate) {
     if (Chance(lost_per_mille)) return;
     Deliver(from, to, executor, arrive);
-    if (may_double && Chance(duplicated_per_mille))
+    if (may_duplicate && Chance(duplicated_per_mille))
       Deliver(from, to, executor, arrive);
   }
 
-  /// One call: the request goes out, the reply comes back, or the timer ends
-  /// it. `serve` runs at the receiver.
+  /// Makes one call: sends the request and waits for the reply until the
+  /// timeout. `serve` runs at the receiver. A null `receiver` is a process that
+  /// has ended: the call fails at once.
   template <typename Reply>
   void Call(const std::string& from, Executor& caller, const std::string& to,
             Executor* receiver, Millis timeout,
@@ -66,16 +68,16 @@
         true);
   }
 
-  bool Chance(int in_thousand) {
-    return static_cast<int>(random_() % 1000) < in_thousand;
+  bool Chance(int per_mille) {
+    return static_cast<int>(random_() % 1000) < per_mille;
   }
 
  private:
   void Deliver(const std::string& from, const std::string& to,
                Executor& executor, const std::function<void()>& arrive) {
-    const bool long_way = Chance(delayed_per_mille);
+    const bool delayed = Chance(delayed_per_mille);
     const auto delay =
-        Millis(long_way ? 200 + random_() % 4000 : 1 + random_() % 3);
+        Millis(delayed ? 200 + random_() % 4000 : 1 + random_() % 3);
     clock_.At(clock_.now() + delay, [this, from, to, &executor, arrive] {
       if (!blocked_links_.contains({from, to})) executor.Post(arrive);
     });
