--- a/tests/scenarios/main.cc
+++ b/tests/scenarios/main.cc
@@ -127,7 +127,7 @@
 }
 
 int Cut(lua_State* lua) {
-  cell->SetCut(Text(lua, 1), lua_toboolean(lua, 2) != 0);
+  cell->SetInboundBlocked(Text(lua, 1), lua_toboolean(lua, 2) != 0);
   return 0;
 }
 
@@ -149,7 +149,8 @@
   return 1;
 }
 
-/// check(submissions, cores, slots): each has id, request, status, body.
+/// broken_promises(submissions, cores, slots): each submission has id, request,
+/// verdict, answer and digest. Returns the list of violations.
 int Check(lua_State* lua) {
   std::vector<sim::Submission> submissions;
   for (const json& item : ToJson(lua, 1)) {
@@ -173,10 +174,10 @@
   capacity.millicores = static_cast<int32_t>(luaL_checkinteger(lua, 2)) * 1000;
   capacity.memory_mb = 8000;
   capacity.connections = 16;
-  const auto broken =
+  const auto violations =
       sim::CheckInvariants(cell->History(), submissions, capacity,
                            static_cast<int>(luaL_checkinteger(lua, 3)));
-  PushJson(lua, json(broken));
+  PushJson(lua, json(violations));
   return 1;
 }
 
--- a/tests/scenarios/prelude.lua
+++ b/tests/scenarios/prelude.lua
@@ -1,4 +1,4 @@
--- Words that scenarios are written in.
+-- Functions that the scenarios are written with.
 
 LIMIT_MS = 60000
 
@@ -6,7 +6,8 @@
   {"name": "urgent", "when": {"urgent": true}, "then": {"priority": 0, "wait_limit_s": 60, "preempt": true}},
   {"name": "others", "then": {"priority": 4, "wait_limit_s": 120, "retries": 3}}]}]]
 
--- Waits until `state` holds; the limit is generous, for slow machines.
+-- Waits until `state` returns a true value and returns it. The limit is
+-- generous, for slow machines.
 function eventually(what, state, limit)
   local until_ms = now_ms() + (limit or LIMIT_MS)
   while now_ms() < until_ms do
@@ -14,11 +15,11 @@
     if value then return value end
     sleep_ms(20)
   end
-  error("never came true: " .. what, 2)
+  error("timed out waiting until " .. what, 2)
 end
 
 function expect(what, holds)
-  if not holds then error("not so: " .. what, 2) end
+  if not holds then error("expectation failed: " .. what, 2) end
 end
 
 function publish(entry, text, base)
@@ -35,7 +36,7 @@
   return status == 200
 end
 
--- How many upstreams the entry has attached.
+-- The number of upstreams that the entry has attached.
 function attached(entry)
   local status, body = http(entry, "GET", "/v1/upstreams")
   if status ~= 200 then return 0 end
@@ -52,7 +53,8 @@
   return sum
 end
 
--- Starts a cell and waits until every entry is ready and has its racks.
+-- Starts a cell and waits until every entry is ready and all upstreams are
+-- attached.
 function start_cell(options)
   options = options or {}
   start(options)
@@ -78,8 +80,8 @@
   return entries
 end
 
--- Submits and remembers what was told, for verify().
-told = {}
+-- The replies to submissions, recorded for verify().
+replies = {}
 function request(fields)
   local out = {team = "team", work = "work", payload = "p", run_ms = 50, memory_mb = 100, repeatable = true}
   for k, v in pairs(fields or {}) do out[k] = v end
@@ -106,13 +108,13 @@
 
 function remember(req, status, body)
   if type(body) ~= "table" or not body.id then return end
-  told[#told + 1] = {id = body.id, request = req, verdict = body.verdict, answer = body.answer, digest = body.digest}
+  replies[#replies + 1] = {id = body.id, request = req, verdict = body.verdict, answer = body.answer, digest = body.digest}
 end
 
--- Reads the upstreams' own histories against everything that was told.
+-- Checks all recorded replies against the histories of the upstreams.
 function verify(cores, slots)
-  local broken = broken_promises(told, cores or 4, slots or 4)
-  if #broken > 0 then error("broken promises: " .. table.concat(broken, "; "), 2) end
+  local violations = broken_promises(replies, cores or 4, slots or 4)
+  if #violations > 0 then error("violations: " .. table.concat(violations, "; "), 2) end
 end
 
 function starts_of(id)
@@ -127,7 +129,7 @@
 function list_change(fields) http("platform", "POST", "/list", fields) end
 function upstream_fault(rack, fields) http(rack, "POST", "/fault/upstream", fields) end
 
--- The outcome by id, from any entry that answers.
+-- The outcome of request `id`, queried at `entry`.
 function outcome(entry, id, wait_ms)
   return http(entry, "GET", "/v1/requests/" .. id .. "?wait_ms=" .. (wait_ms or 0))
 end
--- a/tests/scenarios/process.cc
+++ b/tests/scenarios/process.cc
@@ -60,8 +60,8 @@
 }
 
 int FreePort() {
-  // The socket stays bound, without listening, for the life of this process:
-  // the kernel then gives the port to nobody else, while a child that sets
+  // The socket stays bound, without listening, until this process ends: the
+  // kernel then assigns the port to no other process, while a child that sets
   // SO_REUSEADDR or SO_REUSEPORT may still listen on it.
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
--- a/tests/scenarios/process.h
+++ b/tests/scenarios/process.h
@@ -7,19 +7,21 @@
 
 namespace mimosarail::scenarios {
 
-/// A child process of a scenario; killed with it. Not thread-safe.
+/// A child process of a scenario, killed by the destructor. Not thread-safe.
 class Process {
  public:
-  /// Starts `arguments`, standard error to `log_file`.
+  /// Starts `arguments` with standard output and standard error appended to
+  /// `log_file`.
   Process(std::vector<std::string> arguments, const std::string& log_file);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   void Signal(int signal) const;
-  /// Waits for its end; the exit code, or minus the signal.
+  /// Waits until the process ends; returns the exit code, or the negative
+  /// signal number.
   int Wait();
-  /// Whether it has not ended yet.
+  /// Whether the process has not ended yet.
   bool Alive();
 
  private:
@@ -28,7 +30,7 @@
   int code_ = 0;
 };
 
-/// A port of the loopback address from the kernel, kept for this process and
+/// Returns a free port of the loopback address, reserved for this process and
 /// its children.
 int FreePort();
 
--- a/tests/scenarios/real_cell.cc
+++ b/tests/scenarios/real_cell.cc
@@ -10,7 +10,7 @@
 namespace mimosarail::scenarios {
 namespace {
 
-constexpr size_t kShownLines = 40;
+constexpr size_t kMaxLogLines = 40;
 
 std::string Loopback(int port) { return "127.0.0.1:" + std::to_string(port); }
 
@@ -18,7 +18,7 @@
   std::ofstream(path) << text;
 }
 
-/// Short times, so that scenarios take seconds; every limit is generous.
+/// Short intervals, so that scenarios take seconds; every limit is generous.
 json FastSettings() {
   return {{"heartbeat_ms", 100},     {"suspect_ms", 500},
           {"dead_ms", 1000},         {"return_ms", 500},
@@ -151,7 +151,7 @@
   httplib::Request request;
   request.method = method;
   request.path = path;
-  // A string goes out as it is, so that malformed texts can be sent.
+  // A string is sent unchanged, so that scenarios can send malformed texts.
   if (body.is_string()) {
     request.body = body.get<std::string>();
   } else if (!body.is_null()) {
@@ -202,8 +202,8 @@
   StartMember(entry);
 }
 
-void RealCell::SetCut(const std::string& process, bool cut) {
-  members_.at(process).relay->SetCut(cut);
+void RealCell::SetInboundBlocked(const std::string& process, bool blocked) {
+  members_.at(process).relay->SetInboundBlocked(blocked);
 }
 
 json RealCell::History() {
@@ -224,7 +224,7 @@
     std::vector<std::string> lines;
     while (std::getline(file, line)) lines.push_back(line);
     const size_t first =
-        lines.size() > kShownLines ? lines.size() - kShownLines : 0;
+        lines.size() > kMaxLogLines ? lines.size() - kMaxLogLines : 0;
     for (size_t i = first; i < lines.size(); ++i) {
       out += name + ": " + lines[i] + "\n";
     }
--- a/tests/scenarios/real_cell.h
+++ b/tests/scenarios/real_cell.h
@@ -16,24 +16,24 @@
 
 using nlohmann::json;
 
-/// HTTP status and body; status 0 when there was no answer.
+/// HTTP status and body; status 0 if there was no answer.
 struct HttpReply {
   int status = 0;
   json body;
 };
 
-/// A cell of real processes: the platform's stand-ins, one process of upstreams
-/// a rack, and entry instances behind relays. One thread.
+/// A cell of real processes: the platform's stand-ins, one upstream process for
+/// each rack, and entry instances behind relays. Must be used by one thread.
 class RealCell {
  public:
   /// `options`: entries, racks, upstreams_per_rack, cores, slots,
-  /// retention_ms, and `settings` to add to every entry's.
+  /// retention_ms, and `settings`, which override those of every entry.
   RealCell(const std::string& bin_dir, const json& options);
   ~RealCell();
 
   HttpReply Http(const std::string& process, const std::string& method,
                  const std::string& path, const json& body);
-  /// Http() on a thread of its own; collect it with Result().
+  /// Http() on a separate thread; returns a handle for Result().
   int HttpLater(const std::string& process, const std::string& method,
                 const std::string& path, const json& body);
   HttpReply Result(int handle);
@@ -41,17 +41,17 @@
   void Signal(const std::string& process, int signal);
   int Wait(const std::string& process);
   bool Alive(const std::string& process);
-  /// Starts an entry that has ended again, as a new process.
+  /// Kills an entry and starts it as a new process.
   void Restart(const std::string& entry);
-  /// Cuts or heals what others send to a process.
-  void SetCut(const std::string& process, bool cut);
-  /// Histories of all upstreams in one list.
+  /// Blocks or unblocks the traffic that other processes send to `process`.
+  void SetInboundBlocked(const std::string& process, bool blocked);
+  /// The histories of all upstreams in one list.
   json History();
   const std::vector<std::string>& entries() const { return entries_; }
   int HttpPort(const std::string& process) const {
     return members_.at(process).http_port;
   }
-  /// The last lines of every log, for a failed scenario.
+  /// The last lines of every log, printed when a scenario fails.
   std::string Logs() const;
 
  private:
--- a/tests/scenarios/relay.cc
+++ b/tests/scenarios/relay.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Two sockets joined; closes both when either ends.
+/// Forwards data between two sockets; closes both when either one ends.
 struct Pipe : std::enable_shared_from_this<Pipe> {
   Pipe(tcp::socket client_in, asio::io_context& io)
       : client(std::move(client_in)), server(io) {}
@@ -59,7 +59,7 @@
     acceptor.async_accept(
         [self = shared_from_this()](std::error_code error, tcp::socket socket) {
           if (error) return;
-          if (!self->cut) self->Join(std::move(socket));
+          if (!self->blocked) self->Join(std::move(socket));
           self->AcceptNext();
         });
   }
@@ -84,7 +84,7 @@
         [self = shared_from_this()](std::error_code error, size_t size) {
           if (error == asio::error::operation_aborted) return;
           std::error_code ignored;
-          if (!error && !self->cut) {
+          if (!error && !self->blocked) {
             self->datagrams.send_to(
                 asio::buffer(self->datagram, size),
                 udp::endpoint(self->target.address(), self->target.port()), 0,
@@ -100,7 +100,7 @@
   udp::socket datagrams;
   udp::endpoint from;
   std::array<char, 65536> datagram{};
-  bool cut = false;
+  bool blocked = false;
   std::vector<std::weak_ptr<Pipe>> pipes;
 };
 
@@ -118,10 +118,10 @@
   });
 }
 
-void Relay::SetCut(bool cut) {
-  asio::post(d_->io, [d = d_, cut] {
-    d->cut = cut;
-    if (!cut) return;
+void Relay::SetInboundBlocked(bool blocked) {
+  asio::post(d_->io, [d = d_, blocked] {
+    d->blocked = blocked;
+    if (!blocked) return;
     for (const auto& weak : d->pipes) {
       if (const auto pipe = weak.lock()) pipe->Close();
     }
--- a/tests/scenarios/relay.h
+++ b/tests/scenarios/relay.h
@@ -9,16 +9,17 @@
 
 namespace mimosarail::scenarios {
 
-/// Stands before one process's TCP and UDP port and can be cut: what others
-/// send it is then swallowed, what it sends itself still goes out.
+/// Forwards the TCP and UDP port of one process. While inbound traffic is
+/// blocked, all that other processes send to it is dropped; its own outgoing
+/// traffic is not affected.
 class Relay {
  public:
-  /// Listens on `from`, passes on to `to`; both are loopback ports. `io` must
+  /// Listens on `from` and forwards to `to`; both are loopback ports. `io` must
   /// run on one thread and outlive the relay.
   Relay(asio::io_context& io, int from, int to);
   ~Relay();
-  /// Thread-safe. Cutting also breaks the connections that stand.
-  void SetCut(bool cut);
+  /// Blocking also closes the existing connections. Thread-safe.
+  void SetInboundBlocked(bool blocked);
 
  private:
   struct Private;
--- a/tests/scenarios/scripts/bad_requests.lua
+++ b/tests/scenarios/scripts/bad_requests.lua
@@ -1,11 +1,11 @@
--- Malformed, oversized and impossible requests: each gets a clear answer at
--- once and holds nothing.
+-- Guards against malformed, oversized or unsatisfiable requests that get an
+-- unclear or late answer, or that keep resources reserved.
 local entries = start_cell({settings = {http_max_body = 20000}})
 local function refused(what, body, status, pattern)
   local got, reply = http("entry-0", "POST", "/v1/requests", body)
   expect(what .. ": status " .. status .. ", got " .. got, got == status)
   local text = type(reply) == "table" and (tostring(reply.reason) .. (reply.findings and reply.findings[1] and (reply.findings[1].place .. " " .. reply.findings[1].message) or "")) or tostring(reply)
-  expect(what .. ": says why, got " .. text, text:find(pattern) ~= nil)
+  expect(what .. ": gives the reason, got " .. text, text:find(pattern) ~= nil)
 end
 refused("truncated", '{"team": "t", "work"', 400, "not JSON")
 refused("key twice", '{"team": "t", "team": "u", "work": "w"}', 400, "1:15 team key stands twice")
@@ -20,6 +20,6 @@
 expect("unknown id", http("entry-0", "GET", "/v1/requests/nobody-knows") == 404)
 expect("no such path", http("entry-0", "GET", "/v2") == 404)
 local _, queue = http("entry-0", "GET", "/v1/requests")
-expect("nothing is held", #queue.requests == 0)
+expect("no request is kept", #queue.requests == 0)
 expect("the cell serves", submit("entry-0", {}) == 200)
 verify()
--- a/tests/scenarios/scripts/cancel_wave.lua
+++ b/tests/scenarios/scripts/cancel_wave.lua
@@ -1,5 +1,6 @@
--- A wave of cancellations, some sent twice, over waiting and running requests.
--- A waiting one that is cancelled never runs; cancelling again changes nothing.
+-- Cancels many waiting and running requests at once, each twice. Guards against
+-- a cancelled waiting request that runs all the same, and against a second
+-- cancellation that changes the outcome.
 local entries = start_cell()
 local ids = {}
 for i = 1, 60 do
@@ -16,7 +17,7 @@
   expect("cancelled or done, got " .. status, status == 410 or status == 200)
   if waiting[id] and status == 410 and body.reason:find("not run") then
     never = never + 1
-    expect("truly not run: " .. id, starts_of(id) == 0)
+    expect("never started: " .. id, starts_of(id) == 0)
   end
 end
 expect("some were cancelled while waiting", never > 0)
--- a/tests/scenarios/scripts/dead_upstreams.lua
+++ b/tests/scenarios/scripts/dead_upstreams.lua
@@ -1,6 +1,7 @@
--- A rack dies with its tasks. Repeatable ones run again elsewhere once the
--- platform says that the rack is gone; those that may not be repeated are told
--- "unknown", not "not run", and never run a second time.
+-- A rack fails with its tasks. Once the platform reports that the rack is
+-- removed, repeatable tasks must run again elsewhere. Guards against tasks that
+-- may not be repeated getting "not run" instead of "unknown", or running a
+-- second time.
 local entries = start_cell()
 local later = {}
 for i = 1, 8 do
--- a/tests/scenarios/scripts/freeze_entry.lua
+++ b/tests/scenarios/scripts/freeze_entry.lua
@@ -1,6 +1,7 @@
--- An entry is frozen for longer than every limit and wakes, believing that it
--- still controls its racks. Others have attached with higher terms meanwhile:
--- the upstreams refuse what it sends, and nothing runs twice or too much.
+-- An entry is paused for longer than every limit and resumes in the belief that
+-- it still controls its racks. Other entries have attached with higher terms
+-- meanwhile. Guards against upstreams that accept calls of the paused entry, so
+-- that tasks run twice or upstreams are overcommitted.
 local entries = start_cell()
 local later = {}
 for i = 1, 8 do
--- a/tests/scenarios/scripts/graceful_shutdown.lua
+++ b/tests/scenarios/scripts/graceful_shutdown.lua
@@ -1,13 +1,14 @@
--- SIGTERM under load: the entry turns unready, hands its racks over, and every
--- caller that waits there gets its answer before the process ends with 0.
+-- SIGTERM under load: the entry becomes unready and hands its racks over.
+-- Guards against a process that ends with an error, or before every waiting
+-- caller has its answer.
 local entries = start_cell()
 local later = {}
 for i = 1, 12 do
   later[#later + 1] = submit_later("entry-0", {run_ms = 300 + 100 * i, payload = "s" .. i, repeatable = false}, 20000)
 end
--- What the entry had not read when it was told to leave is refused, as it may be;
--- the promise is for what it has taken.
-eventually("all are taken, and some run", function()
+-- Requests that the entry has not read when SIGTERM arrives may be refused; only
+-- accepted requests are guaranteed an answer. So wait until all are accepted.
+eventually("all are accepted, and some run", function()
   local taken, started = {}, 0
   local _, queue = http("entry-0", "GET", "/v1/requests")
   for _, r in ipairs(queue.requests) do taken[r.id] = true end
@@ -25,8 +26,8 @@
 eventually("unready for the balancer", function() return not ready("entry-0") end)
 for _, l in ipairs(later) do
   local status, body = collect(l)
-  expect("answered whole, got " .. status .. " " .. tostring(body and body.reason), status == 200 and body.verdict == "done")
+  expect("answered completely, got " .. status .. " " .. tostring(body and body.reason), status == 200 and body.verdict == "done")
 end
 expect("exit code 0", wait("entry-0") == 0)
-eventually("racks are with the others", function() return total_attached({"entry-1", "entry-2"}) >= 6 end)
+eventually("the other entries control all racks", function() return total_attached({"entry-1", "entry-2"}) >= 6 end)
 verify()
--- a/tests/scenarios/scripts/kill_entry.lua
+++ b/tests/scenarios/scripts/kill_entry.lua
@@ -1,6 +1,7 @@
--- kill -9 of an entry while its requests run: the tasks go on at the upstreams,
--- another entry takes the racks over before the leases end, and each caller
--- gets its whole answer by id from an entry that is left.
+-- kill -9 of an entry while its requests run: the tasks continue at the
+-- upstreams, another entry takes the racks over before the leases end, and each
+-- caller gets its complete answer by id from a remaining entry. Guards against
+-- answers that are lost or truncated, and against tasks that run twice.
 local entries = start_cell()
 local ids = {}
 for i = 1, 6 do
@@ -16,13 +17,13 @@
 eventually("racks are taken over", function() return total_attached({"entry-1", "entry-2"}) >= 6 end)
 for i = 1, 6 do
   local status, body = outcome("entry-" .. (1 + i % 2), ids[i], 20000)
-  expect("whole answer of " .. ids[i] .. ", got " .. status .. " " .. tostring(body.reason), status == 200 and body.verdict == "done")
+  expect("complete answer of " .. ids[i] .. ", got " .. status .. " " .. tostring(body.reason), status == 200 and body.verdict == "done")
   remember(request({key = ids[i], repeatable = false, payload = "proof " .. i}), status, body)
   expect("one run", starts_of(ids[i]) == 1)
 end
--- The same key sent again finds the run that was, and starts no other.
+-- Submitting the same key again finds the earlier run and starts no other.
 local status = submit("entry-1", {key = "render-1", run_ms = 4000, repeatable = false, payload = "proof 1"}, 15000)
-expect("one run after sending again", starts_of("render-1") == 1)
+expect("one run after the second submission", starts_of("render-1") == 1)
 restart("entry-0")
 eventually("entry-0 is back with racks", function() return attached("entry-0") > 0 end)
 local back = submit("entry-0", {})
--- a/tests/scenarios/scripts/leaving_upstream.lua
+++ b/tests/scenarios/scripts/leaving_upstream.lua
@@ -1,6 +1,7 @@
--- An upstream is on the leaving list, and the list tells it late. After a few
--- seconds it gets no new work, whichever entry the requests come through; what
--- runs there ends in peace.
+-- Two upstreams are listed as leaving, and the list is delivered late. After a
+-- few seconds they must get no new work, whichever entry the requests come
+-- through. Guards against tasks that are started there later, and against
+-- running tasks that are not left to complete.
 local entries = start_cell()
 list_change({lag_ms = 500})
 local _, long = submit("entry-0", {run_ms = 3000}, 0)
@@ -16,5 +17,5 @@
     expect("no start on a leaving upstream", event.upstream ~= "up-0-0" and event.upstream ~= "up-0-1")
   end
 end
-expect("what ran there ended", outcome("entry-0", long.id, 10000) == 200)
+expect("the task that ran there completed", outcome("entry-0", long.id, 10000) == 200)
 verify()
--- a/tests/scenarios/scripts/lost_replies.lua
+++ b/tests/scenarios/scripts/lost_replies.lua
@@ -1,6 +1,7 @@
--- Replies are lost after their effect: appends to the log and starts at the
--- upstreams work, but nobody hears of it. A start is settled by attaching with
--- a higher term and reading the inventory, never by starting again.
+-- Appends to the log and starts at the upstreams take effect, but their replies
+-- are lost. The outcome of a start is resolved by attaching with a higher term
+-- and reading the inventory. Guards against resolving it by a second start, so
+-- that a task that may not be repeated runs twice.
 local entries = start_cell()
 for round = 1, 4 do
   for rack = 0, 2 do upstream_fault("rack-" .. rack, {drop_start_replies = 2}) end
--- a/tests/scenarios/scripts/operator_race.lua
+++ b/tests/scenarios/scripts/operator_race.lua
@@ -1,6 +1,7 @@
--- Two operators publish at once, both from the revision that they see. The
--- log's order picks one; the other is told which revision beat it; every entry
--- decides alike and none goes back.
+-- Operators publish at once through different entries, all based on the same
+-- revision. The first record in the log wins; the others are refused with the
+-- revision that is in force. Guards against entries that decide differently or
+-- return to an older revision.
 local entries = start_cell()
 local accepted = 0
 for round = 1, 5 do
@@ -14,7 +15,7 @@
     local status, body = result(later[i])
     if status == 200 then winners = winners + 1
     else
-      expect("the loser is told what beat it, got " .. status, status == 409 and body.verdict == "stale base" and body.revision == base + 1)
+      expect("the refusal names the revision in force, got " .. status, status == 409 and body.verdict == "stale base" and body.revision == base + 1)
     end
   end
   expect("one winner", winners == 1)
@@ -28,6 +29,6 @@
   local _, other = http(e, "GET", "/v1/rules")
   expect("the same text everywhere", other.text == first.text)
 end
--- A bad text is refused with every finding and its place.
+-- A malformed text is refused with all findings and their places.
 local status, body = publish("entry-0", '{"rules": [{"name": "a", "when": {"colour": 1}, "then": {"priority": 99}}]}', 6)
 expect("refused with findings", status == 422 and #body.findings >= 2)
--- a/tests/scenarios/scripts/same_key_two_entries.lua
+++ b/tests/scenarios/scripts/same_key_two_entries.lua
@@ -1,6 +1,6 @@
--- A technician's phone sends one part check to two entries, because the first
--- answer was slow. Both must show the same answer, and the part must be
--- ordered once: the first intent in the log owns the key, the other follows.
+-- A client submits the same key to two entries because the first answer is slow.
+-- The first intent in the log owns the key; the other entry follows it. Guards
+-- against different answers for one key and against a second run.
 local entries = start_cell()
 local later = {}
 for i = 1, 10 do
