--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -1,5 +1,6 @@
-// The configuration: one winner among racing operators, the same everywhere,
-// never going back, whatever the log has trimmed.
+// The configuration: exactly one of several concurrent publishes wins, the same
+// one at every entry, and no entry returns to an older revision, whatever the
+// log has trimmed.
 
 #define BOOST_TEST_MODULE config
 #include <boost/test/unit_test.hpp>
@@ -15,7 +16,7 @@
   return R"({"rules": [{"name": ")" + name + R"("}]})";
 }
 
-/// A log in a vector: offsets are places.
+/// A log in a vector; the offset of a record is its index.
 struct FakeLog {
   std::vector<wire::LogRecord> records;
   int64_t first = 0;
@@ -46,7 +47,7 @@
     record.text = text;
     return Append(record);
   }
-  /// What a reader at `position` is sent.
+  /// The records that a reader at `position` gets.
   std::vector<wire::LogRecord> From(int64_t position) const {
     std::vector<wire::LogRecord> out;
     for (const auto& record : records) {
@@ -61,9 +62,10 @@
 
 }  // namespace
 
-// Two operators publish from revision 1 at once. A reader must take the first
-// by offset and tell the second what beat it, at every entry alike.
-BOOST_AUTO_TEST_CASE(the_first_by_offset_wins_a_race) {
+// Two operators publish at once, both based on revision 1. Every reader must
+// accept the one with the lower offset and refuse the other with the revision
+// that is in force.
+BOOST_AUTO_TEST_CASE(the_publish_with_the_lowest_offset_wins) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
@@ -78,9 +80,9 @@
   BOOST_TEST(loser->revision == 2);
 }
 
-// The reply to an append is lost and the publisher appends the same id again:
-// the second copy must neither win nor count as a loss.
-BOOST_AUTO_TEST_CASE(a_second_copy_changes_nothing) {
+// The reply to an append is lost and the publisher appends the same id again.
+// The second record must neither be applied nor be refused as stale.
+BOOST_AUTO_TEST_CASE(a_repeated_publish_is_applied_once) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("a", 0, Text("one"));
@@ -90,10 +92,10 @@
   BOOST_TEST((fold.audit().back().decision == Decision::kDuplicate));
 }
 
-// A slow entry appends its copy of revision 1 after revision 2 is in the log,
-// and everything before that copy expires. An entry that starts now must not
-// take the old copy for the last word.
-BOOST_AUTO_TEST_CASE(a_late_copy_never_brings_an_old_revision_back) {
+// A slow entry appends its checkpoint of revision 1 after revision 2 is in the
+// log, and all records before that checkpoint expire. An entry that starts then
+// must not take the old checkpoint for the revision in force.
+BOOST_AUTO_TEST_CASE(a_late_checkpoint_never_restores_an_old_revision) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
@@ -103,7 +105,8 @@
   log.Feed(fresh);
   BOOST_TEST(!fresh.known());
   BOOST_TEST(fresh.revision() == 0);
-  // A copy that has seen the publish closes the gap, with what came after it.
+  // A checkpoint that covers the publish closes the gap, together with the
+  // records after it.
   log.Publish("c", 2, Text("three"));
   log.Checkpoint(2, 3, Text("two"));
   log.Feed(fresh);
@@ -112,9 +115,10 @@
   BOOST_TEST(fresh.state().text == Text("three"));
 }
 
-// An entry was cut off until the log had trimmed what it did not read. It may
-// judge no publish before a copy tells what it missed, and keeps what it has.
-BOOST_AUTO_TEST_CASE(a_reader_that_missed_records_waits_for_a_copy) {
+// An entry is partitioned until the log has trimmed records that it has not
+// read. It must keep its revision and must not decide on a publish before a
+// checkpoint covers the missed records.
+BOOST_AUTO_TEST_CASE(a_reader_that_missed_records_waits_for_a_checkpoint) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   ConfigFold fold;
@@ -131,9 +135,9 @@
   BOOST_TEST(fold.revision() == 3);
 }
 
-// A copy that states an older revision than the one in force here, whatever
-// wrote it, must not take the entry back.
-BOOST_AUTO_TEST_CASE(an_older_copy_is_not_taken_after_a_gap) {
+// A checkpoint that states an older revision than the one in force here must
+// never be adopted, whichever entry wrote it.
+BOOST_AUTO_TEST_CASE(an_older_checkpoint_is_rejected_after_a_gap) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
@@ -146,8 +150,9 @@
   BOOST_TEST(fold.state().text == Text("two"));
 }
 
-// The log is down and a peer tells its revision: newer ones are taken, older
-// ones and those that cannot be joined to what was read are not.
+// While the log is down, peers report their revisions. A newer revision is
+// adopted, an older one is not. An entry that has read nothing adopts a
+// revision too and continues to read behind it.
 BOOST_AUTO_TEST_CASE(peers_never_lower_the_revision) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
@@ -196,7 +201,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(settings_that_break_a_guard_clash) {
+BOOST_AUTO_TEST_CASE(settings_that_violate_a_constraint_are_rejected) {
   Findings findings;
   Settings settings{.name = "e",
                     .failure_domain = "d",
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -16,8 +16,7 @@
 constexpr const char* kBody =
     R"({"team":"field","work":"part-check","key":"part-1","run_ms":20})";
 
-/// The control thread of a process that stands still: what is posted waits
-/// until it is let go on.
+/// The control thread of a paused process: posted work waits until Resume().
 class StalledExecutor final : public Executor {
  public:
   explicit StalledExecutor(Executor& live) : live_(live) {}
@@ -26,33 +25,34 @@
   int64_t UnixMillis() const override { return live_.UnixMillis(); }
   void Post(std::function<void()> work) override {
     std::lock_guard lock(mutex_);
-    held_.push_back(std::move(work));
+    deferred_.push_back(std::move(work));
   }
   void RunAfter(Millis, std::function<void()> work) override {
     Post(std::move(work));
   }
 
-  void GoOn() {
-    std::vector<std::function<void()>> held;
+  void Resume() {
+    std::vector<std::function<void()>> deferred;
     {
       std::lock_guard lock(mutex_);
-      held.swap(held_);
+      deferred.swap(deferred_);
     }
-    for (const auto& work : held) work();
+    for (const auto& work : deferred) work();
   }
 
  private:
   Executor& live_;
   std::mutex mutex_;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
 };
 
 }  // namespace
 
-/// A caller is told 503 and to come back, since the control thread of the
-/// instance stood still; it submits elsewhere, and the request runs twice. The
-/// submission still lay in the queue and was carried out after the answer, by
-/// then from a frame of the handler that had returned.
+/// Guards against executing a submission whose caller has got 503 and a time to
+/// retry. While the control thread is paused, the submission waits in its
+/// queue. If it were executed after the reply, a caller that has submitted
+/// elsewhere would have the request run twice, and the work would use the stack
+/// frame of a handler that has returned.
 BOOST_AUTO_TEST_CASE(TimedOutSubmissionIsNotExecuted) {
   sim::Cell cell({});
   BOOST_REQUIRE(cell.WaitUntilReady());
@@ -67,11 +67,11 @@
   BOOST_REQUIRE(reply);
   BOOST_TEST(reply->status == 503);
   BOOST_TEST(reply->body.find("\"not run\"") != std::string::npos);
-  stalled.GoOn();
+  stalled.Resume();
   cell.Run(Millis(5000));
-  const auto told = cell.Ask(0, "part-1", Millis(0));
+  const auto lookup = cell.Ask(0, "part-1", Millis(0));
   cell.Run(Millis(1000));
-  BOOST_TEST(!told->found);
+  BOOST_TEST(!lookup->found);
   BOOST_TEST(node.instance->requests().unfinished() == 0U);
 }
 
