--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -148,13 +148,14 @@
     return shape;
   }
 
-  placement::Ask AskOf(size_t index) const {
+  placement::PlacementRequest PlacementRequestOf(size_t index) const {
     const Job& job = jobs_[index];
-    placement::Ask ask{.size = job.size, .tasks = job.tasks, .now = At(now_)};
+    placement::PlacementRequest ask{
+        .size = job.size, .tasks = job.tasks, .now = At(now_)};
     if (contender_.product) {
       ask.spread = job.kind == JobKind::kService;
       ask.group = ask.spread ? 1 : 0;
-      ask.urgent = job.priority == 0 || guard_.IsHeldFor(index);
+      ask.urgent = job.priority == 0 || guard_.IsReservedFor(index);
     } else {
       ask.urgent = true;  // no reserve
     }
@@ -168,7 +169,7 @@
         return placement::Visit::kSkipped;
       }
       const auto before = std::chrono::steady_clock::now();
-      auto rows = policy_->Place(room_, AskOf(item.id));
+      auto rows = policy_->Place(room_, PlacementRequestOf(item.id));
       figures_.decision_seconds +=
           std::chrono::duration<double>(std::chrono::steady_clock::now() -
                                         before)
@@ -206,7 +207,7 @@
         lost = true;
         continue;
       }
-      room_.Give(row, job.size, AskOf(running.job).group);
+      room_.Give(row, job.size, PlacementRequestOf(running.job).group);
       if (running.fails && row < failing_) room_.NoteFailure(row, At(now_));
       if (!running.fails) room_.NoteSuccess(row);
     }
@@ -346,14 +347,15 @@
   const auto ask = [&] {
     const int32_t cores = 1 << (random() % 3);
     const bool service = random() % 5 == 0;
-    return placement::Ask{.size = {{cores * 1000, cores * 2048, 0, 1, 1}},
-                          .spread = service,
-                          .group = service ? 1 + random() % 200 : 0,
-                          .urgent = true};
+    return placement::PlacementRequest{
+        .size = {{cores * 1000, cores * 2048, 0, 1, 1}},
+        .spread = service,
+        .group = service ? 1 + random() % 200 : 0,
+        .urgent = true};
   };
-  std::vector<std::pair<RowId, placement::Ask>> placed;
+  std::vector<std::pair<RowId, placement::PlacementRequest>> placed;
   for (int i = 0; i < running; ++i) {
-    const placement::Ask a = ask();
+    const placement::PlacementRequest a = ask();
     for (const RowId row : policy->Place(room, a)) placed.emplace_back(row, a);
   }
   std::vector<double> micros;
@@ -362,7 +364,7 @@
     const size_t victim = random() % placed.size();
     room.Give(placed[victim].first, placed[victim].second.size,
               placed[victim].second.group);
-    const placement::Ask a = ask();
+    const placement::PlacementRequest a = ask();
     const auto before = std::chrono::steady_clock::now();
     const auto rows = policy->Place(room, a);
     micros.push_back(std::chrono::duration<double, std::micro>(
--- a/bench/system_bench.cc
+++ b/bench/system_bench.cc
@@ -334,7 +334,7 @@
 
 double PublishEverywhere(RealCell& cell, int64_t base) {
   const double before = Now();
-  cell.HttpLater(
+  cell.HttpAsync(
       "entry-0", "POST", "/v1/rules",
       {{"author", "bench"},
        {"base", base},
--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -89,7 +89,7 @@
 struct JobDaemon {
   explicit JobDaemon(const JobSettings& s)
       : store_http(traffic, {.max_connections = kStoreConnections,
-                             .longest_answer = kMaxPageTime,
+                             .max_response_time = kMaxPageTime,
                              .traffic = &link,
                              .traffic_kind = platform::StoreTrafficKind}),
         upstream_http(traffic, {.max_connections = kUpstreamConnections,
--- a/src/callers/http_api.cc
+++ b/src/callers/http_api.cc
@@ -204,7 +204,7 @@
           instance.requests().Submit(spec, std::move(done));
         });
     if (!submitted) return ReplySubmitTimeout(response, key, submitted.started);
-    if (!submitted->taken) {
+    if (!submitted->accepted) {
       return ReplyOutcome(response, submitted->id, submitted->outcome);
     }
     Await(response, submitted->id, AllowedWait(request),
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -105,7 +105,7 @@
       row["free"] = AmountJson(room.free);
       row["capacity"] = AmountJson(room.capacity);
       row["failures"] = room.failures;
-      row["tasks"] = instance.execution().HeldOn(name);
+      row["tasks"] = instance.execution().RunningTasksOn(name);
     }
     out.push_back(std::move(row));
   }
--- a/src/cellconfig/cell_config_follower.cc
+++ b/src/cellconfig/cell_config_follower.cc
@@ -10,11 +10,11 @@
 
 CellConfigFollower::CellConfigFollower(
     Executor& executor, ports::CellConfigPort& port,
-    faults::MalformedRecordReporter& bad_records, FollowerOptions options,
+    faults::MalformedRecordReporter& malformed_records, FollowerOptions options,
     std::function<void()> changed)
     : executor_(executor),
       port_(port),
-      bad_records_(bad_records),
+      malformed_records_(malformed_records),
       options_(options),
       changed_(std::move(changed)) {}
 
@@ -98,8 +98,8 @@
                                 const char* source) {
   Result<ports::CellConfig> decoded = port_.Decode(document);
   if (!decoded.ok()) {
-    return bad_records_.Report(faults::RecordSource::kConfiguration, source,
-                               decoded.error().message);
+    return malformed_records_.Report(faults::RecordSource::kConfiguration,
+                                     source, decoded.error().message);
   }
   if (decoded.value().version <= config_.version) return;
   logging::Event(Level::kInfo, "configuration in force",
--- a/src/cellconfig/cell_config_follower.h
+++ b/src/cellconfig/cell_config_follower.h
@@ -29,7 +29,7 @@
   /// `changed` runs after each new version. The executor, the port and the
   /// reporter outlive this object.
   CellConfigFollower(Executor& executor, ports::CellConfigPort& port,
-                     faults::MalformedRecordReporter& bad_records,
+                     faults::MalformedRecordReporter& malformed_records,
                      FollowerOptions options, std::function<void()> changed);
 
   void Start();
@@ -54,7 +54,7 @@
 
   Executor& executor_;
   ports::CellConfigPort& port_;
-  faults::MalformedRecordReporter& bad_records_;
+  faults::MalformedRecordReporter& malformed_records_;
   FollowerOptions options_;
   std::function<void()> changed_;
   ports::CellConfig config_;
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -112,8 +112,8 @@
 }
 
 void Coordinator::RefuseUnsentJobs() {
-  const Millis stall_timeout =
-      std::max(options_.unsent_job_timeout, 2 * journal_->last_took());
+  const Millis stall_timeout = std::max(options_.unsent_job_timeout,
+                                        2 * journal_->last_append_duration());
   if (journal_->stalled_for() <= stall_timeout) return;
   for (auto at = pending_submissions_.begin();
        at != pending_submissions_.end();) {
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -77,7 +77,7 @@
 void Coordinator::Tick() {
   if (closed_) return;
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
-  DropSilentUpstreams();
+  DropUnresponsiveUpstreams();
   CheckResolved();
   RefuseUnsentJobs();
   DropFinalJobs();
@@ -113,7 +113,7 @@
   for (auto at = finals_.begin(); at != finals_.end();) {
     auto& [id, job] = *at;
     if (job.spec_stored && now - job.since > options_.spec_retention &&
-        (scheduler_.Find(id) == nullptr || scheduler_.Forgettable(id))) {
+        (scheduler_.Find(id) == nullptr || scheduler_.CanForget(id))) {
       scheduler_.Forget(id);
       journal_->Remove(SpecKey(id));
       job.spec_stored = false;
@@ -136,7 +136,7 @@
   for (const scheduling::StopOrder& stop : orders.stops) {
     const auto link = links_.find(stop.upstream);
     if (link == links_.end()) continue;
-    if (stop.unasked) {
+    if (stop.orphaned) {
       LogOrphanedRun(stop);
     } else {
       LogStop(stop);
@@ -156,11 +156,13 @@
   }
   for (const scheduling::AdviceOrder& ask : orders.advice) SendAdvice(ask);
   for (const scheduling::LostRun& run : orders.lost) LogLostRun(run);
-  for (const scheduling::GivenUpTask& task : orders.given_up)
+  for (const scheduling::PermanentlyFailedTask& task :
+       orders.permanently_failed)
     LogPermanentlyFailed(task);
 }
 
-void Coordinator::LogPermanentlyFailed(const scheduling::GivenUpTask& task) {
+void Coordinator::LogPermanentlyFailed(
+    const scheduling::PermanentlyFailedTask& task) {
   deps_.metrics.Count({.name = "tasks_given_up"});
   logging::Event(
       Level::kWarning, "task given up",
@@ -172,7 +174,7 @@
 }
 
 void Coordinator::LogLostRun(const scheduling::LostRun& run) {
-  const std::string why(scheduling::kUpstreamLossNames.Name(run.why));
+  const std::string why(scheduling::kUpstreamLossNames.Name(run.reason));
   const auto ago = [](const std::optional<Millis>& span) {
     return span ? Text(span->count()) : "never";
   };
@@ -258,7 +260,7 @@
 
 void Coordinator::PlaceNow() {
   place_due_ = false;
-  if (!MayGiveOrders() || !loaded_) return;
+  if (!MaySendOrders() || !loaded_) return;
   const TimePoint now = deps_.executor.Now();
   Orders orders;
   scheduler_.Place(now, lanes_.Budget(now), orders);
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -85,7 +85,7 @@
     ports::TaskPort& tasks;
     AdviceCaller& advice;
     metrics::Registry& metrics;
-    faults::MalformedRecordReporter& bad_records;
+    faults::MalformedRecordReporter& malformed_records;
     /// Pools that the configuration names; null while none is known.
     std::function<const std::set<std::string>*()> pools;
     /// Whether the leader lease is valid, so that orders may be given now.
@@ -121,11 +121,11 @@
   TimePoint last_stored() const { return journal_->last_stored(); }
   /// When the last stored append was sent for the first time.
   TimePoint last_stored_sent() const {
-    return journal_->last_stored() - journal_->last_took();
+    return journal_->last_stored() - journal_->last_append_duration();
   }
   bool loaded() const { return loaded_; }
 
-  bool MayGiveOrders() override;
+  bool MaySendOrders() override;
   void OnReport(UpstreamIndex upstream,
                 const std::vector<ports::RunningTask>& running,
                 const std::vector<ports::EndedTask>& ended) override;
@@ -143,7 +143,7 @@
   void SetCordoned(const std::set<std::string>& upstreams) override;
   void EvictTasks(const std::string& upstream, bool all) override;
   void OnUpstreamEnded(const std::string& upstream) override;
-  bool MayOrder() override { return loaded_ && MayGiveOrders(); }
+  bool MayOrder() override { return loaded_ && MaySendOrders(); }
 
  private:
   /// A job whose record is not stored yet.
@@ -214,7 +214,7 @@
   void Tick();
   /// Drops upstreams that are unlisted and have been unresponsive for
   /// `dead_upstream_timeout`.
-  void DropSilentUpstreams();
+  void DropUnresponsiveUpstreams();
   void DropUpstream(UpstreamIndex upstream, scheduling::UpstreamLoss why);
   void DropFinalJobs();
   void ExplainWaiting();
@@ -241,7 +241,7 @@
   void ReplyNoSuchJob(JobId id, std::function<void(wire::CancelJobReply)> done);
   void LogStop(const scheduling::StopOrder& stop);
   void LogLostRun(const scheduling::LostRun& run);
-  void LogPermanentlyFailed(const scheduling::GivenUpTask& task);
+  void LogPermanentlyFailed(const scheduling::PermanentlyFailedTask& task);
   /// Logs the stop of an orphaned run, which no valid order accounts for.
   void LogOrphanedRun(scheduling::StopOrder stop);
   void PlaceSoon();
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -22,12 +22,13 @@
   const wire::StepSpec& step = job.step(task.step);
   job.NoteStarted();
   if (failed) {
-    const bool exhausted = job.CountFailure(task, attempt) && !step.lasting &&
+    const bool exhausted = job.CountFailure(task, attempt) &&
+                           !step.long_running &&
                            job.Failures(task) >= job.queue().max_attempts;
     if (exhausted) job.SetState(JobState::kFailed);
     return;
   }
-  if (step.lasting) return;
+  if (step.long_running) return;
   // The completion of one member completes its whole gang.
   const int32_t first = step.gang ? 0 : task.index;
   const int32_t last = step.gang ? step.tasks - 1 : task.index;
@@ -69,7 +70,8 @@
 void Coordinator::LoadRecord(const ports::KeyedRecord& record) {
   const std::string cause = DecodeRecord(record);
   if (cause.empty()) return;
-  deps_.bad_records.Report(faults::RecordSource::kJobs, record.key, cause);
+  deps_.malformed_records.Report(faults::RecordSource::kJobs, record.key,
+                                 cause);
   // A job whose record can't be read still exists. If it were accepted as new
   // when submitted again, it would overwrite that record and run a second time.
   const bool of_job = !record.key.empty() && (record.key[0] == kSpecPrefix ||
@@ -109,8 +111,8 @@
       }
       closure.runs = RunsFromRecord(upstream.value());
       if (closure.runs.size() != upstream.value().runs.size()) {
-        deps_.bad_records.Report(faults::RecordSource::kJobs, record.key,
-                                 "contains malformed runs");
+        deps_.malformed_records.Report(faults::RecordSource::kJobs, record.key,
+                                       "contains malformed runs");
       }
     }
     return {};
@@ -205,8 +207,8 @@
     Findings findings;
     CheckProgressOf(spec, progress->second, findings);
     if (findings.empty()) continue;
-    deps_.bad_records.Report(faults::RecordSource::kJobs, ProgressKey(id),
-                             findings.ToString());
+    deps_.malformed_records.Report(faults::RecordSource::kJobs, ProgressKey(id),
+                                   findings.ToString());
     unreadable_.insert(id);
   }
   ApplyUnmatchedEnds();
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -95,8 +95,8 @@
 }
 
 void Coordinator::OnMalformedEntry(const ports::UpstreamEntry& entry) {
-  deps_.bad_records.Report(faults::RecordSource::kUpstreamList, entry.id,
-                           entry.decode_error);
+  deps_.malformed_records.Report(faults::RecordSource::kUpstreamList, entry.id,
+                                 entry.decode_error);
   unreferenced_upstreams_.erase(entry.id);
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
@@ -123,7 +123,7 @@
       // Checked again with each read of the list, since a configuration that
       // names the pool may still arrive.
       if (deps_.pools() != nullptr) {
-        deps_.bad_records.Report(
+        deps_.malformed_records.Report(
             faults::RecordSource::kUpstreamList, entry.id,
             "neither the configuration nor a job names its pool");
       }
@@ -186,7 +186,8 @@
   wire::UpstreamRecord record = ToRecord(it.entry);
   record.closed = true;
   std::set<JobId> jobs;
-  for (const auto& [run, allocation] : it.held) jobs.insert(run.first.job);
+  for (const auto& [run, allocation] : it.reservations)
+    jobs.insert(run.first.job);
   for (const JobId id : jobs) record.jobs.push_back(static_cast<int64_t>(id));
   if (!it.reachable) {
     // If this leader fails before it knows whether the upstream has crashed,
@@ -250,7 +251,7 @@
   ExecuteOrders(orders);
 }
 
-bool Coordinator::MayGiveOrders() { return !closed_ && deps_.lease_valid(); }
+bool Coordinator::MaySendOrders() { return !closed_ && deps_.lease_valid(); }
 
 void Coordinator::OnReport(UpstreamIndex upstream,
                            const std::vector<ports::RunningTask>& running,
@@ -334,13 +335,13 @@
   scheduler_.pool().Remove(upstream);
 }
 
-void Coordinator::DropSilentUpstreams() {
+void Coordinator::DropUnresponsiveUpstreams() {
   const TimePoint now = deps_.executor.Now();
   std::vector<UpstreamIndex> dead;
   for (const auto& [index, link] : links_) {
     const scheduling::Upstream& it = scheduler_.pool().at(index);
     if (it.listed || !link->all_runs_ended()) continue;
-    const TimePoint since = it.silent_since.value_or(it.known_since);
+    const TimePoint since = it.unresponsive_since.value_or(it.known_since);
     if (now - since >= options_.dead_upstream_timeout) dead.push_back(index);
   }
   for (const UpstreamIndex index : dead)
@@ -386,7 +387,7 @@
                    ends_acknowledged,
           .tasks = work.tasks,
           .budgeted_tasks = work.budgeted_tasks,
-          .drained_in = work.drained_in,
+          .drain_time = work.drain_time,
           .millicores = work.millicores};
 }
 
--- a/src/execution/execution.cc
+++ b/src/execution/execution.cc
@@ -44,8 +44,8 @@
   return request_id + "/" + std::to_string(attempt) + "/" + Padded(index);
 }
 
-placement::Ask MakeAsk(const wire::AttemptContext& context, int32_t tasks,
-                       TimePoint now) {
+placement::PlacementRequest MakePlacementRequest(
+    const wire::AttemptContext& context, int32_t tasks, TimePoint now) {
   const wire::RequestSpec& spec = context.spec;
   return {.size = placement::TaskAmount(spec.size),
           .tasks = tasks,
@@ -102,12 +102,13 @@
     return reply;
   }
   const auto tasks = static_cast<int32_t>(call.indices.size());
-  placement::Ask ask = MakeAsk(call.context, tasks, executor_.Now());
+  placement::PlacementRequest ask =
+      MakePlacementRequest(call.context, tasks, executor_.Now());
   ask.urgent |= call.use_reserve;
   const auto rows = policy_->Place(controller_->room(), ask);
   if (rows.empty()) {
     reply.status = wire::PlaceStatus::kNoRoom;
-    reply.detail = placement::ExplainNoRoom(controller_->room(), ask);
+    reply.detail = placement::ExplainNoCapacity(controller_->room(), ask);
     return reply;
   }
   StartOn(call, rows);
@@ -167,14 +168,14 @@
   for (auto it = tasks_.lower_bound(prefix);
        it != tasks_.end() && it->first.starts_with(prefix); ++it) {
     const ManagedTask& managed = it->second;
-    wire::TaskWord word;
-    word.attempt = managed.task.attempt;
-    word.index = managed.task.index;
-    word.ended = managed.ended;
-    word.upstream = managed.upstream;
-    word.tasks = managed.context.spec.tasks;
-    if (managed.ended) word.report = managed.report;
-    reply.tasks.push_back(std::move(word));
+    wire::TaskReport report;
+    report.attempt = managed.task.attempt;
+    report.index = managed.task.index;
+    report.ended = managed.ended;
+    report.upstream = managed.upstream;
+    report.tasks = managed.context.spec.tasks;
+    if (managed.ended) report.report = managed.report;
+    reply.tasks.push_back(std::move(report));
   }
 }
 
@@ -197,7 +198,8 @@
   // Selects the least urgent repeatable tasks of one upstream whose resources,
   // together with the free capacity there, suffice for one task of the call.
   // The upstream with the fewest such tasks is used.
-  const placement::Ask ask = MakeAsk(call.context, 1, executor_.Now());
+  const placement::PlacementRequest ask =
+      MakePlacementRequest(call.context, 1, executor_.Now());
   std::map<std::string, std::vector<const ManagedTask*>> by_upstream;
   for (const auto& [id, managed] : tasks_) {
     const bool may =
@@ -242,7 +244,8 @@
   return true;
 }
 
-std::vector<std::string> Execution::HeldOn(const std::string& upstream) const {
+std::vector<std::string> Execution::RunningTasksOn(
+    const std::string& upstream) const {
   std::vector<std::string> out;
   for (const auto& [id, managed] : tasks_) {
     if (managed.upstream == upstream && !managed.ended) out.push_back(id);
--- a/src/execution/execution.h
+++ b/src/execution/execution.h
@@ -60,11 +60,11 @@
   /// the call. Returns true if tasks were asked to stop.
   bool Preempt(const wire::PlaceCall& call);
 
-  size_t held() const { return tasks_.size(); }
+  size_t task_count() const { return tasks_.size(); }
   int64_t starts() const { return starts_; }
   int64_t reports() const { return reports_; }
   /// Ids of the running tasks on the upstream.
-  std::vector<std::string> HeldOn(const std::string& upstream) const;
+  std::vector<std::string> RunningTasksOn(const std::string& upstream) const;
 
   bool OnFound(const std::string& upstream,
                const wire::TaskSpec& task) override;
@@ -130,7 +130,7 @@
                    int32_t index);
 
 /// Returns the placement query of an attempt. The context must outlive it.
-placement::Ask MakeAsk(const wire::AttemptContext& context, int32_t tasks,
-                       TimePoint now);
+placement::PlacementRequest MakePlacementRequest(
+    const wire::AttemptContext& context, int32_t tasks, TimePoint now);
 
 }  // namespace mimosarail::execution
--- a/src/fleet/adaptive_timeout.cc
+++ b/src/fleet/adaptive_timeout.cc
@@ -34,7 +34,7 @@
   timeouts_ = std::min(timeouts_ + 1, kMaxDoublings);
 }
 
-Millis AdaptiveTimeout::limit() const {
+Millis AdaptiveTimeout::timeout() const {
   if (!known_) return max_;
   const auto expected =
       std::chrono::ceil<Millis>(mean_ + kDeviationFactor * deviation_);
--- a/src/fleet/adaptive_timeout.h
+++ b/src/fleet/adaptive_timeout.h
@@ -23,7 +23,7 @@
   /// otherwise no answer of an upstream that has become slow would arrive in
   /// time.
   void AddTimeout();
-  Millis limit() const;
+  Millis timeout() const;
 
  private:
   using Seconds = std::chrono::duration<double>;
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -82,7 +82,7 @@
 
 void UpstreamLink::Renew(Millis wait) {
   if (closed_) return;
-  if (!events_.MayGiveOrders()) return RenewSoon(kRetryDelay);
+  if (!events_.MaySendOrders()) return RenewSoon(kRetryDelay);
   ++outstanding_;
   const TimePoint sent = executor_.Now();
   // The requested lease bounds how long tasks may run there, even if the reply
@@ -103,7 +103,7 @@
                 .acked_ends = ends_durable_,
                 .lease_until_ms = extend ? LeaseUntil() : 0,
                 .wait = reply_wait},
-               adaptive_timeout_.limit() + reply_wait,
+               adaptive_timeout_.timeout() + reply_wait,
                [weak = weak_from_this(), number, fence, sent, reply_wait,
                 acked_ends = ends_durable_](const ports::RenewReply& reply) {
                  const auto self = weak.lock();
@@ -213,7 +213,7 @@
 }
 
 void UpstreamLink::Start(const scheduling::StartOrder& order) {
-  if (closed_ || !reachable_ || !events_.MayGiveOrders()) {
+  if (closed_ || !reachable_ || !events_.MaySendOrders()) {
     return events_.OnStartReply(
         order, {.verdict = CallVerdict::kNotSent, .detail = "not reachable"});
   }
@@ -228,7 +228,7 @@
                 .fence = fence,
                 .checkpoint = order.checkpoint,
                 .ticket = order.ticket},
-               adaptive_timeout_.limit(),
+               adaptive_timeout_.timeout(),
                [weak = weak_from_this(), order, fence,
                 sent = executor_.Now()](const ports::CallReply& reply) {
                  const auto self = weak.lock();
@@ -303,10 +303,11 @@
 
 void UpstreamLink::Stop(const TaskId& task, int64_t attempt) {
   if (closed_) return;
-  if (!events_.MayGiveOrders()) {
+  if (!events_.MaySendOrders()) {
     return events_.OnStopFailed(options_.index, task, attempt);
   }
-  tasks_.Stop(options_.target, task, attempt, fence_, adaptive_timeout_.limit(),
+  tasks_.Stop(options_.target, task, attempt, fence_,
+              adaptive_timeout_.timeout(),
               [weak = weak_from_this(), task, attempt,
                sent = executor_.Now()](const ports::CallReply& reply) {
                 const auto self = weak.lock();
--- a/src/fleet/upstream_link.h
+++ b/src/fleet/upstream_link.h
@@ -52,7 +52,7 @@
  public:
   virtual ~UpstreamEvents() = default;
   /// Whether orders may be sent now.
-  virtual bool MayGiveOrders() = 0;
+  virtual bool MaySendOrders() = 0;
   /// Reports the running tasks and the new completions. The first report is
   /// the complete inventory.
   virtual void OnReport(UpstreamIndex upstream,
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -110,7 +110,7 @@
 }
 
 void Instance::UpdatePhase() {
-  const Millis gap = members_->TakeLongestGap();
+  const Millis gap = members_->TakeLongestPause();
   if (gap >= options_.membership.dead_after) {
     logging::Event(logging::Level::kWarning, "self_paused",
                    {{"ms", std::to_string(gap.count())}});
@@ -195,7 +195,7 @@
 execution::OwnerRoute Instance::RouteTo(const std::string& owner,
                                         int64_t incarnation) {
   execution::OwnerRoute route;
-  route.alive = members_->Lives(owner, incarnation);
+  route.alive = members_->IsCurrentProcess(owner, incarnation);
   route.self = owner == options_.membership.name && route.alive;
   if (const membership::Peer* peer = members_->Find(owner)) {
     route.address = peer->address;
@@ -251,7 +251,7 @@
                         std::function<void(wire::SubmitReply)> done) {
   requests_->Submit(call.spec, [done](const requests::Submitted& submitted) {
     wire::SubmitReply reply;
-    reply.taken = submitted.taken;
+    reply.taken = submitted.accepted;
     reply.refusal = submitted.outcome.reason;
     reply.retry_after_ms = submitted.outcome.retry_after_ms;
     done(std::move(reply));
@@ -309,7 +309,7 @@
   }
   m.Set({.name = "waiting_requests"},
         static_cast<double>(requests_->waiting()));
-  m.Set({.name = "held_tasks"}, static_cast<double>(execution_->held()));
+  m.Set({.name = "held_tasks"}, static_cast<double>(execution_->task_count()));
   m.Set({.name = "task_starts"}, static_cast<double>(execution_->starts()));
   m.Set({.name = "reports_sent"}, static_cast<double>(execution_->reports()));
   m.Set({.name = "sessions"},
@@ -354,7 +354,7 @@
   }
   const bool alone = members_->Controllers().empty();
   const bool idle = requests_->unfinished() == 0 &&
-                    (execution_->held() == 0 || attached == 0);
+                    (execution_->task_count() == 0 || attached == 0);
   const bool quiet = idle && (attached == 0 || alone);
   if (!quiet && !late) return;
   if (late) requests_->AbandonWaiting("this instance is shutting down");
@@ -362,7 +362,7 @@
   logging::Event(late ? logging::Level::kWarning : logging::Level::kInfo,
                  "left",
                  {{"unfinished", std::to_string(requests_->unfinished())},
-                  {"held", std::to_string(execution_->held())},
+                  {"held", std::to_string(execution_->task_count())},
                   {"attached", std::to_string(attached)}});
   const auto done = std::exchange(shutdown_done_, nullptr);
   done();
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -109,11 +109,11 @@
     : deps_(deps),
       options_(std::move(options)),
       waiting_(deps_.executor),
-      bad_records_(deps_.metrics),
-      config_(deps_.executor, deps_.config, bad_records_, options_.config,
+      malformed_records_(deps_.metrics),
+      config_(deps_.executor, deps_.config, malformed_records_, options_.config,
               [] {}),
       leadership_(
-          deps_.executor, deps_.store, deps_.peers, bad_records_,
+          deps_.executor, deps_.store, deps_.peers, malformed_records_,
           options_.leadership,
           {.on_elected = [this](int64_t term) { OnElected(term); },
            .on_leadership_lost = [this] { OnLeadershipLost(); },
@@ -164,7 +164,7 @@
           .tasks = deps_.tasks,
           .advice = *this,
           .metrics = deps_.metrics,
-          .bad_records = bad_records_,
+          .malformed_records = malformed_records_,
           .pools = [this] { return KnownPools(); },
           .lease_valid = [this] { return leadership_.lease_valid(); },
           .lease_confirmed_by_store =
@@ -444,7 +444,8 @@
                    const std::vector<std::string>& upstreams, Millis timeout,
                    Callback<ports::Advice> done) {
   if (entry_address == options_.leadership.member.address) {
-    return deps_.adviser.Ask(step, upstreams, timeout, std::move(done));
+    return deps_.adviser.RequestAdvice(step, upstreams, timeout,
+                                       std::move(done));
   }
   wire::AdviseCall call;
   call.job = static_cast<int64_t>(step.job);
@@ -475,9 +476,9 @@
   if (!findings.empty()) {
     // The entry that accepted the job has checked it, but an entry of another
     // version may apply other rules.
-    bad_records_.Report(faults::RecordSource::kPeer,
-                        JobIdText(static_cast<JobId>(call.job.id)),
-                        findings.ToString());
+    malformed_records_.Report(faults::RecordSource::kPeer,
+                              JobIdText(static_cast<JobId>(call.job.id)),
+                              findings.ToString());
     reply.verdict = static_cast<int32_t>(JobVerdict::kRefused);
     return done(reply);
   }
@@ -520,7 +521,7 @@
   // and the step would have waited without result.
   if (accepting_stopped_) return done(ToReply(Errc::kUnavailable));
   ++advice_in_flight_;
-  deps_.adviser.Ask(
+  deps_.adviser.RequestAdvice(
       {static_cast<JobId>(call.job), call.occurrence, call.step},
       call.upstreams,
       std::clamp(Millis(call.timeout_ms), Millis(0), kMaxAdviceTimeout),
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -123,7 +123,7 @@
   Dependencies deps_;
   JobEntryOptions options_;
   WaitingCalls waiting_;
-  faults::MalformedRecordReporter bad_records_;
+  faults::MalformedRecordReporter malformed_records_;
   cellconfig::CellConfigFollower config_;
   leadership::Leadership leadership_;
   std::shared_ptr<coordinator::Coordinator> coordinator_;
--- a/src/jobs/gen/jobs_types.cpp
+++ b/src/jobs/gen/jobs_types.cpp
@@ -70,8 +70,8 @@
   this->speculative = val;
 }
 
-void StepSpec::__set_lasting(const bool val) {
-  this->lasting = val;
+void StepSpec::__set_long_running(const bool val) {
+  this->long_running = val;
 }
 
 void StepSpec::__set_image(const std::string& val) {
@@ -235,8 +235,8 @@
         break;
       case 14:
         if (ftype == ::apache::thrift::protocol::T_BOOL) {
-          xfer += iprot->readBool(this->lasting);
-          this->__isset.lasting = true;
+          xfer += iprot->readBool(this->long_running);
+          this->__isset.long_running = true;
         } else {
           xfer += iprot->skip(ftype);
         }
@@ -350,8 +350,8 @@
   xfer += oprot->writeBool(this->speculative);
   xfer += oprot->writeFieldEnd();
 
-  xfer += oprot->writeFieldBegin("lasting", ::apache::thrift::protocol::T_BOOL, 14);
-  xfer += oprot->writeBool(this->lasting);
+  xfer += oprot->writeFieldBegin("long_running", ::apache::thrift::protocol::T_BOOL, 14);
+  xfer += oprot->writeBool(this->long_running);
   xfer += oprot->writeFieldEnd();
 
   xfer += oprot->writeFieldBegin("image", ::apache::thrift::protocol::T_STRING, 15);
@@ -390,7 +390,7 @@
   swap(a.data_rack, b.data_rack);
   swap(a.max_per_upstream, b.max_per_upstream);
   swap(a.speculative, b.speculative);
-  swap(a.lasting, b.lasting);
+  swap(a.long_running, b.long_running);
   swap(a.image, b.image);
   swap(a.target_ms, b.target_ms);
   swap(a.filler, b.filler);
@@ -412,7 +412,7 @@
   data_rack = other6.data_rack;
   max_per_upstream = other6.max_per_upstream;
   speculative = other6.speculative;
-  lasting = other6.lasting;
+  long_running = other6.long_running;
   image = other6.image;
   target_ms = other6.target_ms;
   filler = other6.filler;
@@ -433,7 +433,7 @@
   data_rack = std::move(other7.data_rack);
   max_per_upstream = other7.max_per_upstream;
   speculative = other7.speculative;
-  lasting = other7.lasting;
+  long_running = other7.long_running;
   image = std::move(other7.image);
   target_ms = other7.target_ms;
   filler = other7.filler;
@@ -454,7 +454,7 @@
   data_rack = other8.data_rack;
   max_per_upstream = other8.max_per_upstream;
   speculative = other8.speculative;
-  lasting = other8.lasting;
+  long_running = other8.long_running;
   image = other8.image;
   target_ms = other8.target_ms;
   filler = other8.filler;
@@ -476,7 +476,7 @@
   data_rack = std::move(other9.data_rack);
   max_per_upstream = other9.max_per_upstream;
   speculative = other9.speculative;
-  lasting = other9.lasting;
+  long_running = other9.long_running;
   image = std::move(other9.image);
   target_ms = other9.target_ms;
   filler = other9.filler;
@@ -500,7 +500,7 @@
   out << ", " << "data_rack=" << to_string(data_rack);
   out << ", " << "max_per_upstream=" << to_string(max_per_upstream);
   out << ", " << "speculative=" << to_string(speculative);
-  out << ", " << "lasting=" << to_string(lasting);
+  out << ", " << "long_running=" << to_string(long_running);
   out << ", " << "image=" << to_string(image);
   out << ", " << "target_ms=" << to_string(target_ms);
   out << ", " << "filler=" << to_string(filler);
@@ -2061,8 +2061,8 @@
   this->fitness = val;
 }
 
-void Member::__set_gone(const bool val) {
-  this->gone = val;
+void Member::__set_removed(const bool val) {
+  this->removed = val;
 }
 std::ostream& operator<<(std::ostream& out, const Member& obj)
 {
@@ -2118,8 +2118,8 @@
         break;
       case 4:
         if (ftype == ::apache::thrift::protocol::T_BOOL) {
-          xfer += iprot->readBool(this->gone);
-          this->__isset.gone = true;
+          xfer += iprot->readBool(this->removed);
+          this->__isset.removed = true;
         } else {
           xfer += iprot->skip(ftype);
         }
@@ -2153,8 +2153,8 @@
   xfer += oprot->writeI32(this->fitness);
   xfer += oprot->writeFieldEnd();
 
-  xfer += oprot->writeFieldBegin("gone", ::apache::thrift::protocol::T_BOOL, 4);
-  xfer += oprot->writeBool(this->gone);
+  xfer += oprot->writeFieldBegin("removed", ::apache::thrift::protocol::T_BOOL, 4);
+  xfer += oprot->writeBool(this->removed);
   xfer += oprot->writeFieldEnd();
 
   xfer += oprot->writeFieldStop();
@@ -2167,7 +2167,7 @@
   swap(a.name, b.name);
   swap(a.address, b.address);
   swap(a.fitness, b.fitness);
-  swap(a.gone, b.gone);
+  swap(a.removed, b.removed);
   swap(a.__isset, b.__isset);
 }
 
@@ -2175,21 +2175,21 @@
   name = other82.name;
   address = other82.address;
   fitness = other82.fitness;
-  gone = other82.gone;
+  removed = other82.removed;
   __isset = other82.__isset;
 }
 Member::Member(Member&& other83) noexcept {
   name = std::move(other83.name);
   address = std::move(other83.address);
   fitness = other83.fitness;
-  gone = other83.gone;
+  removed = other83.removed;
   __isset = other83.__isset;
 }
 Member& Member::operator=(const Member& other84) {
   name = other84.name;
   address = other84.address;
   fitness = other84.fitness;
-  gone = other84.gone;
+  removed = other84.removed;
   __isset = other84.__isset;
   return *this;
 }
@@ -2197,7 +2197,7 @@
   name = std::move(other85.name);
   address = std::move(other85.address);
   fitness = other85.fitness;
-  gone = other85.gone;
+  removed = other85.removed;
   __isset = other85.__isset;
   return *this;
 }
@@ -2207,7 +2207,7 @@
   out << "name=" << to_string(name);
   out << ", " << "address=" << to_string(address);
   out << ", " << "fitness=" << to_string(fitness);
-  out << ", " << "gone=" << to_string(gone);
+  out << ", " << "removed=" << to_string(removed);
   out << ")";
 }
 
--- a/src/jobs/gen/jobs_types.h
+++ b/src/jobs/gen/jobs_types.h
@@ -68,7 +68,7 @@
 class AdviseReply;
 
 typedef struct _StepSpec__isset {
-  _StepSpec__isset() : tasks(true), millicores(false), memory_mb(false), accelerators(false), estimate_ms(false), after(false), checkpoints(false), gang(false), one_rack(false), label(false), data_rack(false), max_per_upstream(false), speculative(false), lasting(false), image(false), target_ms(false), filler(false), max_unavailable(false) {}
+  _StepSpec__isset() : tasks(true), millicores(false), memory_mb(false), accelerators(false), estimate_ms(false), after(false), checkpoints(false), gang(false), one_rack(false), label(false), data_rack(false), max_per_upstream(false), speculative(false), long_running(false), image(false), target_ms(false), filler(false), max_unavailable(false) {}
   bool tasks :1;
   bool millicores :1;
   bool memory_mb :1;
@@ -82,7 +82,7 @@
   bool data_rack :1;
   bool max_per_upstream :1;
   bool speculative :1;
-  bool lasting :1;
+  bool long_running :1;
   bool image :1;
   bool target_ms :1;
   bool filler :1;
@@ -112,7 +112,7 @@
              data_rack(),
              max_per_upstream(0),
              speculative(0),
-             lasting(0),
+             long_running(0),
              image(),
              target_ms(0),
              filler(0),
@@ -152,7 +152,7 @@
    * Long-running: runs until the job is cancelled, and is started again
    * whatever the result of a run.
    */
-  bool lasting;
+  bool long_running;
   std::string image;
   /**
    * Target of the tail latency, in ms; 0 for none.
@@ -193,7 +193,7 @@
 
   void __set_speculative(const bool val);
 
-  void __set_lasting(const bool val);
+  void __set_long_running(const bool val);
 
   void __set_image(const std::string& val);
 
@@ -231,7 +231,7 @@
       return false;
     if (!(speculative == rhs.speculative))
       return false;
-    if (!(lasting == rhs.lasting))
+    if (!(long_running == rhs.long_running))
       return false;
     if (!(image == rhs.image))
       return false;
@@ -839,11 +839,11 @@
 std::ostream& operator<<(std::ostream& out, const UpstreamRecord& obj);
 
 typedef struct _Member__isset {
-  _Member__isset() : name(false), address(false), fitness(true), gone(false) {}
+  _Member__isset() : name(false), address(false), fitness(true), removed(false) {}
   bool name :1;
   bool address :1;
   bool fitness :1;
-  bool gone :1;
+  bool removed :1;
 } _Member__isset;
 
 class Member : public virtual ::apache::thrift::TBase {
@@ -857,7 +857,7 @@
          : name(),
            address(),
            fitness(100),
-           gone(0) {
+           removed(0) {
   }
 
   virtual ~Member() noexcept;
@@ -870,7 +870,7 @@
   /**
    * In a list of changes: the member no longer sends heartbeats.
    */
-  bool gone;
+  bool removed;
 
   _Member__isset __isset;
 
@@ -880,7 +880,7 @@
 
   void __set_fitness(const int32_t val);
 
-  void __set_gone(const bool val);
+  void __set_removed(const bool val);
 
   bool operator == (const Member & rhs) const
   {
@@ -890,7 +890,7 @@
       return false;
     if (!(fitness == rhs.fitness))
       return false;
-    if (!(gone == rhs.gone))
+    if (!(removed == rhs.removed))
       return false;
     return true;
   }
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -109,7 +109,7 @@
     return false;
   }
   counted.push_back(attempt);
-  if (step(id.step).lasting && counted.size() > kLongRunningFailuresKept) {
+  if (step(id.step).long_running && counted.size() > kLongRunningFailuresKept) {
     counted.erase(counted.begin());
   }
   return true;
--- a/src/jobs/jobs.thrift
+++ b/src/jobs/jobs.thrift
@@ -22,7 +22,7 @@
   13: bool speculative
   /** Long-running: runs until the job is cancelled, and is started again
    *  whatever the result of a run. */
-  14: bool lasting
+  14: bool long_running
   15: string image
   /** Target of the tail latency, in ms; 0 for none. */
   16: i64 target_ms
@@ -124,7 +124,7 @@
   /** CPU share on its machine, in percent of a core. */
   3: i32 fitness = 100
   /** In a list of changes: the member no longer sends heartbeats. */
-  4: bool gone
+  4: bool removed
 }
 
 /** Heartbeat of an entry to the entry that it believes to be the leader. */
--- a/src/journal/journal.cc
+++ b/src/journal/journal.cc
@@ -183,9 +183,9 @@
   // well, though their answers may come later or never.
   while (!closed_ && !in_flight_.empty() &&
          in_flight_.front().sequence <= sequence) {
-    last_took_ = stalled_for();
-    LogStored(in_flight_.front(), last_took_, sequence, end_offset);
-    if (!in_flight_.front().repeated) last_reply_time_ = last_took_;
+    last_append_duration_ = stalled_for();
+    LogStored(in_flight_.front(), last_append_duration_, sequence, end_offset);
+    if (!in_flight_.front().repeated) last_reply_time_ = last_append_duration_;
     last_stored_ = executor_.Now();
     const Batch done = std::move(in_flight_.front());
     in_flight_.pop_front();
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -79,7 +79,7 @@
   Millis stalled_for() const;
   /// Time from the first sending of the last stored append to its confirmation,
   /// repeats included.
-  Millis last_took() const { return last_took_; }
+  Millis last_append_duration() const { return last_append_duration_; }
   int64_t appends() const { return appends_; }
   /// Number of appends that are not known to be stored yet.
   size_t in_flight() const { return in_flight_.size(); }
@@ -129,7 +129,7 @@
   int64_t appends_ = 0;
   TimePoint last_flush_{};
   TimePoint last_stored_{};
-  Millis last_took_{0};
+  Millis last_append_duration_{0};
   /// The same for the last append that was stored without a repeat.
   Millis last_reply_time_{0};
   /// Batches in flight, ordered by sequence number.
--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -163,14 +163,15 @@
     if (kept.key != kLeaderKey) continue;
     const auto record = rpc::Decode<wire::AnnounceCall>(kept.value);
     if (!kept.decode_error.empty() || !record.ok()) {
-      bad_records_.Report(RecordSource::kLeaders, kept.key, "does not decode");
+      malformed_records_.Report(RecordSource::kLeaders, kept.key,
+                                "does not decode");
       continue;
     }
     const int64_t term = record.value().term;
     if (term < 1 || term > std::min(kMaxTerm, page.end_offset) ||
         record.value().leader.address.empty()) {
-      bad_records_.Report(RecordSource::kLeaders, kept.key,
-                          "leader address missing or term out of range");
+      malformed_records_.Report(RecordSource::kLeaders, kept.key,
+                                "leader address missing or term out of range");
       continue;
     }
     out = record.value();
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -41,12 +41,12 @@
 
 Leadership::Leadership(Executor& executor, ports::RecordStorePort& store,
                        JobPeerPort& peers,
-                       faults::MalformedRecordReporter& bad_records,
+                       faults::MalformedRecordReporter& malformed_records,
                        LeadershipOptions options, Events events)
     : executor_(executor),
       store_(store),
       peers_(peers),
-      bad_records_(bad_records),
+      malformed_records_(malformed_records),
       options_(std::move(options)),
       events_(std::move(events)) {}
 
@@ -440,7 +440,7 @@
 
 bool Leadership::IsPlausibleTerm(int64_t term, const std::string& peer) {
   if (term >= 0 && term <= kMaxTerm) return true;
-  bad_records_.Report(RecordSource::kPeer, peer, "term out of range");
+  malformed_records_.Report(RecordSource::kPeer, peer, "term out of range");
   return false;
 }
 
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -92,7 +92,8 @@
 
   /// All arguments passed by reference outlive this object.
   Leadership(Executor& executor, ports::RecordStorePort& store,
-             JobPeerPort& peers, faults::MalformedRecordReporter& bad_records,
+             JobPeerPort& peers,
+             faults::MalformedRecordReporter& malformed_records,
              LeadershipOptions options, Events events);
 
   void Start();
@@ -228,7 +229,7 @@
   Executor& executor_;
   ports::RecordStorePort& store_;
   JobPeerPort& peers_;
-  faults::MalformedRecordReporter& bad_records_;
+  faults::MalformedRecordReporter& malformed_records_;
   LeadershipOptions options_;
   Events events_;
   Role role_ = Role::kFollowing;
--- a/src/leadership/member_list.cc
+++ b/src/leadership/member_list.cc
@@ -14,8 +14,8 @@
   const auto known = numbers_.find(name);
   if (known == numbers_.end()) return;
   wire::Member removed = changes_.at(known->second);
-  if (removed.gone) return;
-  removed.gone = true;
+  if (removed.removed) return;
+  removed.removed = true;
   AddChange(removed);
 }
 
@@ -52,7 +52,7 @@
   number_ = std::max(number_, number);
   if (changes.empty()) return;
   for (const wire::Member& member : changes) {
-    if (member.gone) {
+    if (member.removed) {
       by_name_.erase(member.name);
     } else {
       by_name_[member.name] = {.member = member, .reported_in_term = true};
--- a/src/libs/http/client.cc
+++ b/src/libs/http/client.cc
@@ -315,7 +315,7 @@
                    .bytes = Serialize(address, request),
                    .timeout = timeout,
                    .deadline = now + timeout,
-                   .limit = now + d_->options.longest_answer,
+                   .limit = now + d_->options.max_response_time,
                    .done = std::move(done)};
   asio::post(d_->io, [d = d_, address, call = std::move(call)]() mutable {
     Dispatch(*d, address, std::move(call));
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -35,7 +35,7 @@
   /// Limit of a response that arrives in parts, counted from the call. Once it
   /// has begun, the call's timeout applies to the time between two parts. With
   /// 0, the call's timeout applies to the complete response.
-  Millis longest_answer{0};
+  Millis max_response_time{0};
   /// Counts requests and responses unless it is null; must outlive the client.
   metrics::Traffic* traffic = nullptr;
   /// Returns the kind under which a request and its response are counted.
--- a/src/libs/json/json_text.cc
+++ b/src/libs/json/json_text.cc
@@ -89,7 +89,7 @@
     out_.places[path] =
         LineAndColumn(text_, count_ > length ? count_ - length : 0);
     if (!levels_.back().keys.insert(name).second) {
-      findings_.Add(out_.PlaceOf(path), "key stands twice");
+      findings_.Add(out_.PositionOf(path), "key stands twice");
     }
     return true;
   }
@@ -170,7 +170,7 @@
 
 }  // namespace
 
-std::string JsonText::PlaceOf(const std::string& path) const {
+std::string JsonText::PositionOf(const std::string& path) const {
   const auto found = places.find(path);
   if (found == places.end()) return path;
   return found->second + " " + path;
--- a/src/libs/json/json_text.h
+++ b/src/libs/json/json_text.h
@@ -18,7 +18,7 @@
   std::map<std::string, std::string> places;
 
   /// "7:14 rules[2].name", or only the path if its position is unknown.
-  std::string PlaceOf(const std::string& path) const;
+  std::string PositionOf(const std::string& path) const;
 };
 
 /// Parses JSON with comments. Syntax errors and duplicate keys are added to
--- a/src/libs/json/object_reader.cc
+++ b/src/libs/json/object_reader.cc
@@ -23,7 +23,7 @@
       path_(std::move(path)),
       findings_(findings) {
   if (!object_.is_object()) {
-    findings_.Add(text_.PlaceOf(path_), "must be an object");
+    findings_.Add(text_.PositionOf(path_), "must be an object");
   }
 }
 
@@ -32,7 +32,7 @@
 }
 
 void ObjectReader::Add(const std::string& key, std::string message) {
-  findings_.Add(text_.PlaceOf(Path(key)), std::move(message));
+  findings_.Add(text_.PositionOf(Path(key)), std::move(message));
 }
 
 const Json* ObjectReader::Find(const std::string& key) {
--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -297,7 +297,7 @@
   out.on_hold = host.in_flight || now < host.retry_at;
   out.draining = host.draining_since.has_value();
   if (out.draining) {
-    out.drained_for =
+    out.draining_for =
         std::chrono::duration_cast<Millis>(now - *host.draining_since);
   }
   // A host that is up without an upstream is a standby: no task runs there.
--- a/src/maintenance/wave_plan.cc
+++ b/src/maintenance/wave_plan.cc
@@ -95,7 +95,7 @@
   const auto rank = [](const HostView* host) {
     return std::tuple(host->progress != HostMaintenancePhase::kRequested,
                       !host->draining, host->work.budgeted_tasks,
-                      host->work.drained_in, host->work.tasks);
+                      host->work.drain_time, host->work.tasks);
   };
   std::stable_sort(
       out.begin(), out.end(),
@@ -135,7 +135,7 @@
     const std::string blocked_by = BlockedBy(*host);
     size_t& slots_left = in_doubt ? repeat_slots : slots;
     const bool limit_passed =
-        host->draining && host->drained_for >= out.drain_limit;
+        host->draining && host->draining_for >= out.drain_limit;
     if (slots_left > 0 && limit_passed && host->work.tasks > 0) {
       out.evict.push_back(host->host);
     }
--- a/src/maintenance/wave_plan.h
+++ b/src/maintenance/wave_plan.h
@@ -38,7 +38,7 @@
   /// moved one after the other and never ended by the maintenance itself.
   int32_t budgeted_tasks = 0;
   /// Expected time until the last task that can't continue elsewhere ends.
-  Millis drained_in{0};
+  Millis drain_time{0};
   int64_t millicores = 0;
 };
 
@@ -52,7 +52,7 @@
   /// refused recently.
   bool on_hold = false;
   bool draining = false;
-  Millis drained_for{0};
+  Millis draining_for{0};
   HostWork work;
 };
 
--- a/src/membership/gen/heartbeat_types.h
+++ b/src/membership/gen/heartbeat_types.h
@@ -162,7 +162,7 @@
   int32_t waiting;
   /**
    * Valid if `has_teams`: sent only with some of the heartbeats, at most
-   * kMaxTeamsTold teams.
+   * kMaxTeamsPerHeartbeat teams.
    */
   std::vector<TeamUse>  teams;
   bool has_teams;
--- a/src/membership/heartbeat.thrift
+++ b/src/membership/heartbeat.thrift
@@ -21,7 +21,7 @@
   11: i32 upstreams
   12: i32 waiting
   /** Valid if `has_teams`: sent only with some of the heartbeats, at most
-   *  kMaxTeamsTold teams. */
+   *  kMaxTeamsPerHeartbeat teams. */
   13: list<TeamUse> teams
   14: bool has_teams
   /** Names of the entries from which the sender receives heartbeats. */
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -59,13 +59,13 @@
     // numbers of the pause makes calls from before it count as old.
     sequence_ += gap / options_.heartbeat;
     for (auto& [name, peer] : peers_) {
-      if (peer.state != PeerState::kDead) peer.heard = now;
+      if (peer.state != PeerState::kDead) peer.last_heard = now;
     }
   }
   for (auto& [name, peer] : peers_) UpdateState(peer, now);
   std::erase_if(peers_, [&](const auto& entry) {
     return entry.second.state == PeerState::kDead &&
-           now - entry.second.heard > kForgetFactor * options_.dead_after;
+           now - entry.second.last_heard > kForgetFactor * options_.dead_after;
   });
   Announce();
 }
@@ -116,7 +116,7 @@
   peer.failure_domain = heartbeat.failure_domain;
   peer.last = heartbeat;
   if (!heartbeat.has_teams && !restarted) peer.last.teams = std::move(teams);
-  peer.heard = now;
+  peer.last_heard = now;
   const bool mutual = std::find(heartbeat.heard.begin(), heartbeat.heard.end(),
                                 options_.name) != heartbeat.heard.end();
   const bool link_change = mutual != peer.mutual;
@@ -128,7 +128,7 @@
 
 void Membership::UpdateState(Peer& peer, TimePoint now) {
   if (peer.state == PeerState::kListed) return;
-  const auto silence = now - peer.heard;
+  const auto silence = now - peer.last_heard;
   if (silence >= options_.dead_after) {
     return SetState(peer, PeerState::kDead);
   }
@@ -176,15 +176,16 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-bool Membership::Lives(const std::string& name, int64_t incarnation) const {
+bool Membership::IsCurrentProcess(const std::string& name,
+                                  int64_t incarnation) const {
   if (name == options_.name) return incarnation == options_.incarnation;
   const Peer* peer = Find(name);
   if (peer == nullptr || peer->last.incarnation != incarnation) return false;
   return peer->state != PeerState::kDead && peer->state != PeerState::kListed;
 }
 
-bool Membership::SurelyGone(const std::string& name,
-                            int64_t incarnation) const {
+bool Membership::IsConfirmedDead(const std::string& name,
+                                 int64_t incarnation) const {
   const Peer* peer = Find(name);
   if (peer != nullptr && peer->last.incarnation > incarnation) return true;
   const bool heard = peer != nullptr && Heard(*peer);
@@ -220,7 +221,7 @@
   return out;
 }
 
-Millis Membership::TakeLongestGap() {
+Millis Membership::TakeLongestPause() {
   return std::exchange(longest_gap_, Millis(0));
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -33,7 +33,7 @@
   wire::Heartbeat last;
   /// When the last heartbeat arrived, or when a later pause of this process
   /// ended.
-  TimePoint heard{};
+  TimePoint last_heard{};
   /// When heartbeats began to arrive: the first ever, or the first after a
   /// restart or the state kDead.
   TimePoint heard_since{};
@@ -85,11 +85,11 @@
   const Peer* Find(const std::string& name) const;
   /// Whether `name` is this entry or a peer that is neither dead nor merely
   /// listed, and is still the process with this incarnation.
-  bool Lives(const std::string& name, int64_t incarnation) const;
+  bool IsCurrentProcess(const std::string& name, int64_t incarnation) const;
   /// Whether the process is confirmed to have ended, relying on the platform: a
   /// newer process runs under the name, or the instance list no longer contains
   /// it and it sends no heartbeats.
-  bool SurelyGone(const std::string& name, int64_t incarnation) const;
+  bool IsConfirmedDead(const std::string& name, int64_t incarnation) const;
   /// Whether this entry exchanges heartbeats with less than half of the listed
   /// entries, itself counted in. It is then more likely partitioned than all
   /// the others dead. With exactly half, the side with the smallest name is not
@@ -105,7 +105,7 @@
 
   /// Returns and resets the longest gap between two ticks since the last call.
   /// A long gap shows that this process was paused.
-  Millis TakeLongestGap();
+  Millis TakeLongestPause();
 
  private:
   void Tick();
--- a/src/placement/policy.cc
+++ b/src/placement/policy.cc
@@ -15,7 +15,7 @@
   return std::find(list->begin(), list->end(), value) != list->end();
 }
 
-bool Fits(const Room& room, RowId id, const Ask& ask) {
+bool Fits(const Room& room, RowId id, const PlacementRequest& ask) {
   const Row& row = room.row(id);
   return row.usable && ask.size.FitsIn(row.free) && room.MayTryNow(id, ask.now);
 }
@@ -23,7 +23,8 @@
 /// Rates rows for a task; the row with the lowest score is the best.
 class Scorer {
  public:
-  Scorer(const Room& room, const Ask& ask) : room_(room), ask_(ask) {}
+  Scorer(const Room& room, const PlacementRequest& ask)
+      : room_(room), ask_(ask) {}
 
   double Score(RowId id) const { return ask_.spread ? Spread(id) : Pack(id); }
 
@@ -72,7 +73,7 @@
   }
 
   const Room& room_;
-  const Ask& ask_;
+  const PlacementRequest& ask_;
 };
 
 /// Scans the racks from a random start and stops once it has scored
@@ -84,7 +85,7 @@
   explicit ScoredPolicy(uint64_t seed) : random_(seed) {}
 
  protected:
-  RowId ChooseOne(const Room& room, const Ask& ask) override {
+  RowId ChooseOne(const Room& room, const PlacementRequest& ask) override {
     const auto& racks = room.racks();
     if (racks.empty()) return kNoRow;
     const Scorer scorer(room, ask);
@@ -115,7 +116,7 @@
 
 class FirstFitPolicy final : public Policy {
  protected:
-  RowId ChooseOne(const Room& room, const Ask& ask) override {
+  RowId ChooseOne(const Room& room, const PlacementRequest& ask) override {
     for (const Rack& rack : room.racks()) {
       if (!Allows(ask, rack)) continue;
       for (const RowId id : rack.rows) {
@@ -126,7 +127,7 @@
   }
 };
 
-std::vector<RowId> AllFitting(const Room& room, const Ask& ask) {
+std::vector<RowId> AllFitting(const Room& room, const PlacementRequest& ask) {
   std::vector<RowId> out;
   for (const Rack& rack : room.racks()) {
     if (!Allows(ask, rack)) continue;
@@ -142,7 +143,7 @@
   explicit RandomFitPolicy(uint64_t seed) : random_(seed) {}
 
  protected:
-  RowId ChooseOne(const Room& room, const Ask& ask) override {
+  RowId ChooseOne(const Room& room, const PlacementRequest& ask) override {
     const std::vector<RowId> fitting = AllFitting(room, ask);
     return fitting.empty() ? kNoRow : fitting[random_() % fitting.size()];
   }
@@ -156,7 +157,7 @@
   explicit BestOfTwoPolicy(uint64_t seed) : random_(seed) {}
 
  protected:
-  RowId ChooseOne(const Room& room, const Ask& ask) override {
+  RowId ChooseOne(const Room& room, const PlacementRequest& ask) override {
     const std::vector<RowId> fitting = AllFitting(room, ask);
     if (fitting.empty()) return kNoRow;
     const RowId a = fitting[random_() % fitting.size()];
@@ -170,7 +171,7 @@
 
 }  // namespace
 
-bool Allows(const Ask& ask, const Rack& rack) {
+bool Allows(const PlacementRequest& ask, const Rack& rack) {
   return Contains(ask.failure_domains, rack.failure_domain) &&
          Contains(ask.racks, rack.name);
 }
@@ -178,7 +179,7 @@
 /// Whether the request leaves the reserve for urgent work free. Work that is
 /// not urgent leaves a small share of cores and slots, so that an urgent
 /// request need not wait for a task to end.
-bool LeavesReserve(const Room& room, const Ask& ask) {
+bool LeavesReserve(const Room& room, const PlacementRequest& ask) {
   if (ask.urgent) return true;
   const Amount free = room.total_free();
   const Amount capacity = room.total_capacity();
@@ -193,7 +194,7 @@
   return true;
 }
 
-std::vector<RowId> Policy::Place(Room& room, const Ask& ask) {
+std::vector<RowId> Policy::Place(Room& room, const PlacementRequest& ask) {
   std::vector<RowId> out;
   if (!LeavesReserve(room, ask)) return out;
   for (int32_t i = 0; i < ask.tasks; ++i) {
@@ -222,7 +223,7 @@
   return std::make_unique<BestOfTwoPolicy>(seed);
 }
 
-std::string ExplainNoRoom(const Room& room, const Ask& ask) {
+std::string ExplainNoCapacity(const Room& room, const PlacementRequest& ask) {
   RowId nearest = kNoRow;
   size_t nearest_short = kDimensions + 1;
   int32_t allowed = 0;
--- a/src/placement/policy.h
+++ b/src/placement/policy.h
@@ -10,7 +10,7 @@
 namespace mimosarail::placement {
 
 /// A request to place `tasks` equal tasks, either all of them or none.
-struct Ask {
+struct PlacementRequest {
   Amount size;
   int32_t tasks = 1;
   bool spread = false;
@@ -24,7 +24,7 @@
 };
 
 /// Whether the rack meets the constraints on failure domains and racks.
-bool Allows(const Ask& ask, const Rack& rack);
+bool Allows(const PlacementRequest& ask, const Rack& rack);
 
 /// Chooses rows for tasks and reserves resources on them. Not thread-safe.
 class Policy {
@@ -32,11 +32,11 @@
   virtual ~Policy() = default;
   /// Reserves resources in `room` and returns one row per task. Returns an
   /// empty list and reserves nothing if not all tasks fit.
-  std::vector<RowId> Place(Room& room, const Ask& ask);
+  std::vector<RowId> Place(Room& room, const PlacementRequest& ask);
 
  protected:
   /// Returns the row for one more task, or kNoRow.
-  virtual RowId ChooseOne(const Room& room, const Ask& ask) = 0;
+  virtual RowId ChooseOne(const Room& room, const PlacementRequest& ask) = 0;
 };
 
 /// The policy used in production: approximate best fit over all dimensions.
@@ -51,6 +51,6 @@
 
 /// Explains why the request does not fit now, and names the upstream that comes
 /// closest.
-std::string ExplainNoRoom(const Room& room, const Ask& ask);
+std::string ExplainNoCapacity(const Room& room, const PlacementRequest& ask);
 
 }  // namespace mimosarail::placement
--- a/src/placement/starvation_guard.h
+++ b/src/placement/starvation_guard.h
@@ -39,7 +39,7 @@
   /// Call after the pass.
   void EndPass();
   /// Whether freed capacity is reserved for this item.
-  bool IsHeldFor(uint64_t id) const { return reserved_for_ == id; }
+  bool IsReservedFor(uint64_t id) const { return reserved_for_ == id; }
 
  private:
   StarvationGuardOptions options_;
--- a/src/ports/advice_port.h
+++ b/src/ports/advice_port.h
@@ -25,9 +25,9 @@
 class AdvicePort {
  public:
   virtual ~AdvicePort() = default;
-  virtual void Ask(const StepId& step,
-                   const std::vector<std::string>& upstreams, Millis timeout,
-                   Callback<Advice> done) = 0;
+  virtual void RequestAdvice(const StepId& step,
+                             const std::vector<std::string>& upstreams,
+                             Millis timeout, Callback<Advice> done) = 0;
 };
 
 }  // namespace mimosarail::ports
--- a/src/requests/gen/requests_types.cpp
+++ b/src/requests/gen/requests_types.cpp
@@ -2202,41 +2202,41 @@
 }
 
 
-TaskWord::~TaskWord() noexcept {
+TaskReport::~TaskReport() noexcept {
 }
 
 
-void TaskWord::__set_attempt(const int32_t val) {
+void TaskReport::__set_attempt(const int32_t val) {
   this->attempt = val;
 }
 
-void TaskWord::__set_index(const int32_t val) {
+void TaskReport::__set_index(const int32_t val) {
   this->index = val;
 }
 
-void TaskWord::__set_ended(const bool val) {
+void TaskReport::__set_ended(const bool val) {
   this->ended = val;
 }
 
-void TaskWord::__set_report(const ReportCall& val) {
+void TaskReport::__set_report(const ReportCall& val) {
   this->report = val;
 }
 
-void TaskWord::__set_upstream(const std::string& val) {
+void TaskReport::__set_upstream(const std::string& val) {
   this->upstream = val;
 }
 
-void TaskWord::__set_tasks(const int32_t val) {
+void TaskReport::__set_tasks(const int32_t val) {
   this->tasks = val;
 }
-std::ostream& operator<<(std::ostream& out, const TaskWord& obj)
+std::ostream& operator<<(std::ostream& out, const TaskReport& obj)
 {
   obj.printTo(out);
   return out;
 }
 
 
-uint32_t TaskWord::read(::apache::thrift::protocol::TProtocol* iprot) {
+uint32_t TaskReport::read(::apache::thrift::protocol::TProtocol* iprot) {
 
   ::apache::thrift::protocol::TInputRecursionTracker tracker(*iprot);
   uint32_t xfer = 0;
@@ -2317,10 +2317,10 @@
   return xfer;
 }
 
-uint32_t TaskWord::write(::apache::thrift::protocol::TProtocol* oprot) const {
+uint32_t TaskReport::write(::apache::thrift::protocol::TProtocol* oprot) const {
   uint32_t xfer = 0;
   ::apache::thrift::protocol::TOutputRecursionTracker tracker(*oprot);
-  xfer += oprot->writeStructBegin("TaskWord");
+  xfer += oprot->writeStructBegin("TaskReport");
 
   xfer += oprot->writeFieldBegin("attempt", ::apache::thrift::protocol::T_I32, 1);
   xfer += oprot->writeI32(this->attempt);
@@ -2351,7 +2351,7 @@
   return xfer;
 }
 
-void swap(TaskWord &a, TaskWord &b) {
+void swap(TaskReport &a, TaskReport &b) {
   using ::std::swap;
   swap(a.attempt, b.attempt);
   swap(a.index, b.index);
@@ -2362,7 +2362,7 @@
   swap(a.__isset, b.__isset);
 }
 
-TaskWord::TaskWord(const TaskWord& other55) {
+TaskReport::TaskReport(const TaskReport& other55) {
   attempt = other55.attempt;
   index = other55.index;
   ended = other55.ended;
@@ -2371,7 +2371,7 @@
   tasks = other55.tasks;
   __isset = other55.__isset;
 }
-TaskWord::TaskWord(TaskWord&& other56) noexcept {
+TaskReport::TaskReport(TaskReport&& other56) noexcept {
   attempt = other56.attempt;
   index = other56.index;
   ended = other56.ended;
@@ -2380,7 +2380,7 @@
   tasks = other56.tasks;
   __isset = other56.__isset;
 }
-TaskWord& TaskWord::operator=(const TaskWord& other57) {
+TaskReport& TaskReport::operator=(const TaskReport& other57) {
   attempt = other57.attempt;
   index = other57.index;
   ended = other57.ended;
@@ -2390,7 +2390,7 @@
   __isset = other57.__isset;
   return *this;
 }
-TaskWord& TaskWord::operator=(TaskWord&& other58) noexcept {
+TaskReport& TaskReport::operator=(TaskReport&& other58) noexcept {
   attempt = other58.attempt;
   index = other58.index;
   ended = other58.ended;
@@ -2400,9 +2400,9 @@
   __isset = other58.__isset;
   return *this;
 }
-void TaskWord::printTo(std::ostream& out) const {
+void TaskReport::printTo(std::ostream& out) const {
   using ::apache::thrift::to_string;
-  out << "TaskWord(";
+  out << "TaskReport(";
   out << "attempt=" << to_string(attempt);
   out << ", " << "index=" << to_string(index);
   out << ", " << "ended=" << to_string(ended);
@@ -2574,7 +2574,7 @@
   this->outcome = val;
 }
 
-void FindReply::__set_tasks(const std::vector<TaskWord> & val) {
+void FindReply::__set_tasks(const std::vector<TaskReport> & val) {
   this->tasks = val;
 }
 
@@ -2719,7 +2719,7 @@
   xfer += oprot->writeFieldBegin("tasks", ::apache::thrift::protocol::T_LIST, 4);
   {
     xfer += oprot->writeListBegin(::apache::thrift::protocol::T_STRUCT, static_cast<uint32_t>(this->tasks.size()));
-    std::vector<TaskWord> ::const_iterator _iter74;
+    std::vector<TaskReport> ::const_iterator _iter74;
     for (_iter74 = this->tasks.begin(); _iter74 != this->tasks.end(); ++_iter74)
     {
       xfer += (*_iter74).write(oprot);
--- a/src/requests/gen/requests_types.h
+++ b/src/requests/gen/requests_types.h
@@ -159,7 +159,7 @@
 
 class ReportReply;
 
-class TaskWord;
+class TaskReport;
 
 class FindCall;
 
@@ -921,32 +921,32 @@
 
 std::ostream& operator<<(std::ostream& out, const ReportReply& obj);
 
-typedef struct _TaskWord__isset {
-  _TaskWord__isset() : attempt(false), index(false), ended(false), report(false), upstream(false), tasks(false) {}
+typedef struct _TaskReport__isset {
+  _TaskReport__isset() : attempt(false), index(false), ended(false), report(false), upstream(false), tasks(false) {}
   bool attempt :1;
   bool index :1;
   bool ended :1;
   bool report :1;
   bool upstream :1;
   bool tasks :1;
-} _TaskWord__isset;
+} _TaskReport__isset;
 
-class TaskWord : public virtual ::apache::thrift::TBase {
+class TaskReport : public virtual ::apache::thrift::TBase {
  public:
 
-  TaskWord(const TaskWord&);
-  TaskWord(TaskWord&&) noexcept;
-  TaskWord& operator=(const TaskWord&);
-  TaskWord& operator=(TaskWord&&) noexcept;
-  TaskWord() noexcept
-           : attempt(0),
-             index(0),
-             ended(0),
-             upstream(),
-             tasks(0) {
+  TaskReport(const TaskReport&);
+  TaskReport(TaskReport&&) noexcept;
+  TaskReport& operator=(const TaskReport&);
+  TaskReport& operator=(TaskReport&&) noexcept;
+  TaskReport() noexcept
+             : attempt(0),
+               index(0),
+               ended(0),
+               upstream(),
+               tasks(0) {
   }
 
-  virtual ~TaskWord() noexcept;
+  virtual ~TaskReport() noexcept;
   int32_t attempt;
   int32_t index;
   bool ended;
@@ -954,7 +954,7 @@
   std::string upstream;
   int32_t tasks;
 
-  _TaskWord__isset __isset;
+  _TaskReport__isset __isset;
 
   void __set_attempt(const int32_t val);
 
@@ -968,7 +968,7 @@
 
   void __set_tasks(const int32_t val);
 
-  bool operator == (const TaskWord & rhs) const
+  bool operator == (const TaskReport & rhs) const
   {
     if (!(attempt == rhs.attempt))
       return false;
@@ -984,11 +984,11 @@
       return false;
     return true;
   }
-  bool operator != (const TaskWord &rhs) const {
+  bool operator != (const TaskReport &rhs) const {
     return !(*this == rhs);
   }
 
-  bool operator < (const TaskWord & ) const;
+  bool operator < (const TaskReport & ) const;
 
   uint32_t read(::apache::thrift::protocol::TProtocol* iprot) override;
   uint32_t write(::apache::thrift::protocol::TProtocol* oprot) const override;
@@ -996,9 +996,9 @@
   virtual void printTo(std::ostream& out) const;
 };
 
-void swap(TaskWord &a, TaskWord &b);
+void swap(TaskReport &a, TaskReport &b);
 
-std::ostream& operator<<(std::ostream& out, const TaskWord& obj);
+std::ostream& operator<<(std::ostream& out, const TaskReport& obj);
 
 typedef struct _FindCall__isset {
   _FindCall__isset() : request_id(false), fence_below(false), wait_ms(false) {}
@@ -1094,7 +1094,7 @@
   OwnerState::type owner;
   std::string why;
   Outcome outcome;
-  std::vector<TaskWord>  tasks;
+  std::vector<TaskReport>  tasks;
   /**
    * Upstreams whose inventory this entry has read under its current terms.
    */
@@ -1109,7 +1109,7 @@
 
   void __set_outcome(const Outcome& val);
 
-  void __set_tasks(const std::vector<TaskWord> & val);
+  void __set_tasks(const std::vector<TaskReport> & val);
 
   void __set_attached(const std::vector<std::string> & val);
 
--- a/src/requests/peer_capacity.cc
+++ b/src/requests/peer_capacity.cc
@@ -15,8 +15,8 @@
   return sent;
 }
 
-bool PeerCapacity::MeetsConstraints(const std::string& peer,
-                                    const placement::Ask& ask) const {
+bool PeerCapacity::MeetsConstraints(
+    const std::string& peer, const placement::PlacementRequest& ask) const {
   const bool free_choice =
       (ask.failure_domains == nullptr || ask.failure_domains->empty()) &&
       (ask.racks == nullptr || ask.racks->empty());
@@ -32,7 +32,8 @@
                      });
 }
 
-const membership::Peer* PeerCapacity::Choose(const placement::Ask& ask) {
+const membership::Peer* PeerCapacity::Choose(
+    const placement::PlacementRequest& ask) {
   const membership::Peer* best = nullptr;
   int32_t best_free = 0;
   for (const membership::Peer* peer : members_.Controllers()) {
@@ -60,12 +61,12 @@
 }
 
 void PeerCapacity::NoteSent(const std::string& peer,
-                            const placement::Ask& ask) {
+                            const placement::PlacementRequest& ask) {
   for (int32_t i = 0; i < ask.tasks; ++i) sent_[peer].amount += ask.size;
 }
 
 void PeerCapacity::NoteRefused(const std::string& peer,
-                               const placement::Ask& ask) {
+                               const placement::PlacementRequest& ask) {
   Amount wanted;
   for (int32_t i = 0; i < ask.tasks; ++i) wanted += ask.size;
   sent_[peer].refused.push_back(wanted);
--- a/src/requests/peer_capacity.h
+++ b/src/requests/peer_capacity.h
@@ -22,11 +22,13 @@
 
   /// Returns the peer with the most free cores that is expected to accept the
   /// request, or null.
-  const membership::Peer* Choose(const placement::Ask& ask);
-  void NoteSent(const std::string& peer, const placement::Ask& ask);
+  const membership::Peer* Choose(const placement::PlacementRequest& ask);
+  void NoteSent(const std::string& peer,
+                const placement::PlacementRequest& ask);
   /// The peer had no free capacity. Requests of this size or larger are not
   /// sent to it before its next heartbeat.
-  void NoteRefused(const std::string& peer, const placement::Ask& ask);
+  void NoteRefused(const std::string& peer,
+                   const placement::PlacementRequest& ask);
 
  private:
   struct Sent {
@@ -36,7 +38,7 @@
   };
   Sent& SentTo(const membership::Peer& peer);
   bool MeetsConstraints(const std::string& peer,
-                        const placement::Ask& ask) const;
+                        const placement::PlacementRequest& ask) const;
 
   const membership::Membership& members_;
   const control::Controller& controller_;
--- a/src/requests/record.h
+++ b/src/requests/record.h
@@ -37,7 +37,7 @@
   TaskPhase phase = TaskPhase::kNone;
   std::string holder;
   int64_t holder_incarnation = 0;
-  bool lapse_assumed = false;
+  bool lease_expiry_assumed = false;
   /// The upstream has confirmed the start, according to the controller.
   bool began = false;
   /// Answers of this round and of earlier rounds predate the current state of
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -20,8 +20,8 @@
 #include "src/requests/peer_capacity.h"
 #include "src/requests/peer_port.h"
 #include "src/requests/record.h"
+#include "src/requests/resolution.h"
 #include "src/requests/retry_budget.h"
-#include "src/requests/settlement.h"
 #include "src/rules/rule_set.h"
 
 namespace mimosarail::requests {
@@ -46,10 +46,10 @@
   int64_t now_unix_ms = 0;
 };
 
-/// Answer to a submission: either accepted (`taken`), with the outcome to be
+/// Answer to a submission: either `accepted`, with the outcome to be
 /// queried under `id`, or the outcome itself.
 struct Submitted {
-  bool taken = false;
+  bool accepted = false;
   std::string id;
   wire::Outcome outcome;
 };
@@ -160,9 +160,10 @@
   placement::Visit TryPlace(Record& record, bool use_reserve);
   bool PlaceHere(Record& record, const wire::PlaceCall& call);
   bool PlaceAtPeer(Record& record, const wire::PlaceCall& call,
-                   const placement::Ask& ask);
+                   const placement::PlacementRequest& ask);
   void OnPlaceReply(const std::string& id, int32_t attempt,
-                    const std::string& peer, const placement::Ask& ask,
+                    const std::string& peer,
+                    const placement::PlacementRequest& ask,
                     const Result<wire::PlaceReply>& reply);
   wire::PlaceCall MakeCall(const Record& record, bool use_reserve) const;
   void MarkRunning(Record& record, const std::string& holder,
@@ -187,7 +188,7 @@
                        const std::map<std::string, wire::FindReply>& answers);
   void EvaluateReclaim(Record& record, int32_t fence_below,
                        const std::map<std::string, wire::FindReply>& answers);
-  SettlementInput MakeSettlementInput(
+  ResolutionInput MakeResolutionInput(
       const Record& record,
       const std::map<std::string, wire::FindReply>& answers, bool fenced) const;
   std::set<std::string> LiveEntries() const;
--- a/src/requests/requests.thrift
+++ b/src/requests/requests.thrift
@@ -114,7 +114,7 @@
 struct ReportReply { 1: bool taken }
 
 enum OwnerState { kAbsent = 0, kWaiting = 1, kRunning = 2, kEnded = 3 }
-struct TaskWord { 1: i32 attempt 2: i32 index 3: bool ended 4: ReportCall report 5: string upstream 6: i32 tasks }
+struct TaskReport { 1: i32 attempt 2: i32 index 3: bool ended 4: ReportCall report 5: string upstream 6: i32 tasks }
 /** Asks an entry what it knows about a request. A positive fence_below also
  *  makes the entry refuse all attempts with a lower number from then on. */
 struct FindCall { 1: string request_id 2: i32 fence_below 3: i64 wait_ms }
@@ -122,7 +122,7 @@
   1: OwnerState owner
   2: string why
   3: Outcome outcome
-  4: list<TaskWord> tasks
+  4: list<TaskReport> tasks
   /** Upstreams whose inventory this entry has read under its current terms. */
   5: list<string> attached
   6: i32 fence_below
--- a/src/requests/requests_admission.cc
+++ b/src/requests/requests_admission.cc
@@ -83,13 +83,13 @@
   }
   wire::AttemptContext context;
   context.spec = spec;
-  const placement::Ask ask =
-      execution::MakeAsk(context, spec.tasks, c_.executor.Now());
+  const placement::PlacementRequest ask =
+      execution::MakePlacementRequest(context, spec.tasks, c_.executor.Now());
   const auto policy = placement::MakeFirstFitPolicy();
   if (!policy->Place(whole, ask).empty()) return "";
   return "the request does not fit on the listed upstreams, even if they were "
          "empty: " +
-         placement::ExplainNoRoom(whole, ask);
+         placement::ExplainNoCapacity(whole, ask);
 }
 
 std::optional<Submitted> Requests::CheckAdmission(
@@ -152,7 +152,7 @@
   const bool resubmitted = known != nullptr && known->phase == Phase::kEnded &&
                            known->outcome.verdict == wire::Verdict::kNotRun;
   if (known != nullptr && !resubmitted) {
-    return done({.taken = true, .id = spec.id});
+    return done({.accepted = true, .id = spec.id});
   }
   const auto rules = c_.rules();
   if (!rules) {
@@ -171,9 +171,9 @@
   }
   const int32_t minute =
       static_cast<int32_t>(c_.executor.UnixMillis() / 60000 % kMinutesPerDay);
-  const rules::Facts facts{.spec = &spec,
-                           .waiting = static_cast<int64_t>(queue_.size()),
-                           .minute_of_day = minute};
+  const rules::RuleInput facts{.spec = &spec,
+                               .waiting = static_cast<int64_t>(queue_.size()),
+                               .minute_of_day = minute};
   wire::Treatment treatment = rules->Decide(facts).then;
   treatment.revision = c_.revision();
   if (auto refused = CheckAdmission(spec, treatment, *rules)) {
@@ -200,11 +200,11 @@
     SetExpiry(record, record.submitted + Millis(treatment.wait_limit_ms));
     record.phase = Phase::kClaiming;
     record.why = "the claim of its key in the log is pending";
-    done({.taken = true, .id = id});
+    done({.accepted = true, .id = id});
     return Claim(id);
   }
   Enqueue(record);
-  done({.taken = true, .id = id});
+  done({.accepted = true, .id = id});
 }
 
 }  // namespace mimosarail::requests
--- a/src/requests/requests_attempts.cc
+++ b/src/requests/requests_attempts.cc
@@ -39,7 +39,7 @@
     // now.
     MarkUnresolved(record, task);
     task.began |= report.began;
-    task.lapse_assumed |= report.result == wire::TaskEnd::kLapseAssumed;
+    task.lease_expiry_assumed |= report.result == wire::TaskEnd::kLapseAssumed;
     return StartResolving(record);
   }
   task.phase = TaskPhase::kEnded;
--- a/src/requests/requests_keys.cc
+++ b/src/requests/requests_keys.cc
@@ -48,7 +48,7 @@
 void Requests::FollowOwner(const std::string& id, const wire::Intent& winner) {
   Record* record = FindMutable(id);
   if (record == nullptr) return;
-  if (!c_.members.Lives(winner.owner, winner.owner_incarnation)) {
+  if (!c_.members.IsCurrentProcess(winner.owner, winner.owner_incarnation)) {
     return Reclaim(*record, winner);
   }
   record->foreign = true;
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -65,7 +65,8 @@
           "capacity is reserved for a large request that has waited long";
       return placement::Visit::kSkipped;
     }
-    const placement::Visit visit = TryPlace(*record, guard_.IsHeldFor(item.id));
+    const placement::Visit visit =
+        TryPlace(*record, guard_.IsReservedFor(item.id));
     if (visit == placement::Visit::kBlocked) guard_.NoteBlocked(item);
     if (visit == placement::Visit::kPlaced) CountWaiting(*record, false);
     return visit;
@@ -99,8 +100,8 @@
     return placement::Visit::kSkipped;
   }
   const wire::PlaceCall call = MakeCall(record, use_reserve);
-  const placement::Ask ask =
-      execution::MakeAsk(call.context, record.spec.tasks, c_.executor.Now());
+  const placement::PlacementRequest ask = execution::MakePlacementRequest(
+      call.context, record.spec.tasks, c_.executor.Now());
   if (PlaceHere(record, call)) return placement::Visit::kPlaced;
   if (PlaceAtPeer(record, call, ask)) return placement::Visit::kPlaced;
   if (record.treatment.preempt) c_.execution.Preempt(call);
@@ -126,7 +127,7 @@
 }
 
 bool Requests::PlaceAtPeer(Record& record, const wire::PlaceCall& call,
-                           const placement::Ask& ask) {
+                           const placement::PlacementRequest& ask) {
   const membership::Peer* peer = peer_capacity_.Choose(ask);
   if (peer == nullptr) return false;
   wire::PlaceCall sent = call;
@@ -169,7 +170,8 @@
 }
 
 void Requests::OnPlaceReply(const std::string& id, int32_t attempt,
-                            const std::string& peer, const placement::Ask& ask,
+                            const std::string& peer,
+                            const placement::PlacementRequest& ask,
                             const Result<wire::PlaceReply>& reply) {
   Record* record = FindMutable(id);
   if (record == nullptr || record->attempt != attempt ||
@@ -191,7 +193,7 @@
                "outcome");
   }
   peer_capacity_.NoteRefused(
-      peer, placement::Ask{.size = ask.size, .tasks = ask.tasks});
+      peer, placement::PlacementRequest{.size = ask.size, .tasks = ask.tasks});
   CountRunning(*record, false);
   if (record->cancelled) {
     return End(*record, wire::Verdict::kCancelled,
--- a/src/requests/requests_resolving.cc
+++ b/src/requests/requests_resolving.cc
@@ -86,10 +86,10 @@
   });
 }
 
-SettlementInput Requests::MakeSettlementInput(
+ResolutionInput Requests::MakeResolutionInput(
     const Record& record, const std::map<std::string, wire::FindReply>& answers,
     bool fenced) const {
-  SettlementInput input;
+  ResolutionInput input;
   input.attempt = record.attempt;
   input.answers = &answers;
   for (const auto& [name, listed] : c_.controller.listed()) {
@@ -100,7 +100,7 @@
   const TimePoint since = record.phase == Phase::kReclaiming
                               ? c_.executor.Now() - options_.outcome_window
                               : record.placed;
-  input.upstream_vanished = vanished >= since;
+  input.upstream_removed = vanished >= since;
   input.removed_upstream_leases_expired =
       c_.executor.Now() - vanished > options_.lease + options_.max_delay;
   return input;
@@ -130,8 +130,8 @@
     if (record != nullptr && record->resolving) next();
     return;
   }
-  SettlementInput input =
-      MakeSettlementInput(*record, answers, fence_below > record->attempt);
+  ResolutionInput input =
+      MakeResolutionInput(*record, answers, fence_below > record->attempt);
   const bool lease_over =
       record->fenced_everywhere &&
       now - record->fenced_since > options_.lease + options_.max_delay;
@@ -141,32 +141,32 @@
     if (task.phase != TaskPhase::kResolving) continue;
     if (task.stale_round >= record->resolve_round) continue;
     input.index = static_cast<int32_t>(i);
-    input.lapse_proved = lease_over && task.lapse_assumed;
+    input.lease_expiry_proved = lease_over && task.lease_expiry_assumed;
     input.began = task.began;
-    const Settlement result = Settle(input);
+    const Resolution result = ResolveTask(input);
     wire::ReportCall report = result.report;
     report.request_id = id;
     report.attempt = attempt;
     report.index = input.index;
     switch (result.result) {
-      case SettlementResult::kWait:
+      case ResolutionResult::kWait:
         continue;
-      case SettlementResult::kHeld: {
+      case ResolutionResult::kRunning: {
         task.phase = TaskPhase::kHeld;
         task.holder = result.holder;
-        task.lapse_assumed = false;
+        task.lease_expiry_assumed = false;
         const membership::Peer* peer = c_.members.Find(result.holder);
         task.holder_incarnation =
             peer != nullptr ? peer->last.incarnation : options_.incarnation;
         continue;
       }
-      case SettlementResult::kEnded:
+      case ResolutionResult::kEnded:
         break;
-      case SettlementResult::kNotStarted:
+      case ResolutionResult::kNotStarted:
         report.result = wire::TaskEnd::kNotStarted;
         report.reason = "no entry or upstream has it";
         break;
-      case SettlementResult::kGone:
+      case ResolutionResult::kNotRunning:
         report.result = wire::TaskEnd::kLost;
         report.reason = "its upstream was lost";
         break;
@@ -212,19 +212,19 @@
     return End(record, wire::Verdict::kUnknown,
                "its former owner started it and is dead");
   }
-  SettlementInput input = MakeSettlementInput(record, answers, fence_below > 0);
+  ResolutionInput input = MakeResolutionInput(record, answers, fence_below > 0);
   input.attempt = -1;
-  const Settlement result = Settle(input);
+  const Resolution result = ResolveTask(input);
   // Absence proves that the request is not running. It does not prove that it
   // never ran: the former owner may have received the answer and had the
   // result released. An owner that is only partitioned from this entry
   // continues: after this round it may attach upstreams again and start its
   // next attempt in parallel with the attempt of this entry.
-  const bool owner_dead =
-      c_.members.SurelyGone(record.former_owner, record.former_incarnation);
+  const bool owner_dead = c_.members.IsConfirmedDead(record.former_owner,
+                                                     record.former_incarnation);
   const bool resolved =
-      owner_dead && (result.result == SettlementResult::kNotStarted ||
-                     result.result == SettlementResult::kGone);
+      owner_dead && (result.result == ResolutionResult::kNotStarted ||
+                     result.result == ResolutionResult::kNotRunning);
   if (resolved && record.spec.repeatable) {
     record.resolving = false;
     record.ran = true;  // the former owner may have run it
--- a/src/requests/settlement.cc
+++ b/src/requests/resolution.cc
@@ -1,13 +1,13 @@
-#include "src/requests/settlement.h"
+#include "src/requests/resolution.h"
 
 #include <algorithm>
 
 namespace mimosarail::requests {
 namespace {
 
-const wire::TaskWord* FindTask(const wire::FindReply& reply,
-                               const SettlementInput& input) {
-  for (const wire::TaskWord& task : reply.tasks) {
+const wire::TaskReport* FindTask(const wire::FindReply& reply,
+                                 const ResolutionInput& input) {
+  for (const wire::TaskReport& task : reply.tasks) {
     if (task.attempt == input.attempt && task.index == input.index) {
       return &task;
     }
@@ -16,7 +16,7 @@
 }
 
 /// Whether the result only says that another entry may know more.
-bool IsInconclusive(const wire::TaskWord& task) {
+bool IsInconclusive(const wire::TaskReport& task) {
   return task.ended && (task.report.result == wire::TaskEnd::kMoved ||
                         task.report.result == wire::TaskEnd::kLapseAssumed);
 }
@@ -24,7 +24,7 @@
 /// Whether each listed upstream is attached to an entry that answered. That
 /// entry has read the inventory under a term that fences all starts of older
 /// terms.
-bool UpstreamsCovered(const SettlementInput& input) {
+bool UpstreamsCovered(const ResolutionInput& input) {
   std::set<std::string> attached;
   for (const auto& [entry, reply] : *input.answers) {
     attached.insert(reply.attached.begin(), reply.attached.end());
@@ -36,25 +36,25 @@
 
 }  // namespace
 
-Settlement Settle(const SettlementInput& input) {
-  Settlement out;
+Resolution ResolveTask(const ResolutionInput& input) {
+  Resolution out;
   bool began = input.began;
   for (const auto& [entry, reply] : *input.answers) {
-    const wire::TaskWord* task = FindTask(reply, input);
+    const wire::TaskReport* task = FindTask(reply, input);
     if (task == nullptr) continue;
     if (IsInconclusive(*task)) {
       began |= task->report.began;
       continue;
     }
     if (task->ended) {
-      out.result = SettlementResult::kEnded;
+      out.result = ResolutionResult::kEnded;
       out.report = task->report;
       return out;
     }
-    out.result = SettlementResult::kHeld;
+    out.result = ResolutionResult::kRunning;
     out.holder = entry;
   }
-  if (out.result == SettlementResult::kHeld) return out;
+  if (out.result == ResolutionResult::kRunning) return out;
   // Without the fence, an entry that has just answered that it does not have
   // the task could still receive a delayed call and start it.
   if (!input.fenced) return out;
@@ -63,12 +63,12 @@
     // them, so a task that is absent everywhere never started. The exceptions
     // are an upstream that was removed together with its inventory and one
     // that lost it in a crash.
-    out.result = input.upstream_vanished || began
-                     ? SettlementResult::kGone
-                     : SettlementResult::kNotStarted;
+    out.result = input.upstream_removed || began
+                     ? ResolutionResult::kNotRunning
+                     : ResolutionResult::kNotStarted;
     return out;
   }
-  if (input.lapse_proved) out.result = SettlementResult::kGone;
+  if (input.lease_expiry_proved) out.result = ResolutionResult::kNotRunning;
   return out;
 }
 
--- a/src/requests/settlement.h
+++ b/src/requests/resolution.h
@@ -11,7 +11,7 @@
 namespace mimosarail::requests {
 
 /// The answers of all reachable entries about one task of an attempt.
-struct SettlementInput {
+struct ResolutionInput {
   int32_t attempt = 0;
   int32_t index = 0;
   /// Answers of this round by entry name, including this entry's own.
@@ -22,33 +22,33 @@
   bool fenced = false;
   /// An upstream was removed from the instance list after the attempt was
   /// placed.
-  bool upstream_vanished = false;
+  bool upstream_removed = false;
   /// The latest removal of an upstream from the list lies further back than
   /// any lease lasts.
   bool removed_upstream_leases_expired = true;
   /// The controller assumed that the lease had expired, and more than one
   /// lease plus the maximum delay has passed since every entry was fenced.
-  bool lapse_proved = false;
+  bool lease_expiry_proved = false;
   /// The upstream had confirmed the start of the task.
   bool began = false;
 };
 
-enum class SettlementResult {
+enum class ResolutionResult {
   kWait,        ///< Too little is known; ask again.
-  kHeld,        ///< An entry controls the running task.
+  kRunning,     ///< An entry controls the running task.
   kEnded,       ///< The result of the task is known.
   kNotStarted,  ///< Certain: it never started and cannot start.
-  kGone,        ///< Certain: it is not running; it may have run.
+  kNotRunning,  ///< Certain: it is not running; it may have run.
 };
 
-struct Settlement {
-  SettlementResult result = SettlementResult::kWait;
+struct Resolution {
+  ResolutionResult result = ResolutionResult::kWait;
   std::string holder;
   wire::ReportCall report;
 };
 
 /// Resolves the outcome of a task whose controller is unresponsive.
 /// Pure function; safe to call from any thread.
-Settlement Settle(const SettlementInput& input);
+Resolution ResolveTask(const ResolutionInput& input);
 
 }  // namespace mimosarail::requests
--- a/src/requests/task_summary.cc
+++ b/src/requests/task_summary.cc
@@ -30,7 +30,7 @@
     const std::map<std::string, wire::FindReply>& answers) {
   TaskSummary out;
   for (const auto& [entry, reply] : answers) {
-    for (const wire::TaskWord& task : reply.tasks) {
+    for (const wire::TaskReport& task : reply.tasks) {
       out.any = true;
       out.tasks = std::max(task.tasks, 1);
       if (!task.ended) {
--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -185,11 +185,11 @@
     const std::string path = "rules[" + std::to_string(later) + "]";
     for (size_t earlier = 0; earlier < later; ++earlier) {
       if (rules[earlier].name == rules[later].name) {
-        findings.Add(text.PlaceOf(path),
+        findings.Add(text.PositionOf(path),
                      "duplicate rule name \"" + rules[later].name + "\"");
       }
       if (Covers(rules[earlier].when, rules[later].when)) {
-        findings.Add(text.PlaceOf(path),
+        findings.Add(text.PositionOf(path),
                      "unreachable: \"" + rules[earlier].name +
                          "\" before it matches every such request");
         break;
@@ -197,7 +197,7 @@
     }
   }
   if (rules.empty() || !AlwaysHolds(rules.back().when)) {
-    findings.Add(text.PlaceOf("rules"),
+    findings.Add(text.PositionOf("rules"),
                  "the last rule must match every request (no when), so that a "
                  "rule applies to each request");
   }
@@ -301,7 +301,8 @@
   return out;
 }
 
-std::string RuleSet::Mismatch(const Condition& when, const Facts& facts) const {
+std::string RuleSet::Mismatch(const Condition& when,
+                              const RuleInput& facts) const {
   const wire::RequestSpec& spec = *facts.spec;
   if (!when.teams.empty() && !Contains(when.teams, spec.team)) return "team";
   if (!when.works.empty() && !Contains(when.works, spec.work)) return "work";
@@ -338,14 +339,14 @@
   return "";
 }
 
-const Rule& RuleSet::Decide(const Facts& facts) const {
+const Rule& RuleSet::Decide(const RuleInput& facts) const {
   for (const Rule& rule : rules_) {
     if (Mismatch(rule.when, facts).empty()) return rule;
   }
   return rules_.back();
 }
 
-Match RuleSet::Explain(const Facts& facts) const {
+Match RuleSet::Explain(const RuleInput& facts) const {
   Match match;
   for (const Rule& rule : rules_) {
     const std::string mismatch = Mismatch(rule.when, facts);
@@ -353,7 +354,7 @@
       match.rule = &rule;
       return match;
     }
-    match.passed_over.push_back({rule.name, mismatch + " does not hold"});
+    match.non_matching.push_back({rule.name, mismatch + " does not hold"});
   }
   match.rule = &rules_.back();
   return match;
--- a/src/rules/rule_set.h
+++ b/src/rules/rule_set.h
@@ -12,7 +12,7 @@
 namespace mimosarail::rules {
 
 /// The input of a rule's conditions.
-struct Facts {
+struct RuleInput {
   const wire::RequestSpec* spec = nullptr;  ///< Never null when matching.
   int64_t waiting = 0;                      ///< Requests waiting at the entry.
   int32_t minute_of_day = 0;                ///< UTC.
@@ -60,7 +60,7 @@
 /// The rule that decided and, for each rule before it, why it does not hold.
 struct Match {
   const Rule* rule = nullptr;
-  std::vector<Finding> passed_over;
+  std::vector<Finding> non_matching;
 };
 
 /// One checked configuration: limits, prices and the ordered rules.
@@ -73,9 +73,9 @@
                                       Findings& findings);
 
   /// The first rule that holds. Every set ends with a rule that always holds.
-  const Rule& Decide(const Facts& facts) const;
+  const Rule& Decide(const RuleInput& facts) const;
   /// Decide(), with the reason why each earlier rule does not hold.
-  Match Explain(const Facts& facts) const;
+  Match Explain(const RuleInput& facts) const;
 
   /// The limit of `team`, else the limit of the team "*"; null without either.
   const TeamLimit* LimitOf(const std::string& team) const;
@@ -88,7 +88,7 @@
 
  private:
   /// The first condition that does not hold; empty if all hold.
-  std::string Mismatch(const Condition& when, const Facts& facts) const;
+  std::string Mismatch(const Condition& when, const RuleInput& facts) const;
 
   std::vector<Rule> rules_;
   std::map<std::string, TeamLimit> teams_;
--- a/src/scheduling/asking.cc
+++ b/src/scheduling/asking.cc
@@ -96,7 +96,7 @@
       known += rate * whole;
     } else {
       const int32_t fit =
-          Fit(upstream, entry, id, pool_.FreeBy(upstream, soon));
+          Fit(upstream, entry, id, pool_.FreeAt(upstream, soon));
       unknown.emplace_back(-fit, -whole, upstream);
     }
   }
--- a/src/scheduling/crashes.cc
+++ b/src/scheduling/crashes.cc
@@ -39,10 +39,10 @@
 
 /// Whether the run is known to have begun, and was still in its early window
 /// when its upstream became unresponsive.
-bool InEarlyWindow(const Reservation& run, TimePoint silent_since) {
+bool InEarlyWindow(const Reservation& run, TimePoint unresponsive_since) {
   if (!run.began) return false;
   if (run.listed && *run.listed - *run.began >= kEarlyWindow) return false;
-  return silent_since - *run.began < kEarlyWindow;
+  return unresponsive_since - *run.began < kEarlyWindow;
 }
 
 }  // namespace
@@ -63,14 +63,14 @@
 void Scheduler::ReleaseLostRuns(UpstreamIndex upstream, UpstreamLoss why,
                                 TimePoint now, Orders& orders) {
   stops_.erase(upstream);
-  const Reservations lost = pool_.at(upstream).held;
+  const Reservations lost = pool_.at(upstream).reservations;
   for (const auto& [run, reservation] : lost) {
     const auto& [id, attempt] = run;
     pool_.Release(upstream, id, attempt);
     orders.lost.push_back({.upstream = upstream,
                            .task = id,
                            .attempt = attempt,
-                           .why = why,
+                           .reason = why,
                            .began_ago = Since(reservation.began, now),
                            .listed_ago = Since(reservation.listed, now)});
     Entry* entry = FindEntry(id.job);
@@ -89,8 +89,9 @@
 SuspectRuns Scheduler::RunsOf(UpstreamIndex upstream, TimePoint now) const {
   const Upstream& it = pool_.at(upstream);
   SuspectRuns out;
-  for (const auto& [run, reservation] : it.held) {
-    out.emplace(run, InEarlyWindow(reservation, it.silent_since.value_or(now)));
+  for (const auto& [run, reservation] : it.reservations) {
+    out.emplace(
+        run, InEarlyWindow(reservation, it.unresponsive_since.value_or(now)));
   }
   return out;
 }
@@ -121,7 +122,7 @@
 
 void Scheduler::FailPermanently(Entry& entry, const TaskId& id, TimePoint now,
                                 Orders& orders) {
-  orders.given_up.push_back(
+  orders.permanently_failed.push_back(
       {.task = id, .crashes = entry.job.task(id).crashes});
   Finish(entry, JobState::kFailed, now);
   StopAll(entry, StopReason::kJobFailed, now, orders);
@@ -131,9 +132,9 @@
                                const ports::RunningTask& running) {
   CrashCounts& crashes = entry.job.task(running.task).crashes;
   if (crashes.total() == 0) return;
-  const Reservations& held = pool_.at(upstream).held;
-  const auto run = held.find({running.task, running.attempt});
-  if (run == held.end() || !run->second.began) return;
+  const Reservations& reservations = pool_.at(upstream).reservations;
+  const auto run = reservations.find({running.task, running.attempt});
+  if (run == reservations.end() || !run->second.began) return;
   const auto worked = *run->second.listed - *run->second.began;
   if (worked >= kHarmlessRunTime) {
     crashes = {};
@@ -175,7 +176,7 @@
     const std::tuple rank(
         !pool_.HasNoRecentStarts(candidate.upstream, entry.job.id(),
                                  kEarlyWindow, now),
-        now - it.known_since < kEstablishedAge, it.held.size());
+        now - it.known_since < kEstablishedAge, it.reservations.size());
     if (best != nullptr && best_rank <= rank) continue;
     best = &candidate;
     best_rank = rank;
--- a/src/scheduling/evicting.cc
+++ b/src/scheduling/evicting.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 Scheduler::EvictionMode Scheduler::EvictionModeOf(const wire::StepSpec& step) {
-  if (step.lasting) {
+  if (step.long_running) {
     return step.max_unavailable > 0 ? EvictionMode::kBudgeted
                                     : EvictionMode::kLongRunning;
   }
@@ -32,7 +32,7 @@
 
 UpstreamWork Scheduler::WorkOn(UpstreamIndex upstream, TimePoint now) const {
   UpstreamWork out;
-  for (const auto& [run, reservation] : pool_.at(upstream).held) {
+  for (const auto& [run, reservation] : pool_.at(upstream).reservations) {
     ++out.tasks;
     out.millicores += reservation.amount[Dimension::kCores];
     const auto found = jobs_.find(run.first.job);
@@ -44,7 +44,7 @@
     const bool stays = mode == EvictionMode::kRunToCompletion;
     const Millis left =
         stays ? TimeLeft(reservation.expected_end, now) : Millis(0);
-    out.drained_in = std::max(out.drained_in, left);
+    out.drain_time = std::max(out.drain_time, left);
   }
   return out;
 }
@@ -52,8 +52,8 @@
 void Scheduler::EvictTasks(UpstreamIndex upstream, bool all, TimePoint now,
                            Orders& orders) {
   // A copy, because stopping a gang may change the reservations.
-  const auto held = pool_.at(upstream).held;
-  for (const auto& [run, reservation] : held) {
+  const auto reservations = pool_.at(upstream).reservations;
+  for (const auto& [run, reservation] : reservations) {
     Entry* entry = FindEntry(run.first.job);
     if (entry == nullptr || !entry->job.Has(run.first)) continue;
     const Task& task = entry->job.task(run.first);
@@ -69,7 +69,7 @@
                           TimePoint now, Orders& orders) {
   const wire::StepSpec& step = entry.job.step(id.step);
   const EvictionMode mode = EvictionModeOf(step);
-  if (!step.lasting) {
+  if (!step.long_running) {
     const Millis least =
         step.gang ? kMinGangTimeLeftToMove : kMinTimeLeftToMove;
     const bool worth_moving = mode == EvictionMode::kFromCheckpoint &&
--- a/src/scheduling/gang_plan.cc
+++ b/src/scheduling/gang_plan.cc
@@ -28,8 +28,8 @@
   take(now);
   if (static_cast<int32_t>(out.times.size()) == most) return out;
   std::vector<std::pair<TimePoint, const Amount*>> ends;
-  ends.reserve(it.held.size());
-  for (const auto& [run, reservation] : it.held) {
+  ends.reserve(it.reservations.size());
+  for (const auto& [run, reservation] : it.reservations) {
     if (reservation.expected_end == TimePoint::max()) continue;
     ends.emplace_back(std::max(reservation.expected_end, now + kOverdueGrace),
                       &reservation.amount);
--- a/src/scheduling/orders.h
+++ b/src/scheduling/orders.h
@@ -58,7 +58,7 @@
   StopReason reason = StopReason::kOrphaned;
   /// The upstream lists the run, and no stop of it was ordered before; set once
   /// per run.
-  bool unasked = false;
+  bool orphaned = false;
   /// How long the job has been final, if its end was seen by this leader.
   std::optional<Millis> since_end{};
 };
@@ -106,7 +106,7 @@
   UpstreamIndex upstream = kNoUpstream;
   TaskId task;
   int64_t attempt = 0;
-  UpstreamLoss why = UpstreamLoss::kLeasesExpired;
+  UpstreamLoss reason = UpstreamLoss::kLeasesExpired;
   /// Time since its start was confirmed or a report first listed it; unset if
   /// neither happened.
   std::optional<Millis> began_ago{};
@@ -115,7 +115,7 @@
 };
 
 /// A task that failed permanently because upstreams crash when they run it.
-struct GivenUpTask {
+struct PermanentlyFailedTask {
   TaskId task;
   CrashCounts crashes;
 };
@@ -127,7 +127,7 @@
   std::vector<AdviceOrder> advice;
   /// These require no action and are reported for logging only.
   std::vector<LostRun> lost;
-  std::vector<GivenUpTask> given_up;
+  std::vector<PermanentlyFailedTask> permanently_failed;
 };
 
 /// How many calls for advice may be made now. Calls for urgent work may also
--- a/src/scheduling/running.cc
+++ b/src/scheduling/running.cc
@@ -119,7 +119,7 @@
                  .task = running.task,
                  .attempt = running.attempt,
                  .reason = note.reason,
-                 .unasked = !note.ordered};
+                 .orphaned = !note.ordered};
   if (entry != nullptr && entry->ended) {
     stop.since_end = std::chrono::duration_cast<Millis>(now - *entry->ended);
   }
@@ -159,7 +159,7 @@
     task.progressed_at = now;
     return;
   }
-  if (step.lasting || step.filler) return;
+  if (step.long_running || step.filler) return;
   // The members of a gang end together: a member that has finished its own part
   // stays at 100 % until the slowest one has. Treating it as stalled would
   // repeatedly break gangs that are seconds from their end.
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -36,7 +36,7 @@
 }
 
 TimePoint ExpectedEnd(const wire::StepSpec& step, TimePoint now) {
-  if (step.lasting) return TimePoint::max();
+  if (step.long_running) return TimePoint::max();
   const Millis estimate(step.estimate_ms);
   return now + (estimate > Millis(0) ? estimate : kDefaultEstimate);
 }
@@ -104,7 +104,7 @@
   }
 }
 
-bool Scheduler::Forgettable(JobId id) const {
+bool Scheduler::CanForget(JobId id) const {
   const Job* job = Find(id);
   return job != nullptr && job->final() && job->active() == 0;
 }
@@ -282,7 +282,7 @@
   job.task(id).failed_at = upstream;
   entry.unit(id.occurrence, id.step).exclusion.until = {};
   pool_.NoteFailure(upstream, now);
-  if (job.step(id.step).lasting) return;
+  if (job.step(id.step).long_running) return;
   if (job.Failures(id) < job.queue().max_attempts) return;
   Finish(entry, JobState::kFailed, now);
   StopAll(entry, StopReason::kJobFailed, now, orders);
@@ -314,7 +314,7 @@
     }
     return;
   }
-  if (end.kind == EndKind::kDone && !job.step(end.task.step).lasting) {
+  if (end.kind == EndKind::kDone && !job.step(end.task.step).long_running) {
     if (!job.final()) {
       job.NoteStarted();
       TaskDone(*entry, end.task, now);
@@ -369,7 +369,8 @@
   for (const UnitKey& key : queue_) {
     if (key.rank > ToMs(now) || key.outlook == Outlook::kWorthless) continue;
     const Job& job = jobs_.at(key.id.job)->job;
-    if (!job.step(key.id.step).lasting && !job.timed()) missed.push_back(key);
+    if (!job.step(key.id.step).long_running && !job.timed())
+      missed.push_back(key);
   }
   for (const UnitKey& key : missed) {
     const Entry& entry = *jobs_.at(key.id.job);
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -30,7 +30,7 @@
   int32_t budgeted_tasks = 0;
   /// Time until the last task that EvictTasks() lets run to completion is
   /// expected to end.
-  Millis drained_in{0};
+  Millis drain_time{0};
   int64_t millicores = 0;
 };
 
@@ -69,7 +69,7 @@
   const Job* Find(JobId id) const;
   size_t jobs() const { return jobs_.size(); }
   /// Whether the job is final and nothing of it runs any more.
-  bool Forgettable(JobId id) const;
+  bool CanForget(JobId id) const;
   void Forget(JobId id);
 
   /// Returns false if the job is unknown or has ended.
--- a/src/scheduling/upstream_pool.cc
+++ b/src/scheduling/upstream_pool.cc
@@ -57,7 +57,7 @@
   Upstream& upstream = upstreams_[index];
   index_.erase(upstream.entry.id);
   std::erase(live_, index);
-  upstream.held.clear();
+  upstream.reservations.clear();
   upstream.suspect_runs.clear();
   upstream.listed = false;
   upstream.reachable = false;
@@ -72,46 +72,47 @@
                                 TimePoint now) {
   Upstream& upstream = upstreams_[index];
   upstream.reachable = reachable;
-  upstream.silent_since.reset();
-  if (!reachable) upstream.silent_since = now;
+  upstream.unresponsive_since.reset();
+  if (!reachable) upstream.unresponsive_since = now;
 }
 
 void UpstreamPool::Reserve(UpstreamIndex index, const TaskId& task,
                            int64_t attempt, const Reservation& reservation) {
   Upstream& upstream = upstreams_[index];
-  if (upstream.held.emplace(std::pair(task, attempt), reservation).second) {
+  if (upstream.reservations.emplace(std::pair(task, attempt), reservation)
+          .second) {
     upstream.free -= reservation.amount;
   }
 }
 
 void UpstreamPool::NoteBegan(UpstreamIndex index, const TaskId& task,
                              int64_t attempt, TimePoint now) {
-  auto& held = upstreams_[index].held;
-  const auto found = held.find({task, attempt});
-  if (found == held.end() || found->second.began) return;
+  auto& reservations = upstreams_[index].reservations;
+  const auto found = reservations.find({task, attempt});
+  if (found == reservations.end() || found->second.began) return;
   found->second.began = now;
 }
 
 void UpstreamPool::NoteListed(UpstreamIndex index, const TaskId& task,
                               int64_t attempt, TimePoint now) {
-  auto& held = upstreams_[index].held;
-  const auto found = held.find({task, attempt});
-  if (found == held.end()) return;
+  auto& reservations = upstreams_[index].reservations;
+  const auto found = reservations.find({task, attempt});
+  if (found == reservations.end()) return;
   if (!found->second.began) found->second.began = now;
   found->second.listed = now;
 }
 
 void UpstreamPool::SetExpectedEnd(UpstreamIndex index, const TaskId& task,
                                   int64_t attempt, TimePoint expected_end) {
-  auto& held = upstreams_[index].held;
-  const auto found = held.find({task, attempt});
-  if (found != held.end()) found->second.expected_end = expected_end;
+  auto& reservations = upstreams_[index].reservations;
+  const auto found = reservations.find({task, attempt});
+  if (found != reservations.end()) found->second.expected_end = expected_end;
 }
 
-Amount UpstreamPool::FreeBy(UpstreamIndex index, TimePoint when) const {
+Amount UpstreamPool::FreeAt(UpstreamIndex index, TimePoint when) const {
   const Upstream& upstream = upstreams_[index];
   Amount out = upstream.free;
-  for (const auto& [run, reservation] : upstream.held) {
+  for (const auto& [run, reservation] : upstream.reservations) {
     if (reservation.expected_end <= when) out += reservation.amount;
   }
   return out;
@@ -120,20 +121,20 @@
 bool UpstreamPool::Release(UpstreamIndex index, const TaskId& task,
                            int64_t attempt) {
   Upstream& upstream = upstreams_[index];
-  const auto held = upstream.held.find({task, attempt});
-  if (held == upstream.held.end()) return false;
-  upstream.free += held->second.amount;
-  upstream.held.erase(held);
+  const auto found = upstream.reservations.find({task, attempt});
+  if (found == upstream.reservations.end()) return false;
+  upstream.free += found->second.amount;
+  upstream.reservations.erase(found);
   return true;
 }
 
 int32_t UpstreamPool::ReservedTasks(UpstreamIndex index,
                                     const StepId& step) const {
-  const auto& held = upstreams_[index].held;
+  const auto& reservations = upstreams_[index].reservations;
   const TaskId first{step.job, step.occurrence, step.step, 0};
   int32_t count = 0;
-  for (auto at = held.lower_bound({first, 0});
-       at != held.end() && at->first.first.step_id() == step; ++at) {
+  for (auto at = reservations.lower_bound({first, 0});
+       at != reservations.end() && at->first.first.step_id() == step; ++at) {
     ++count;
   }
   return count;
@@ -147,10 +148,11 @@
 
 bool UpstreamPool::HasNoRecentStarts(UpstreamIndex index, JobId job,
                                      Millis span, TimePoint now) const {
-  const Reservations& held = upstreams_[index].held;
-  return std::all_of(held.begin(), held.end(), [&](const auto& run) {
-    return run.first.first.job == job || now - run.second.since >= span;
-  });
+  const Reservations& reservations = upstreams_[index].reservations;
+  return std::all_of(
+      reservations.begin(), reservations.end(), [&](const auto& run) {
+        return run.first.first.job == job || now - run.second.since >= span;
+      });
 }
 
 void UpstreamPool::NoteSuccess(UpstreamIndex index) {
--- a/src/scheduling/upstream_pool.h
+++ b/src/scheduling/upstream_pool.h
@@ -75,7 +75,7 @@
   UpstreamHealth health;
   /// A reservation is released only when the upstream has listed the end of the
   /// run, or its leases have certainly expired.
-  Reservations held;
+  Reservations reservations;
   /// What it ran when it became unresponsive or its leases expired, until it is
   /// known whether it has crashed.
   SuspectRuns suspect_runs;
@@ -83,7 +83,7 @@
   /// When the upstream was first seen.
   TimePoint known_since{};
   /// Since when it has been unresponsive; unset if it responds or never has.
-  std::optional<TimePoint> silent_since{};
+  std::optional<TimePoint> unresponsive_since{};
 
   /// Whether its list entry and its answers permit new work there.
   bool TakesWork() const {
@@ -123,7 +123,7 @@
   void SetExpectedEnd(UpstreamIndex index, const TaskId& task, int64_t attempt,
                       TimePoint expected_end);
   /// Capacity that is free at `when` if runs end as expected and none start.
-  Amount FreeBy(UpstreamIndex index, TimePoint when) const;
+  Amount FreeAt(UpstreamIndex index, TimePoint when) const;
   /// Releases the reservation of one run; returns false if there was none.
   bool Release(UpstreamIndex index, const TaskId& task, int64_t attempt);
   /// Number of tasks of a step with a reservation on the upstream.
--- a/src/tool/commands.cc
+++ b/src/tool/commands.cc
@@ -130,7 +130,7 @@
     if (!spec) continue;
     const rules::Match match = rules.Explain({.spec = &*spec});
     std::string passed;
-    for (const Finding& finding : match.passed_over) {
+    for (const Finding& finding : match.non_matching) {
       passed += finding.place + " (" + finding.message + ") ";
     }
     rows.push_back({{"request", path + " " + spec->team + "/" + spec->work},
--- a/src/tool/job_file.cc
+++ b/src/tool/job_file.cc
@@ -28,7 +28,7 @@
   reader.Read("label", step.label, kText);
   reader.Read("data_rack", step.data_rack, kText);
   reader.Read("max_per_upstream", step.max_per_upstream, kCount);
-  reader.Read("lasting", step.lasting);
+  reader.Read("lasting", step.long_running);
   if (const json::Json* after = reader.Array("after")) {
     for (const json::Json& before : *after) {
       // Compared as a double: values from 2^32 must not be truncated to 32
--- a/tests/adaptive_timeout_test.cc
+++ b/tests/adaptive_timeout_test.cc
@@ -10,16 +10,16 @@
 /// doubles with each timeout until a reply arrives.
 BOOST_AUTO_TEST_CASE(TimeoutAdaptsToReplyTimes) {
   AdaptiveTimeout timeout(Millis(100), Millis(700));
-  BOOST_TEST(timeout.limit().count() == 700);
+  BOOST_TEST(timeout.timeout().count() == 700);
   for (int i = 0; i < 20; ++i) timeout.AddSample(Millis(3));
-  BOOST_TEST(timeout.limit().count() == 100);
+  BOOST_TEST(timeout.timeout().count() == 100);
   timeout.AddTimeout();
-  BOOST_TEST(timeout.limit().count() == 200);
+  BOOST_TEST(timeout.timeout().count() == 200);
   for (int i = 0; i < 50; ++i) timeout.AddTimeout();
-  BOOST_TEST(timeout.limit().count() == 700);
+  BOOST_TEST(timeout.timeout().count() == 700);
   for (int i = 0; i < 100; ++i) timeout.AddSample(Millis(250));
-  BOOST_TEST(timeout.limit().count() >= 250);
-  BOOST_TEST(timeout.limit().count() < 700);
+  BOOST_TEST(timeout.timeout().count() >= 250);
+  BOOST_TEST(timeout.timeout().count() < 700);
 }
 
 }  // namespace mimosarail::fleet
--- a/tests/crashing_tasks_test.cc
+++ b/tests/crashing_tasks_test.cc
@@ -237,7 +237,7 @@
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   wire::JobSpec spec = OneStepJob(1, 2, 1000);
-  spec.steps[0].lasting = true;
+  spec.steps[0].long_running = true;
   cell.Submit("entry-0", spec);
   cell.RunFor(kObservationTime);
   CheckFailedPermanently(cell, 1);
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -69,7 +69,7 @@
   BOOST_TEST(reply->body.find("\"not run\"") != std::string::npos);
   stalled.Resume();
   cell.Run(Millis(5000));
-  const auto lookup = cell.Ask(0, "part-1", Millis(0));
+  const auto lookup = cell.Lookup(0, "part-1", Millis(0));
   cell.Run(Millis(1000));
   BOOST_TEST(!lookup->found);
   BOOST_TEST(node.instance->requests().unfinished() == 0U);
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -356,7 +356,7 @@
     run.working_since = clock_.now();
     const bool fails = failed_runs_[member] < behaviors_[member].failing_runs;
     if (any_fails && !fails) continue;
-    if (step != nullptr && step->lasting) {
+    if (step != nullptr && step->long_running) {
       // The task works again, so an earlier order that ended it no longer
       // counts against the budget.
       clock_.At(clock_.now() + run_time, [this, member = member] {
@@ -581,9 +581,9 @@
   executor_.RunAfter(delay + back, [done, reply] { done(*reply); });
 }
 
-void UpstreamClientFake::Ask(const StepId& step,
-                             const std::vector<std::string>& upstreams, Millis,
-                             Callback<ports::Advice> done) {
+void UpstreamClientFake::RequestAdvice(
+    const StepId& step, const std::vector<std::string>& upstreams, Millis,
+    Callback<ports::Advice> done) {
   constexpr Millis kAdviceDelay{10};
   ports::Advice advice;
   advice.valid = Millis(1500);
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -239,8 +239,9 @@
   void Renew(const ports::UpstreamTarget& target, const ports::RenewCall& call,
              Millis timeout,
              std::function<void(ports::RenewReply)> done) override;
-  void Ask(const StepId& step, const std::vector<std::string>& upstreams,
-           Millis timeout, Callback<ports::Advice> done) override;
+  void RequestAdvice(const StepId& step,
+                     const std::vector<std::string>& upstreams, Millis timeout,
+                     Callback<ports::Advice> done) override;
 
  private:
   UpstreamsFake& upstreams_;
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -70,14 +70,14 @@
   StoreClientFake store{fake, executor, "self", &machine};
   ManualPeerPort peers;
   metrics::Registry metrics;
-  faults::MalformedRecordReporter bad_records{metrics};
+  faults::MalformedRecordReporter malformed_records{metrics};
   leadership::LeadershipOptions options{.member = MemberAt("self"),
                                         .seeds = {"next:1"}};
   leadership::Leadership self{
       executor,
       store,
       peers,
-      bad_records,
+      malformed_records,
       options,
       {.on_elected = [](int64_t) {},
        .on_leadership_lost = [] {},
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -190,20 +190,20 @@
 /// as long as the time allows.
 BOOST_AUTO_TEST_CASE(RunningWorkDecidesHostOrder) {
   WaveView view = ThreeHosts();
-  view.hosts[0].work = {.tasks = 1, .drained_in = Millis(5000)};
-  view.hosts[1].work = {.tasks = 3, .drained_in = Millis(300)};
-  view.hosts[2].work = {.tasks = 2, .drained_in = Millis(4000)};
+  view.hosts[0].work = {.tasks = 1, .drain_time = Millis(5000)};
+  view.hosts[1].work = {.tasks = 3, .drain_time = Millis(300)};
+  view.hosts[2].work = {.tasks = 2, .drain_time = Millis(4000)};
   WaveDecision decision = DecideWave(view);
   BOOST_TEST(decision.start_maintenance.empty());
   BOOST_TEST(decision.drain == Names({"b", "c"}));
   // A host that has begun to drain comes first.
   view.hosts[2].draining = true;
-  view.hosts[2].drained_for = Millis(2000);
+  view.hosts[2].draining_for = Millis(2000);
   BOOST_TEST(DecideWave(view).drain == Names({"c", "b"}));
   BOOST_TEST(DecideWave(view).evict.empty());
   // The drain takes too long: the work is stopped to keep the wave in time. The
   // maintenance does not begin before the work has ended, whatever the time.
-  view.hosts[2].drained_for = Millis(10000);
+  view.hosts[2].draining_for = Millis(10000);
   BOOST_TEST(DecideWave(view).evict == Names({"c"}));
   view.time_left = Millis(0);
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
@@ -219,7 +219,7 @@
 BOOST_AUTO_TEST_CASE(DrainAheadNeedsFreeCapacity) {
   WaveView view = ThreeHosts();
   for (HostView& host : view.hosts) {
-    host.work = {.tasks = 1, .drained_in = Millis(900), .millicores = 4000};
+    host.work = {.tasks = 1, .drain_time = Millis(900), .millicores = 4000};
   }
   view.free_millicores = 1000;
   BOOST_TEST(DecideWave(view).drain == Names({"a"}));
@@ -632,7 +632,7 @@
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
   wire::JobSpec spec = OneStepJob(500, 4, 3000);
-  spec.steps[0].lasting = true;
+  spec.steps[0].long_running = true;
   spec.steps[0].max_unavailable = 1;
   spec.steps[0].max_per_upstream = 2;
   cell.Submit("entry-1", spec);
@@ -699,7 +699,7 @@
 
   void SubmitLongRunning() {
     wire::JobSpec spec = OneStepJob(0x1a500, 3, 1500);
-    spec.steps[0].lasting = true;
+    spec.steps[0].long_running = true;
     spec.steps[0].max_unavailable = 1 + static_cast<int32_t>(Pick(2));
     cell_.Submit(RandomEntry(), spec);
   }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -12,8 +12,8 @@
 #include "src/placement/policy.h"
 #include "src/placement/starvation_guard.h"
 #include "src/placement/wait_queue.h"
+#include "src/requests/resolution.h"
 #include "src/requests/retry_budget.h"
-#include "src/requests/settlement.h"
 
 namespace mimosarail::placement {
 namespace {
@@ -122,7 +122,7 @@
   const auto rows =
       policy->Place(room, {.size = Size(1000), .failure_domains = &domains});
   BOOST_TEST(room.racks()[room.row(rows.at(0)).rack].failure_domain == "d1");
-  const std::string why = ExplainNoRoom(room, {.size = Size(17000)});
+  const std::string why = ExplainNoCapacity(room, {.size = Size(17000)});
   BOOST_TEST(
       why.find("needs 17000 millicores, free 16000") != std::string::npos, why);
 }
@@ -257,8 +257,8 @@
   bool covered;
   bool fenced;
   bool vanished;
-  bool lapse_proved;
-  SettlementResult expected;
+  bool lease_expiry_proved;
+  ResolutionResult expected;
 };
 
 std::ostream& operator<<(std::ostream& out, const SettleCase& c) {
@@ -267,19 +267,19 @@
 
 const std::vector<SettleCase> kSettleCases{
     {"held by another entry", true, false, false, false, false, false,
-     SettlementResult::kHeld},
+     ResolutionResult::kRunning},
     {"moved, so its outcome is unknown", false, true, true, false, false, false,
-     SettlementResult::kWait},
+     ResolutionResult::kWait},
     {"absent, not fenced", false, false, true, false, false, false,
-     SettlementResult::kWait},
+     ResolutionResult::kWait},
     {"absent, an upstream not covered", false, false, false, true, false, false,
-     SettlementResult::kWait},
+     ResolutionResult::kWait},
     {"absent, covered, fenced", false, false, true, true, false, false,
-     SettlementResult::kNotStarted},
+     ResolutionResult::kNotStarted},
     {"absent, but an upstream left with its inventory", false, false, true,
-     true, true, false, SettlementResult::kGone},
+     true, true, false, ResolutionResult::kNotRunning},
     {"lapse proved, not covered", false, true, false, true, false, true,
-     SettlementResult::kGone},
+     ResolutionResult::kNotRunning},
 };
 
 }  // namespace
@@ -291,18 +291,19 @@
   reply.attached = {"up-1"};
   if (c.covered) reply.attached.push_back("up-2");
   if (c.reported_running || c.reported_moved) {
-    wire::TaskWord task;
+    wire::TaskReport task;
     task.attempt = 7;
     task.ended = c.reported_moved;
     task.report.result = wire::TaskEnd::kMoved;
     reply.tasks.push_back(task);
   }
-  const Settlement result = Settle({.attempt = 7,
-                                    .answers = &answers,
-                                    .listed_upstreams = {"up-1", "up-2"},
-                                    .fenced = c.fenced,
-                                    .upstream_vanished = c.vanished,
-                                    .lapse_proved = c.lapse_proved});
+  const Resolution result =
+      ResolveTask({.attempt = 7,
+                   .answers = &answers,
+                   .listed_upstreams = {"up-1", "up-2"},
+                   .fenced = c.fenced,
+                   .upstream_removed = c.vanished,
+                   .lease_expiry_proved = c.lease_expiry_proved});
   BOOST_TEST(static_cast<int>(result.result) == static_cast<int>(c.expected));
 }
 
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -468,7 +468,7 @@
     });
   };
   accept();
-  http::Client extended(io, {.longest_answer = Millis(20000)});
+  http::Client extended(io, {.max_response_time = Millis(20000)});
   http::Client strict(io, {});
   const std::string address =
       "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
--- a/tests/request_fault_injection_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -246,7 +246,7 @@
       std::string held;
       for (const auto& [name, session] :
            node.instance->controller().sessions()) {
-        for (const auto& id : node.instance->execution().HeldOn(name)) {
+        for (const auto& id : node.instance->execution().RunningTasksOn(name)) {
           held += " " + name + ":" + id;
         }
         held += " " + name + "=" + std::to_string(session->running());
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -125,9 +125,9 @@
                      findings);
   BOOST_REQUIRE_MESSAGE(rules.has_value(), findings.ToString());
   const wire::RequestSpec spec = Spec();
-  const Facts facts{.spec = &spec, .waiting = 5, .minute_of_day = 23 * 60};
+  const RuleInput facts{.spec = &spec, .waiting = 5, .minute_of_day = 23 * 60};
   BOOST_TEST(rules->Decide(facts).name == (c.holds ? "first" : "rest"));
-  BOOST_TEST(rules->Explain(facts).passed_over.size() == (c.holds ? 0U : 1U));
+  BOOST_TEST(rules->Explain(facts).non_matching.size() == (c.holds ? 0U : 1U));
 }
 
 BOOST_AUTO_TEST_CASE(first_match_wins_and_cost_adds_up) {
--- a/tests/scenarios/main.cc
+++ b/tests/scenarios/main.cc
@@ -91,8 +91,8 @@
                                    ToJson(lua, 4)));
 }
 
-int HttpLater(lua_State* lua) {
-  lua_pushinteger(lua, cell->HttpLater(Text(lua, 1), Text(lua, 2), Text(lua, 3),
+int HttpAsync(lua_State* lua) {
+  lua_pushinteger(lua, cell->HttpAsync(Text(lua, 1), Text(lua, 2), Text(lua, 3),
                                        ToJson(lua, 4)));
   return 1;
 }
@@ -187,7 +187,7 @@
   const std::map<std::string, lua_CFunction> functions{
       {"start", Start},
       {"http", Http},
-      {"http_later", HttpLater},
+      {"http_later", HttpAsync},
       {"result", Result},
       {"signal", Signal},
       {"wait", Wait},
--- a/tests/scenarios/real_cell.cc
+++ b/tests/scenarios/real_cell.cc
@@ -173,7 +173,7 @@
   return Send(members_.at(process).http_port, method, path, body);
 }
 
-int RealCell::HttpLater(const std::string& process, const std::string& method,
+int RealCell::HttpAsync(const std::string& process, const std::string& method,
                         const std::string& path, const json& body) {
   const int port = members_.at(process).http_port;
   pending_[++next_handle_] = std::async(
--- a/tests/scenarios/real_cell.h
+++ b/tests/scenarios/real_cell.h
@@ -34,7 +34,7 @@
   HttpReply Http(const std::string& process, const std::string& method,
                  const std::string& path, const json& body);
   /// Http() on a separate thread; returns a handle for Result().
-  int HttpLater(const std::string& process, const std::string& method,
+  int HttpAsync(const std::string& process, const std::string& method,
                 const std::string& path, const json& body);
   HttpReply Result(int handle);
 
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -191,7 +191,7 @@
   constexpr int kCrashes = 12;
   SchedulerHarness b(kCrashes);
   wire::JobSpec spec = Spec(1, 1, 1000);
-  spec.steps[0].lasting = true;
+  spec.steps[0].long_running = true;
   b.s.Add(spec, b.now, 0);
   for (int i = 0; i < kCrashes; ++i) {
     const Orders orders = b.Place();
@@ -473,20 +473,20 @@
   SchedulerHarness b(1);
   const ports::RunningTask run{.task = {77, 0, 0, 0}, .attempt = 3};
   int stops = 0;
-  int unasked = 0;
+  int orphaned = 0;
   const auto report = [&](Millis later) {
     b.now += later;
     Orders orders;
     b.s.OnRunning(0, {run}, b.now, orders);
     for (const StopOrder& stop : orders.stops) {
       ++stops;
-      unasked += stop.unasked ? 1 : 0;
+      orphaned += stop.orphaned ? 1 : 0;
       BOOST_TEST((stop.reason == StopReason::kUnknownJob));
     }
   };
   report(Millis(0));
   BOOST_TEST(stops == 1);
-  BOOST_TEST(unasked == 1);
+  BOOST_TEST(orphaned == 1);
   for (int i = 0; i < 11; ++i) report(Millis(100));
   BOOST_TEST(stops == 1);
   report(Millis(100));
@@ -496,7 +496,7 @@
   BOOST_TEST(stops == 2);
   report(Millis(50));
   BOOST_TEST(stops == 3);
-  BOOST_TEST(unasked == 1);
+  BOOST_TEST(orphaned == 1);
 }
 
 /// An abandoned start is carried out after all, so an upstream lists another
@@ -544,7 +544,7 @@
   BOOST_REQUIRE_EQUAL(orders.stops.size(), 1U);
   const StopOrder& stop = orders.stops[0];
   BOOST_TEST((stop.reason == StopReason::kCancelled));
-  BOOST_TEST(stop.unasked);
+  BOOST_TEST(stop.orphaned);
   BOOST_TEST((stop.since_end == Millis(250)));
 }
 
@@ -584,7 +584,7 @@
   b.Report(first.starts[1], 11);
   b.Report(first.starts[0], 100);
   const auto free_in = [&](Millis span) {
-    return b.s.pool().FreeBy(first.starts[0].upstream,
+    return b.s.pool().FreeAt(first.starts[0].upstream,
                              b.now + span)[Dimension::kCores];
   };
   BOOST_TEST(free_in(Millis(4000)) == 6000);
@@ -858,7 +858,7 @@
   constexpr int64_t kFailures =
       1000;  // of each task: one a minute for 17 hours
   wire::JobSpec spec = Spec(1, kTasks, 100);
-  spec.steps[0].lasting = true;
+  spec.steps[0].long_running = true;
   Job job(spec);
   for (int32_t i = 0; i < kTasks; ++i) {
     for (int64_t n = 1; n <= kFailures; ++n) {
--- a/tests/sim/cell.cc
+++ b/tests/sim/cell.cc
@@ -343,7 +343,7 @@
     at.instance->requests().Submit(
         spec, [&at, submit_result](const requests::Submitted& submitted) {
           submit_result->id = submitted.id;
-          if (!submitted.taken) {
+          if (!submitted.accepted) {
             submit_result->answered = true;
             submit_result->outcome = submitted.outcome;
             return;
@@ -358,8 +358,8 @@
   return submit_result;
 }
 
-std::shared_ptr<SubmitResult> Cell::Ask(int entry, const std::string& id,
-                                        Millis wait) {
+std::shared_ptr<SubmitResult> Cell::Lookup(int entry, const std::string& id,
+                                           Millis wait) {
   auto lookup_result = std::make_shared<SubmitResult>();
   lookup_result->id = id;
   Node& at = node(entry);
--- a/tests/sim/cell.h
+++ b/tests/sim/cell.h
@@ -88,8 +88,8 @@
   /// reply.
   std::shared_ptr<SubmitResult> Submit(int entry, wire::RequestSpec spec);
   /// Queries an entry for the outcome of request `id`.
-  std::shared_ptr<SubmitResult> Ask(int entry, const std::string& id,
-                                    Millis wait);
+  std::shared_ptr<SubmitResult> Lookup(int entry, const std::string& id,
+                                       Millis wait);
   /// Publishes rules with a comment in them, based on `base`.
   std::shared_ptr<configlog::PublishResult> Publish(int entry, int64_t base,
                                                     const std::string& comment);
--- a/tests/upstream_link_test.cc
+++ b/tests/upstream_link_test.cc
@@ -41,7 +41,7 @@
 /// Records the events that the link has reported.
 class RecordedEvents final : public UpstreamEvents {
  public:
-  bool MayGiveOrders() override { return true; }
+  bool MaySendOrders() override { return true; }
   void OnReport(UpstreamIndex, const std::vector<ports::RunningTask>& now,
                 const std::vector<ports::EndedTask>& fresh) override {
     running = now;
