--- a/src/journal/journal.cc
+++ b/src/journal/journal.cc
@@ -25,9 +25,10 @@
       on_lost_(std::move(lost)) {}
 
 void Journal::Open(std::function<void()> done) {
-  // An append without records sets the epoch, but the store does not count it
-  // in the sequence: it would accept the next append under any number, and an
-  // append that overtakes the first one would be taken for both.
+  // Open the epoch with a record. An append without records also sets the
+  // epoch, but takes no sequence number. The store would then accept any number
+  // in the next append. If the second append overtook the first, the store
+  // would accept it, and the first would count as stored although it is not.
   Batch fence;
   fence.records.push_back({.key = kOpeningKey});
   fence.waiters.push_back([this, done = std::move(done)](bool stored) {
@@ -86,15 +87,15 @@
   if (in_flight_.empty()) return true;
   // Records in flight can no longer be withdrawn and refused. A store that has
   // stopped responding therefore gets no append beyond the unanswered one.
-  return last_reply_time_ >= options_.slow_append_threshold &&
-         stalled_for() < 2 * last_reply_time_ &&
+  return last_unrepeated_duration_ >= options_.slow_append_threshold &&
+         stalled_for() < 2 * last_unrepeated_duration_ &&
          in_flight_.size() < options_.max_in_flight;
 }
 
 void Journal::ScheduleFlush() {
   if (!open_ || closed_ || pending_.empty() || !MaySend()) return;
-  const Millis spread =
-      last_reply_time_ / static_cast<Millis::rep>(options_.max_in_flight);
+  const Millis spread = last_unrepeated_duration_ /
+                        static_cast<Millis::rep>(options_.max_in_flight);
   const Millis gap = in_flight_.empty()
                          ? options_.min_append_interval
                          : std::max(options_.min_append_interval, spread);
@@ -102,19 +103,20 @@
   const TimePoint at = std::max(now, last_flush_ + gap);
   // A flush scheduled while others were in flight gives way to an earlier one
   // once those are stored.
-  if (flush_due_ && flush_at_ <= at) return;
-  flush_due_ = true;
+  if (flush_scheduled_ && flush_at_ <= at) return;
+  flush_scheduled_ = true;
   flush_at_ = at;
   executor_.RunAfter(
       std::chrono::ceil<Millis>(at - now), [weak = weak_from_this(), at] {
         const auto self = weak.lock();
-        const bool due = self && self->flush_due_ && self->flush_at_ == at;
+        const bool due =
+            self && self->flush_scheduled_ && self->flush_at_ == at;
         if (due) self->Flush();
       });
 }
 
 void Journal::Flush() {
-  flush_due_ = false;
+  flush_scheduled_ = false;
   if (closed_ || pending_.empty() || !MaySend()) return;
   Batch batch;
   size_t bytes = 0;
@@ -185,7 +187,8 @@
          in_flight_.front().sequence <= sequence) {
     last_append_duration_ = stalled_for();
     LogStored(in_flight_.front(), last_append_duration_, sequence, end_offset);
-    if (!in_flight_.front().repeated) last_reply_time_ = last_append_duration_;
+    if (!in_flight_.front().repeated)
+      last_unrepeated_duration_ = last_append_duration_;
     last_stored_ = executor_.Now();
     const Batch done = std::move(in_flight_.front());
     in_flight_.pop_front();
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -18,8 +18,9 @@
   std::string writer;
   int64_t epoch = 0;
   /// Minimum interval between two appends: a record waits at most this long for
-  /// other records to share its append. Each append has a price; at 50 a second
-  /// they cost less than a thousandth of the value of the work.
+  /// other records to share its append. The store charges for each append. At
+  /// 50 appends a second, the charge is less than a thousandth of the value of
+  /// the work done.
   Millis min_append_interval{20};
   /// Delay after which an append whose outcome is in doubt is repeated under
   /// its sequence number.
@@ -40,7 +41,7 @@
   Millis slow_append_threshold{60};
 };
 
-/// Writes records of one table in groups, under an epoch that fences every
+/// Writes records of one table in batches, under an epoch that fences every
 /// earlier writer. An append whose answer was lost is repeated under the same
 /// sequence number, so it takes effect once. One append is in flight at a time,
 /// or a few if the store is slow: the store applies appends only in the order
@@ -50,7 +51,8 @@
  public:
   /// Runs exactly once. `stored` is true if everything put before the request
   /// is stored, and false if the journal was closed first, which leaves the
-  /// outcome in doubt. A caller waits for this answer, so it is never left out.
+  /// outcome in doubt. Always runs, because the code that passed it waits for
+  /// the answer.
   using Stored = std::function<void(bool stored)>;
 
   /// `lost` runs once, when another writer has taken over. The executor and the
@@ -122,7 +124,7 @@
   std::function<void()> on_lost_;
   bool open_ = false;
   bool closed_ = false;
-  bool flush_due_ = false;
+  bool flush_scheduled_ = false;
   /// When the next flush is due; an earlier flush replaces a later one.
   TimePoint flush_at_{};
   int64_t sequence_ = 0;
@@ -130,8 +132,9 @@
   TimePoint last_flush_{};
   TimePoint last_stored_{};
   Millis last_append_duration_{0};
-  /// The same for the last append that was stored without a repeat.
-  Millis last_reply_time_{0};
+  /// Like last_append_duration_, but for the last append stored without a
+  /// repeat.
+  Millis last_unrepeated_duration_{0};
   /// Batches in flight, ordered by sequence number.
   std::deque<Batch> in_flight_;
   /// Newest pending value of each key, in key order.
