--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -55,15 +55,15 @@
 }
 
 void Leadership::CheckLeaderRecord(Suspicion suspicion,
-                                   std::optional<int64_t> seen_end) {
+                                   std::optional<int64_t> end_at_first_read) {
   // Another entry leads by now: the suspicion was of an earlier leader.
   if (term_ != suspected_term_) return EndLeaderCheck(Millis(0));
   const TimePoint sent = executor_.Now();
-  store_.ReadNewest(
-      options_.table, "", kStoreTimeout,
-      [this, suspicion, seen_end, sent](const Result<ports::NewestPage>& page) {
-        OnLeaderRecord(suspicion, seen_end, sent, page);
-      });
+  store_.ReadNewest(options_.table, "", kStoreTimeout,
+                    [this, suspicion, end_at_first_read,
+                     sent](const Result<ports::NewestPage>& page) {
+                      OnLeaderRecord(suspicion, end_at_first_read, sent, page);
+                    });
 }
 
 Millis Leadership::ElectionTimeoutFor(
@@ -88,7 +88,8 @@
 }
 
 void Leadership::OnLeaderRecord(Suspicion suspicion,
-                                std::optional<int64_t> seen_end, TimePoint sent,
+                                std::optional<int64_t> end_at_first_read,
+                                TimePoint sent,
                                 const Result<ports::NewestPage>& page) {
   if (role_ == Role::kLeading || term_ != suspected_term_) {
     return EndLeaderCheck(Millis(0));
@@ -118,8 +119,8 @@
   }
   // Each claim appends one record to the table, so no term can exceed the end
   // offset. Where the record is unreadable, a term above the end offset is
-  // above every earlier term. Starting from 1 again would fail on the fence
-  // once for each earlier term.
+  // above every earlier term. If terms started from 1 again, the fence would
+  // refuse each leader whose term was already used, one after the other.
   const int64_t last_term = record ? record->term : std::max(term_, end);
   if (!may_claim) return EndLeaderCheck(kLeaderCheckRetry);
   const bool resigned = suspicion == Suspicion::kResigned;
@@ -129,13 +130,13 @@
   const bool ended = resigned || suspicion == Suspicion::kConnectionRefused;
   const int32_t unstable_terms =
       ended ? UnstableTerms(record) : UnstableTermsAfter(record);
-  if (last_ack_sent_ > sent && !resigned && !store_lost) {
+  if (last_answered_sent_ > sent && !resigned && !store_lost) {
     return EndLeaderCheck(kLeaderCheckRetry);  // the leader answered meanwhile
   }
-  if (resigned || (seen_end && *seen_end == end)) {
+  if (resigned || (end_at_first_read && *end_at_first_read == end)) {
     return Claim(last_term + 1, end, unstable_terms);
   }
-  if (seen_end && LeaderIsSlow(record)) {
+  if (end_at_first_read && LeaderIsSlow(record)) {
     // A leader on a machine that has become slow still renews its record, while
     // callers wait for seconds: 608 of 20,835 requests were answered too late
     // to be of use, 93 with this rule. The leader cannot measure this itself,
@@ -149,7 +150,7 @@
     return Claim(last_term + 1, end, unstable_terms);
   }
   // The leader has renewed its record meanwhile.
-  if (seen_end) return EndLeaderCheck(kLeaderCheckRetry);
+  if (end_at_first_read) return EndLeaderCheck(kLeaderCheckRetry);
   const auto delay = std::chrono::duration_cast<Millis>(now - sent);
   executor_.RunAfter(
       ElectionTimeoutFor(suspicion, record) + 2 * delay,
--- a/src/leadership/election_timeout.h
+++ b/src/leadership/election_timeout.h
@@ -8,16 +8,20 @@
 
 namespace mimosarail::leadership {
 
-/// How long to wait for a leader that seems to have ended, given its record in
-/// the store (absent if the record is unreadable).
+/// Returns how long the record of a suspected leader must stay unchanged before
+/// another entry claims leadership. `record` is the leader's record in the
+/// store, absent if unreadable; `usual` is the timeout after a stable leader.
+/// The minimum time before a slow leader is replaced is extended in the same
+/// way.
 ///
 /// Each failover makes the next leader load all jobs again, over the link on
 /// which it also renews its record. If loading delays a renewal for longer than
 /// `usual`, a fixed timeout replaces every leader before it serves, without
 /// end. The timeout therefore doubles with each consecutive term that ended
 /// before its leader was stable, and returns to `usual` after a stable leader.
-/// The unsuccessful terms together take as long as the one that lasts, whatever
-/// the table, the link and the processor.
+/// Because of the doubling, all unsuccessful terms together last about as long
+/// as the successful one, whatever the size of the table and the speed of the
+/// link and the processor.
 ///
 /// Safe from any thread.
 Millis ElectionTimeout(Millis usual,
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -28,7 +28,7 @@
 /// ten heartbeats of each.
 constexpr Millis kMemberDiscoveryTime{2000};
 /// Pause after handing over, in which the other entry claims leadership.
-constexpr Millis kLeaderCheckAfterYield{1000};
+constexpr Millis kLeaderCheckAfterHandOver{1000};
 /// A suspension of the machine longer than this invalidates the lease; shorter
 /// ones are within the leader lease.
 constexpr Millis kSuspensionTolerance{200};
@@ -173,15 +173,16 @@
     // and callers of this entry would be refused until then.
     if (!lease_valid()) QueryNextPeer();
     ReportExpiredFollowers();
-    return YieldIfWeak();
+    return HandOverIfUnfit();
   }
   if (leader_.address.empty()) {
     QueryNextPeer();
     return Suspect(Suspicion::kUnresponsive, "no leader known");
   }
-  if (now - last_ack_sent_ > options_.unresponsive_after) SendIndirectProbes();
+  if (now - last_answered_sent_ > options_.unresponsive_after)
+    SendIndirectProbes();
   const bool unresponsive =
-      now - last_ack_sent_ > options_.leader_suspect_after;
+      now - last_answered_sent_ > options_.leader_suspect_after;
   if (unresponsive) Suspect(Suspicion::kUnresponsive, "leader does not answer");
   if (heartbeat_in_flight_) return;
   // A new leader announces itself once. An entry that missed the announcement
@@ -191,7 +192,7 @@
   // may be back.
   if (unresponsive && std::exchange(query_peers_next_, !query_peers_next_))
     return QueryNextPeer();
-  if (now - last_heard_ >= options_.heartbeat_interval)
+  if (now - last_leader_answer_ >= options_.heartbeat_interval)
     SendHeartbeat(leader_.address);
 }
 
@@ -243,7 +244,7 @@
 bool Leadership::LeaderIsSlow(
     const std::optional<wire::AnnounceCall>& record) const {
   const TimePoint now = executor_.Now();
-  return now - last_ack_sent_ >= options_.unresponsive_after &&
+  return now - last_answered_sent_ >= options_.unresponsive_after &&
          now - following_since_ >=
              ElectionTimeout(options_.min_term_duration, record) &&
          votes_.HasMajority(now);
@@ -282,9 +283,10 @@
                    [this, address, sent = executor_.Now()](
                        const Result<wire::HeartbeatReply>& reply) {
                      heartbeat_in_flight_ = false;
-                     const TimePoint before = last_heard_;
+                     const TimePoint before = last_leader_answer_;
                      OnHeartbeatReply(address, sent, reply);
-                     if (last_heard_ != before) last_ack_sent_ = sent;
+                     if (last_leader_answer_ != before)
+                       last_answered_sent_ = sent;
                    });
 }
 
@@ -332,7 +334,7 @@
   }
   if (answer.term < term_) return;
   const TimePoint now = executor_.Now();
-  last_heard_ = now;
+  last_leader_answer_ = now;
   if (!answer.loading) NoteLeaderReady();
   members_.Apply(answer.members, answer.members_known);
   // By then every live entry has sent a heartbeat to the new leader.
@@ -362,9 +364,9 @@
   term_ = term;
   leader_ = leader;
   leader_loading_ = true;
-  last_heard_ = executor_.Now();
-  last_ack_sent_ = last_heard_;
-  following_since_ = last_heard_;
+  last_leader_answer_ = executor_.Now();
+  last_answered_sent_ = last_leader_answer_;
+  following_since_ = last_leader_answer_;
   members_.BeginTerm();
   votes_.Clear();
   refused_connections_ = 0;
@@ -401,7 +403,7 @@
   members_.Assign(followers());
   role_ = role;
   leader_ = {};
-  next_check_at_ = executor_.Now() + kLeaderCheckAfterYield;
+  next_check_at_ = executor_.Now() + kLeaderCheckAfterHandOver;
   logging::Event(Level::kInfo, "leadership resigned",
                  {{"term", Text(term_)}, {"cause", cause}});
   events_.on_leadership_lost();
@@ -424,9 +426,9 @@
   }
 }
 
-void Leadership::YieldIfWeak() {
+void Leadership::HandOverIfUnfit() {
   if (options_.member.fitness >= options_.enough_fitness) return;
-  if (executor_.Now() - leading_since_ < options_.yield_after) return;
+  if (executor_.Now() - leading_since_ < options_.hand_over_after) return;
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
     if (follower.member.fitness < options_.enough_fitness) continue;
@@ -554,8 +556,8 @@
   reply.leader = leader_;
   reply.loading = leader_loading_;
   if (!leading()) {
-    const auto unresponsive_for =
-        std::chrono::duration_cast<Millis>(executor_.Now() - last_ack_sent_);
+    const auto unresponsive_for = std::chrono::duration_cast<Millis>(
+        executor_.Now() - last_answered_sent_);
     reply.leader_unresponsive_ms =
         leader_.address.empty() ? 0 : unresponsive_for.count();
     return reply;
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -32,7 +32,8 @@
   /// Interval at which the leader renews its record in the store.
   Millis renew_period{200};
   /// A suspected leader whose record stays unchanged for this long has lost
-  /// leadership. Two renewals; the store's own delay is added.
+  /// leadership. Two renewal periods and a margin. Twice the duration of the
+  /// store read is added.
   Millis election_timeout{450};
   /// The same for a leader that reports that it cannot reach the store.
   Millis election_timeout_store_lost{150};
@@ -40,28 +41,31 @@
   /// is replaced even if it renews its record in the store. Two unanswered
   /// heartbeats; a shorter process pause does not justify a failover.
   Millis unresponsive_after{800};
-  /// An unresponsive leader that renews its record is not replaced earlier than
-  /// this after the start of its term. Where the load is too high for any
+  /// Minimum time for which a follower follows a leader before it replaces it
+  /// as unresponsive although the leader renews its record. Doubles with each
+  /// unstable term; see ElectionTimeout(). If the load is too high for any
   /// machine, another leader does no better, and each failover makes callers
   /// wait for some 0.3 s.
   Millis min_term_duration{3000};
   /// A leader without a successful store call for this long is replaced by an
-  /// entry that can reach the store.
+  /// entry that can reach the store. If renewals are slow, the time is extended
+  /// to the renewal period plus twice the last renewal's duration.
   Millis store_unreachable_after{700};
   /// A leader that has had no answer from the store and no heartbeats from most
   /// other entries for this long gives no more orders: another entry may have
   /// taken over without its knowledge.
   Millis leader_lease{2000};
-  /// An entry whose last heartbeat was older than this when the store last
-  /// answered is left out of the majority count. It has ended: a leader that
-  /// most entries cannot reach is replaced within some 5 s.
+  /// If an entry's last heartbeat is older than this at the last confirmation
+  /// by the store, the majority count omits the entry. The entry has ended: if
+  /// it and most other entries were alive but could not reach the leader,
+  /// another leader would have taken over within some 5 s.
   Millis member_expiry{8000};
   /// Processor share, in percent of a core, with which an entry can lead any
   /// deployment; leading 350 upstreams took 0.22 of a core.
   int32_t enough_fitness = 25;
   /// A leader with too small a processor share hands over to a sufficiently fit
   /// entry after this time.
-  Millis yield_after{1500};
+  Millis hand_over_after{1500};
 };
 
 /// Elects the leader and tracks the current leader and its term. The end offset
@@ -187,12 +191,16 @@
   Millis ElectionTimeoutFor(
       Suspicion suspicion,
       const std::optional<wire::AnnounceCall>& record) const;
-  void CheckLeaderRecord(Suspicion suspicion, std::optional<int64_t> seen_end);
-  void OnLeaderRecord(Suspicion suspicion, std::optional<int64_t> seen_end,
-                      TimePoint sent, const Result<ports::NewestPage>& page);
+  /// `end_at_first_read` is the end offset of the table at the first read of
+  /// this check; unset in the first read.
+  void CheckLeaderRecord(Suspicion suspicion,
+                         std::optional<int64_t> end_at_first_read);
+  void OnLeaderRecord(Suspicion suspicion,
+                      std::optional<int64_t> end_at_first_read, TimePoint sent,
+                      const Result<ports::NewestPage>& page);
   /// Delay of this entry's claim, which lets fitter entries claim first.
   Millis ClaimDelay() const;
-  void YieldIfWeak();
+  void HandOverIfUnfit();
   /// Adds followers without recent heartbeats to the member changes as removed.
   void ReportExpiredFollowers();
   void RelinquishLeadership(Role role, const std::string& cause);
@@ -237,9 +245,11 @@
   wire::Member leader_;
   /// Whether the known leader is still loading, be it this entry or another.
   bool leader_loading_ = false;
-  TimePoint last_heard_{};
-  /// Send time of the newest heartbeat that the leader answered.
-  TimePoint last_ack_sent_{};
+  /// When the leader last answered, or when this entry began to follow it.
+  TimePoint last_leader_answer_{};
+  /// Send time of the newest heartbeat that the leader answered, or when this
+  /// entry began to follow it.
+  TimePoint last_answered_sent_{};
   bool heartbeat_in_flight_ = false;
   TimePoint next_query_at_{};
   size_t queries_sent_ = 0;
