--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -93,7 +93,7 @@
   if (now - explained_at_ < kExplainPeriod) return;
   explained_at_ = now;
   deps_.metrics.Set({.name = "waiting_steps"},
-                    static_cast<double>(scheduler_.waiting_units()));
+                    static_cast<double>(scheduler_.waiting_steps()));
   deps_.metrics.Set({.name = "jobs_kept"},
                     static_cast<double>(scheduler_.jobs()));
   const scheduling::AdviceBudget lanes = lanes_.Budget(now);
--- a/src/scheduling/advice_state.h
+++ b/src/scheduling/advice_state.h
@@ -14,8 +14,9 @@
 /// takes time to arrive and may wait for a connection.
 inline constexpr Millis kTicketMargin{60};
 
-/// The adviser's answer on one upstream for one step. Whether the upstream is
-/// allowed never changes; only the ticket expires.
+/// The adviser's latest answer on one upstream for one step. The scheduler
+/// expects the adviser not to change whether it allows the upstream, so
+/// `allowed` does not expire; only the ticket does.
 struct UpstreamAdvice {
   bool allowed = false;
   std::string ticket;
--- a/src/scheduling/ask_size.h
+++ b/src/scheduling/ask_size.h
@@ -18,8 +18,8 @@
 /// its answer is sufficient for `tasks` nine times in ten. If no number is
 /// sufficient, returns all options; the result is at most `most`. A call costs
 /// its base time plus 1/70 of it for each upstream named, so naming more
-/// upstreams is much cheaper than calling again. Sized by the mean, every
-/// second call would return too few.
+/// upstreams is much cheaper than calling again. If a call were sized by the
+/// expected number of allowed tasks, every second call would allow too few.
 int32_t AskCount(const std::vector<AskOption>& options, double tasks,
                  int32_t most);
 
--- a/src/scheduling/asking.cc
+++ b/src/scheduling/asking.cc
@@ -12,12 +12,13 @@
 constexpr Millis kAdviceRetryDelay{150};
 /// Maximum number of upstreams in one call for advice; the adviser's own limit.
 constexpr int32_t kMaxUpstreamsPerCall = 100;
-/// Concurrent calls for one step. A gang of 120 with one upstream in four
-/// allowed needs three full ones.
-constexpr int32_t kMaxCallsPerStep = 3;
-/// A gang that waits for capacity learns of enough upstreams to take it this
-/// many times over when empty, so that it can prefer the ones that are free
-/// first.
+/// Maximum number of concurrent calls for advice for one gang; any other step
+/// gets one. A gang of 120 tasks needs three calls of kMaxUpstreamsPerCall if
+/// one upstream in four is allowed.
+constexpr int32_t kMaxCallsPerGang = 3;
+/// A gang that waits for capacity requests advice until the allowed upstreams,
+/// if empty, could hold this many times its tasks. It can then choose the ones
+/// that become free first.
 constexpr double kChoiceFactor = 4;
 /// Upstreams whose capacity becomes free within this time are asked about
 /// first.
@@ -52,42 +53,43 @@
   return true;
 }
 
-std::vector<UpstreamIndex> Scheduler::ChooseToRenew(const Entry& entry,
+std::vector<UpstreamIndex> Scheduler::ChooseToRenew(const JobRecord& record,
                                                     const StepId& id,
                                                     const GangPlan& plan,
                                                     TimePoint now) const {
-  const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
+  const StepAdvice& advice = record.step_state(id.occurrence, id.step).advice;
   std::vector<UpstreamIndex> out;
   const TimePoint answered =
-      now + CallTime(entry.job.queue(), plan.places.size());
+      now + CallTime(record.job.queue(), plan.places.size());
   const TimePoint start = std::max(plan.ready, answered) + kTicketMargin;
   for (const auto& [upstream, tasks] : plan.places) {
     if (advice.Ticket(upstream, start) == nullptr) out.push_back(upstream);
   }
   // If requested earlier, the tickets would expire while the gang waits for
   // capacity.
-  const Millis call = CallTime(entry.job.queue(), out.size());
+  const Millis call = CallTime(record.job.queue(), out.size());
   if (plan.ready > now + call) out.clear();
   return out;
 }
 
-std::vector<UpstreamIndex> Scheduler::ChooseToLearn(const Entry& entry,
+std::vector<UpstreamIndex> Scheduler::ChooseToLearn(const JobRecord& record,
                                                     const StepId& id,
                                                     TimePoint now) const {
-  const wire::StepSpec& step = entry.job.step(id.step);
-  const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
-  const double rate = std::max(kMinRate, rates_.Rate(entry.job.queue().name));
+  const wire::StepSpec& step = record.job.step(id.step);
+  const StepAdvice& advice = record.step_state(id.occurrence, id.step).advice;
+  const double rate = std::max(kMinRate, rates_.Rate(record.job.queue().name));
   const TimePoint soon = now + kLearnHorizon;
   const std::set<UpstreamIndex>& excluded =
-      entry.unit(id.occurrence, id.step).exclusion.excluded;
+      record.step_state(id.occurrence, id.step).exclusion.excluded;
   std::vector<std::tuple<int32_t, int32_t, UpstreamIndex>> unknown;
   double known = 0;
   for (const UpstreamIndex upstream : pool_.all()) {
-    if (!pool_.Usable(upstream, now) || !Matches(upstream, entry, step)) {
+    if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step)) {
       continue;
     }
     if (excluded.count(upstream) > 0) continue;
-    const int32_t whole = Fit(upstream, entry, id, pool_.at(upstream).capacity);
+    const int32_t whole =
+        Fit(upstream, record, id, pool_.at(upstream).capacity);
     if (whole == 0) continue;
     const auto upstream_advice = advice.upstreams.find(upstream);
     if (upstream_advice != advice.upstreams.end()) {
@@ -96,7 +98,7 @@
       known += rate * whole;
     } else {
       const int32_t fit =
-          Fit(upstream, entry, id, pool_.FreeAt(upstream, soon));
+          Fit(upstream, record, id, pool_.FreeAt(upstream, soon));
       unknown.emplace_back(-fit, -whole, upstream);
     }
   }
@@ -121,13 +123,13 @@
 }
 
 std::vector<Scheduler::AskChoice> Scheduler::AskChoices(
-    const Entry& entry, const StepId& id, TimePoint now,
+    const JobRecord& record, const StepId& id, TimePoint now,
     const Reserved& reserved, double& expected) const {
-  const wire::StepSpec& step = entry.job.step(id.step);
-  const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
-  const double rate = std::max(kMinRate, rates_.Rate(entry.job.queue().name));
+  const wire::StepSpec& step = record.job.step(id.step);
+  const StepAdvice& advice = record.step_state(id.occurrence, id.step).advice;
+  const double rate = std::max(kMinRate, rates_.Rate(record.job.queue().name));
   const std::set<UpstreamIndex>& excluded =
-      entry.unit(id.occurrence, id.step).exclusion.excluded;
+      record.step_state(id.occurrence, id.step).exclusion.excluded;
   const Amount size = TaskResources(step);
   // A gang starts when the answer arrives, and needs valid tickets for all its
   // tasks at that moment. A ticket that expires before then is renewed together
@@ -135,13 +137,13 @@
   // it would be missing for 0.5 s of every 2 s, each at a different moment, and
   // a gang of 45 would never hold enough tickets at once.
   const Millis call =
-      step.gang ? CallTime(entry.job.queue(),
+      step.gang ? CallTime(record.job.queue(),
                            std::min<size_t>(step.tasks, kMaxUpstreamsPerCall))
                 : Millis(0);
   const TimePoint needed_at = now + call + kTicketMargin;
   std::vector<AskChoice> out;
   for (const UpstreamIndex upstream : pool_.all()) {
-    if (!pool_.Usable(upstream, now) || !Matches(upstream, entry, step)) {
+    if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step)) {
       continue;
     }
     const auto upstream_advice = advice.upstreams.find(upstream);
@@ -150,7 +152,7 @@
     if (step.gang && excluded.count(upstream) > 0) continue;
     const Amount free =
         CapacityFor(step, upstream, pool_.at(upstream).free, now, reserved);
-    const int32_t fit = Fit(upstream, entry, id, free);
+    const int32_t fit = Fit(upstream, record, id, free);
     if (fit == 0) continue;
     const bool pending = advice.pending.count(upstream) > 0;
     const bool valid = advice.Ticket(upstream, needed_at) != nullptr;
@@ -178,11 +180,11 @@
 }
 
 std::vector<UpstreamIndex> Scheduler::ChooseToStart(
-    const Entry& entry, const StepId& id, TimePoint now,
+    const JobRecord& record, const StepId& id, TimePoint now,
     const Reserved& reserved) const {
   double expected = 0;
   const std::vector<AskChoice> choices =
-      AskChoices(entry, id, now, reserved, expected);
+      AskChoices(record, id, now, reserved, expected);
   std::vector<AskOption> options;
   options.reserve(choices.size());
   double most = expected;
@@ -190,9 +192,9 @@
     options.push_back(choice.option);
     most += choice.option.rate * choice.option.fit;
   }
-  const double need = entry.job.step_counts(id.occurrence, id.step).waiting;
+  const double need = record.job.step_counts(id.occurrence, id.step).waiting;
   // A partial gang is of no use.
-  if (entry.job.step(id.step).gang && most < need) return {};
+  if (record.job.step(id.step).gang && most < need) return {};
   const auto count = static_cast<size_t>(
       AskCount(options, need - expected, kMaxUpstreamsPerCall));
   std::vector<UpstreamIndex> out;
@@ -200,37 +202,38 @@
   return out;
 }
 
-void Scheduler::AskAdvice(Entry& entry, const StepId& id, TimePoint now,
+void Scheduler::AskAdvice(JobRecord& record, const StepId& id, TimePoint now,
                           bool may_wait, const GangPlan& plan,
                           const Reserved& reserved, Orders& orders) {
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  StepAdvice& advice = unit.advice;
-  const wire::QueuePolicy& queue = entry.job.queue();
-  const wire::StepSpec& step = entry.job.step(id.step);
-  if (advice.calls >= (step.gang ? kMaxCallsPerStep : 1)) return;
-  if (now < advice.ask_after || now < unit.next_ask_check) return;
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  StepAdvice& advice = step_state.advice;
+  const wire::QueuePolicy& queue = record.job.queue();
+  const wire::StepSpec& step = record.job.step(id.step);
+  if (advice.calls >= (step.gang ? kMaxCallsPerGang : 1)) return;
+  if (now < advice.ask_after || now < step_state.next_ask_check) return;
   if (!AdviceCallLeft(queue.priority)) return;
-  std::vector<UpstreamIndex> asked = ChooseToStart(entry, id, now, reserved);
+  std::vector<UpstreamIndex> asked = ChooseToStart(record, id, now, reserved);
   // A gang without sufficient capacity learns where it may run, and waits
   // there.
   AdvicePurpose purpose = AdvicePurpose::kStart;
   if (asked.empty() && may_wait) {
-    asked = ChooseToLearn(entry, id, now);
+    asked = ChooseToLearn(record, id, now);
     purpose = AdvicePurpose::kLearn;
   }
   if (asked.empty() && plan.found() && advice.calls == 0) {
-    asked = ChooseToRenew(entry, id, plan, now);
+    asked = ChooseToRenew(record, id, plan, now);
     purpose = AdvicePurpose::kRenew;
   }
   if (asked.empty()) {
-    unit.next_ask_check = now + kAskCheckInterval;
+    step_state.next_ask_check = now + kAskCheckInterval;
     return;
   }
   if (!TakeAdviceCall(queue.priority)) return;
   AdviceOrder order{.purpose = purpose, .step = id, .priority = queue.priority};
   order.expected = CallTime(queue, asked.size());
   const auto named = static_cast<int32_t>(asked.size());
-  const int32_t waiting = entry.job.step_counts(id.occurrence, id.step).waiting;
+  const int32_t waiting =
+      record.job.step_counts(id.occurrence, id.step).waiting;
   const Amount size = TaskResources(step);
   for (size_t d = 0; d < placement::kDimensions; ++d) {
     order.claim.of[d] = static_cast<int32_t>(static_cast<int64_t>(size.of[d]) *
@@ -251,12 +254,13 @@
     const UpstreamIndex upstream = pool_.Find(name);
     if (upstream != kNoUpstream) claimed_[upstream] -= asked.claim;
   }
-  Entry* entry = FindEntry(asked.step.job);
-  if (entry == nullptr) return;
-  Unit& unit = entry->unit(asked.step.occurrence, asked.step.step);
-  unit.plan_until = {};
-  unit.next_ask_check = {};
-  StepAdvice& known = unit.advice;
+  JobRecord* record = FindJobRecord(asked.step.job);
+  if (record == nullptr) return;
+  StepState& step_state =
+      record->step_state(asked.step.occurrence, asked.step.step);
+  step_state.plan_until = {};
+  step_state.next_ask_check = {};
+  StepAdvice& known = step_state.advice;
   --known.calls;
   std::unordered_map<std::string, const ports::AdviceTicket*> allowed;
   if (advice == nullptr) {
@@ -283,7 +287,7 @@
     upstream_advice.ticket = found->second->ticket;
     upstream_advice.valid_until = now + advice->valid;
   }
-  rates_.Note(entry->job.queue().name, first_answers, first_allowed);
+  rates_.Note(record->job.queue().name, first_answers, first_allowed);
 }
 
 }  // namespace mimosarail::scheduling
--- a/src/scheduling/crashes.cc
+++ b/src/scheduling/crashes.cc
@@ -1,8 +1,9 @@
 // The part of Scheduler that determines which tasks crash their upstreams. A
-// crash is detected when a new incarnation answers in an upstream's place, or
-// when the upstream stays away. Each run there may be the cause or a victim.
-// Runs that had only just begun are suspected, and restart where nothing else
-// is new, so that a second crash has a single possible cause.
+// crash is detected when a new incarnation answers at an upstream's address, or
+// when the upstream stays unresponsive and is no longer listed. Each run there
+// may be the cause or a victim. Runs that had only just begun are suspected,
+// and restart where nothing else is new, so that a second crash has a single
+// possible cause.
 
 #include <algorithm>
 
@@ -14,22 +15,23 @@
 /// A task that crashes its upstream usually does so as it starts. A run that
 /// has lasted this long is no longer suspected.
 constexpr Millis kEarlyWindow{300};
-/// Lasts slightly longer than the wait for the newest run on the upstream, so
-/// that a later placing pass finds the upstream still quarantined.
-constexpr Millis kQuarantine{400};
+/// Duration of a quarantine. Slightly longer than kEarlyWindow, which a suspect
+/// task waits after the newest start on the upstream, so that the upstream is
+/// still quarantined when the task is placed.
+constexpr Millis kQuarantineDuration{400};
 /// A run of this length shows that its task does not crash upstreams.
 constexpr Millis kHarmlessRunTime{30000};
 /// A suspect prefers upstreams that have been known for this long: one that has
 /// just come back is more likely to fail again for reasons of its own.
 constexpr Millis kEstablishedAge{10000};
-/// Number of early crashes after which a task fails permanently: the first
-/// limit applies if nothing else on the upstream was new in the last crash, the
-/// second if other runs were.
+/// Number of early crashes after which a task fails permanently:
+/// kSoleSuspectLimit applies if the task's run was in its early window at the
+/// last crash and no run of another job was, kEarlyLimit otherwise.
 constexpr size_t kSoleSuspectLimit = 2;
 constexpr size_t kEarlyLimit = 3;
-/// The same for all crashes of a task, early or not. Callers tolerate the loss
-/// of three upstreams and two more starts; one is left for a crash that no
-/// leader has seen.
+/// Number of crashes, early or not, after which a task fails permanently. A
+/// caller tolerates three lost upstreams and two more starts; the limit of four
+/// leaves one of these for a crash that no leader recorded.
 constexpr size_t kTotalLimit = 4;
 
 std::optional<Millis> Since(const std::optional<TimePoint>& at, TimePoint now) {
@@ -73,15 +75,15 @@
                            .reason = why,
                            .began_ago = Since(reservation.began, now),
                            .listed_ago = Since(reservation.listed, now)});
-    Entry* entry = FindEntry(id.job);
-    if (entry == nullptr || !entry->job.Has(id)) continue;
-    const Task& task = entry->job.task(id);
+    JobRecord* record = FindJobRecord(id.job);
+    if (record == nullptr || !record->job.Has(id)) continue;
+    const Task& task = record->job.task(id);
     if (!task.active() || task.attempt != attempt) continue;
     if (task.upstream != upstream) continue;
-    ReturnToWaiting(*entry, id, now);
-    if (entry->job.final() || !entry->job.step(id.step).gang) continue;
-    if (entry->job.step_counts(id.occurrence, id.step).active > 0) {
-      AbortGang(*entry, id.step_id(), now, orders);
+    ReturnToWaiting(*record, id, now);
+    if (record->job.final() || !record->job.step(id.step).gang) continue;
+    if (record->job.step_counts(id.occurrence, id.step).active > 0) {
+      BreakGang(*record, id.step_id(), now, orders);
     }
   }
 }
@@ -104,33 +106,34 @@
   }
   for (const auto& [run, early] : runs) {
     const auto& [id, attempt] = run;
-    Entry* entry = FindEntry(id.job);
-    if (entry == nullptr || !entry->job.Has(id) || entry->job.final()) continue;
-    const Task& task = entry->job.task(id);
+    JobRecord* record = FindJobRecord(id.job);
+    if (record == nullptr || !record->job.Has(id) || record->job.final())
+      continue;
+    const Task& task = record->job.task(id);
     if (task.phase == TaskPhase::kDone) continue;
-    if (!entry->job.CountCrash(id, attempt, early)) continue;
-    MarkChanged(*entry);
+    if (!record->job.CountCrash(id, attempt, early)) continue;
+    MarkChanged(*record);
     const bool sole_suspect = early && suspects.size() == 1;
     const size_t limit = sole_suspect ? kSoleSuspectLimit : kEarlyLimit;
     if (task.crashes.early.size() < limit &&
         task.crashes.total() < kTotalLimit) {
       continue;
     }
-    FailPermanently(*entry, id, now, orders);
+    FailPermanently(*record, id, now, orders);
   }
 }
 
-void Scheduler::FailPermanently(Entry& entry, const TaskId& id, TimePoint now,
-                                Orders& orders) {
+void Scheduler::FailPermanently(JobRecord& record, const TaskId& id,
+                                TimePoint now, Orders& orders) {
   orders.permanently_failed.push_back(
-      {.task = id, .crashes = entry.job.task(id).crashes});
-  Finish(entry, JobState::kFailed, now);
-  StopAll(entry, StopReason::kJobFailed, now, orders);
+      {.task = id, .crashes = record.job.task(id).crashes});
+  Finish(record, JobState::kFailed, now);
+  StopAll(record, StopReason::kJobFailed, now, orders);
 }
 
-void Scheduler::ClearSuspicion(Entry& entry, UpstreamIndex upstream,
+void Scheduler::ClearSuspicion(JobRecord& record, UpstreamIndex upstream,
                                const ports::RunningTask& running) {
-  CrashCounts& crashes = entry.job.task(running.task).crashes;
+  CrashCounts& crashes = record.job.task(running.task).crashes;
   if (crashes.total() == 0) return;
   const Reservations& reservations = pool_.at(upstream).reservations;
   const auto run = reservations.find({running.task, running.attempt});
@@ -147,23 +150,25 @@
   } else {
     return;
   }
-  MarkChanged(entry);
+  MarkChanged(record);
 }
 
-bool Scheduler::HasCrashSuspect(const Entry& entry, const StepId& id) const {
-  for (int32_t i = 0; i < entry.job.step(id.step).tasks; ++i) {
+bool Scheduler::HasCrashSuspect(const JobRecord& record,
+                                const StepId& id) const {
+  for (int32_t i = 0; i < record.job.step(id.step).tasks; ++i) {
     const TaskId task{id.job, id.occurrence, id.step, i};
-    if (entry.job.task(task).crashes.suspect()) return true;
+    if (record.job.task(task).crashes.suspect()) return true;
   }
   return false;
 }
 
 void Scheduler::BeginQuarantine(UpstreamIndex upstream, JobId job,
                                 TimePoint now) {
-  pool_.at(upstream).quarantine = {.job = job, .until = now + kQuarantine};
+  pool_.at(upstream).quarantine = {.job = job,
+                                   .until = now + kQuarantineDuration};
 }
 
-Scheduler::Candidate* Scheduler::PickForQuarantine(const Entry& entry,
+Scheduler::Candidate* Scheduler::PickForQuarantine(const JobRecord& record,
                                                    std::vector<Candidate>& from,
                                                    TimePoint now) {
   Candidate* best = nullptr;
@@ -174,7 +179,7 @@
     if (candidate.fit <= 0) continue;
     const Upstream& it = pool_.at(candidate.upstream);
     const std::tuple rank(
-        !pool_.HasNoRecentStarts(candidate.upstream, entry.job.id(),
+        !pool_.HasNoRecentStarts(candidate.upstream, record.job.id(),
                                  kEarlyWindow, now),
         now - it.known_since < kEstablishedAge, it.reservations.size());
     if (best != nullptr && best_rank <= rank) continue;
@@ -182,17 +187,17 @@
     best_rank = rank;
   }
   if (best == nullptr) return nullptr;
-  BeginQuarantine(best->upstream, entry.job.id(), now);
+  BeginQuarantine(best->upstream, record.job.id(), now);
   const bool no_recent_starts = !std::get<0>(best_rank);
   return no_recent_starts ? best : nullptr;
 }
 
-bool Scheduler::SelectForQuarantine(const Entry& entry,
+bool Scheduler::SelectForQuarantine(const JobRecord& record,
                                     const wire::StepSpec& step,
                                     std::vector<Candidate>& found,
                                     TimePoint now) {
   const auto no_recent_starts = [&](const Candidate& candidate) {
-    return pool_.HasNoRecentStarts(candidate.upstream, entry.job.id(),
+    return pool_.HasNoRecentStarts(candidate.upstream, record.job.id(),
                                    kEarlyWindow, now);
   };
   std::stable_sort(found.begin(), found.end(),
@@ -208,7 +213,7 @@
   }
   found.erase(end, found.end());
   for (const Candidate& candidate : found) {
-    BeginQuarantine(candidate.upstream, entry.job.id(), now);
+    BeginQuarantine(candidate.upstream, record.job.id(), now);
   }
   return none_has_recent_starts;
 }
--- a/src/scheduling/evicting.cc
+++ b/src/scheduling/evicting.cc
@@ -23,8 +23,8 @@
 
 Scheduler::EvictionMode Scheduler::EvictionModeOf(const wire::StepSpec& step) {
   if (step.long_running) {
-    return step.max_unavailable > 0 ? EvictionMode::kBudgeted
-                                    : EvictionMode::kLongRunning;
+    return step.max_unavailable > 0 ? EvictionMode::kLongRunningLimited
+                                    : EvictionMode::kLongRunningUnlimited;
   }
   return step.checkpoints ? EvictionMode::kFromCheckpoint
                           : EvictionMode::kRunToCompletion;
@@ -40,7 +40,8 @@
     const Job& job = found->second->job;
     const EvictionMode mode = EvictionModeOf(job.step(run.first.step));
     // A task that is being stopped counts until its end is listed.
-    if (mode == EvictionMode::kBudgeted && !job.final()) ++out.budgeted_tasks;
+    if (mode == EvictionMode::kLongRunningLimited && !job.final())
+      ++out.budgeted_tasks;
     const bool stays = mode == EvictionMode::kRunToCompletion;
     const Millis left =
         stays ? TimeLeft(reservation.expected_end, now) : Millis(0);
@@ -54,20 +55,20 @@
   // A copy, because stopping a gang may change the reservations.
   const auto reservations = pool_.at(upstream).reservations;
   for (const auto& [run, reservation] : reservations) {
-    Entry* entry = FindEntry(run.first.job);
-    if (entry == nullptr || !entry->job.Has(run.first)) continue;
-    const Task& task = entry->job.task(run.first);
+    JobRecord* record = FindJobRecord(run.first.job);
+    if (record == nullptr || !record->job.Has(run.first)) continue;
+    const Task& task = record->job.task(run.first);
     const bool current =
         task.upstream == upstream && task.attempt == run.second;
     if (!current || task.phase != TaskPhase::kRunning) continue;
-    EvictTask(*entry, run.first, reservation, all, now, orders);
+    EvictTask(*record, run.first, reservation, all, now, orders);
   }
 }
 
-void Scheduler::EvictTask(Entry& entry, const TaskId& id,
+void Scheduler::EvictTask(JobRecord& record, const TaskId& id,
                           const Reservation& reservation, bool all,
                           TimePoint now, Orders& orders) {
-  const wire::StepSpec& step = entry.job.step(id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
   const EvictionMode mode = EvictionModeOf(step);
   if (!step.long_running) {
     const Millis least =
@@ -77,40 +78,40 @@
     if (!all && !worth_moving) return;
     const StopReason reason =
         step.checkpoints ? StopReason::kMoved : StopReason::kEvicted;
-    if (step.gang) return EvictGang(entry, id.step_id(), reason, now, orders);
-    return StopTask(entry, id, reason, now, orders);
+    if (step.gang) return EvictGang(record, id.step_id(), reason, now, orders);
+    return StopTask(record, id, reason, now, orders);
   }
-  // A task that is stopped without a place to continue would be unavailable for
-  // nothing. A task without an unavailability limit is evicted all the same
-  // when time runs out.
-  const bool must_evict = all && mode == EvictionMode::kLongRunning;
-  if (!must_evict && !HasCapacityElsewhere(entry, id, now)) return;
+  // If a long-running task is stopped while no other upstream has capacity, it
+  // becomes unavailable without any gain. If `all` is set, a task without an
+  // unavailability limit is stopped nevertheless, because time runs out.
+  const bool must_evict = all && mode == EvictionMode::kLongRunningUnlimited;
+  if (!must_evict && !HasCapacityElsewhere(record, id, now)) return;
   // Other tasks of the step may be unavailable for any reason. Whatever the
   // reason, the scheduler must not add one beyond the step's limit.
-  if (mode == EvictionMode::kBudgeted &&
-      OthersUnavailable(entry, id) >= step.max_unavailable) {
+  if (mode == EvictionMode::kLongRunningLimited &&
+      OthersUnavailable(record, id) >= step.max_unavailable) {
     return;
   }
-  StopTask(entry, id, StopReason::kMoved, now, orders);
+  StopTask(record, id, StopReason::kMoved, now, orders);
 }
 
-void Scheduler::EvictGang(Entry& entry, const StepId& id, StopReason reason,
-                          TimePoint now, Orders& orders) {
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  if (unit.aborting) return;
-  unit.aborting = true;
-  unit.abort_since = now;
-  for (int32_t i = 0; i < entry.job.step(id.step).tasks; ++i) {
-    StopTask(entry, {id.job, id.occurrence, id.step, i}, reason, now, orders);
+void Scheduler::EvictGang(JobRecord& record, const StepId& id,
+                          StopReason reason, TimePoint now, Orders& orders) {
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  if (step_state.broken) return;
+  step_state.broken = true;
+  step_state.broken_since = now;
+  for (int32_t i = 0; i < record.job.step(id.step).tasks; ++i) {
+    StopTask(record, {id.job, id.occurrence, id.step, i}, reason, now, orders);
   }
 }
 
-int32_t Scheduler::OthersUnavailable(const Entry& entry,
+int32_t Scheduler::OthersUnavailable(const JobRecord& record,
                                      const TaskId& id) const {
   int32_t unavailable = 0;
-  for (int32_t i = 0; i < entry.job.step(id.step).tasks; ++i) {
+  for (int32_t i = 0; i < record.job.step(id.step).tasks; ++i) {
     if (i == id.index) continue;
-    const Task& other = entry.job.task({id.job, id.occurrence, id.step, i});
+    const Task& other = record.job.task({id.job, id.occurrence, id.step, i});
     const bool ready = other.phase == TaskPhase::kRunning &&
                        other.percent >= kReadyPercent &&
                        pool_.at(other.upstream).reachable;
@@ -119,13 +120,13 @@
   return unavailable;
 }
 
-bool Scheduler::HasCapacityElsewhere(const Entry& entry, const TaskId& id,
+bool Scheduler::HasCapacityElsewhere(const JobRecord& record, const TaskId& id,
                                      TimePoint now) const {
-  const wire::StepSpec& step = entry.job.step(id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
   return std::any_of(
       pool_.all().begin(), pool_.all().end(), [&](UpstreamIndex upstream) {
-        return pool_.Usable(upstream, now) && Matches(upstream, entry, step) &&
-               Fit(upstream, entry, id.step_id(), pool_.at(upstream).free) > 0;
+        return pool_.Usable(upstream, now) && Matches(upstream, record, step) &&
+               Fit(upstream, record, id.step_id(), pool_.at(upstream).free) > 0;
       });
 }
 
--- a/src/scheduling/orders.h
+++ b/src/scheduling/orders.h
@@ -56,7 +56,8 @@
   TaskId task;
   int64_t attempt = 0;
   StopReason reason = StopReason::kOrphaned;
-  /// The upstream lists the run, and no stop of it was ordered before; set once
+  /// This is the first stop ordered for the run, and it is ordered because the
+  /// upstream lists a run that the scheduler does not want. Set at most once
   /// per run.
   bool orphaned = false;
   /// How long the job has been final, if its end was seen by this leader.
@@ -65,8 +66,10 @@
 
 enum class AdvicePurpose {
   kStart,  ///< Capacity is free; tasks start where allowed.
-  kLearn,  ///< A gang learns where it may wait for capacity.
-  kRenew,  ///< Capacity that a gang waited for becomes free.
+  kLearn,  ///< No capacity is free; a gang requests advice on the upstreams
+           ///< where it may wait.
+  kRenew,  ///< Capacity that a gang waits for becomes free soon; it needs
+           ///< tickets that are valid at that time.
 };
 
 inline constexpr EnumTable kAdvicePurposeNames{std::array{
@@ -90,8 +93,8 @@
 enum class UpstreamLoss {
   kLeasesExpired,  ///< Unresponsive, and its leases have expired.
   kCrashed,        ///< Replaced, or unresponsive and not listed.
-  kLeft,           ///< The same, after it had announced its leaving.
-  kMaintenance,    ///< Its host was taken for maintenance.
+  kLeft,  ///< As kCrashed, but after it had announced that it would leave.
+  kMaintenance,  ///< Its host was taken for maintenance.
 };
 
 inline constexpr EnumTable kUpstreamLossNames{std::array{
--- a/src/scheduling/placing.cc
+++ b/src/scheduling/placing.cc
@@ -8,9 +8,9 @@
 namespace mimosarail::scheduling {
 namespace {
 
-/// Units visited in one pass; the others wait for the next one. Bounds the
+/// Steps visited in one pass; the others wait for the next one. Bounds the
 /// duration of a pass when thousands wait.
-constexpr int kUnitsPerPass = 300;
+constexpr int kStepsPerPass = 300;
 /// Fraction of all cores that may be reserved for waiting gangs at a time.
 /// Gangs further back in the queue start only if there is free capacity for all
 /// their tasks at once. They spend no call on finding out where to wait: their
@@ -54,23 +54,23 @@
 
 }  // namespace
 
-bool Scheduler::Matches(UpstreamIndex upstream, const Entry& entry,
+bool Scheduler::Matches(UpstreamIndex upstream, const JobRecord& record,
                         const wire::StepSpec& step) const {
   const ports::UpstreamEntry& it = pool_.at(upstream).entry;
-  if (it.pool != entry.job.queue().pool) return false;
+  if (it.pool != record.job.queue().pool) return false;
   return step.label.empty() || std::find(it.labels.begin(), it.labels.end(),
                                          step.label) != it.labels.end();
 }
 
-int32_t Scheduler::Fit(UpstreamIndex upstream, const Entry& entry,
+int32_t Scheduler::Fit(UpstreamIndex upstream, const JobRecord& record,
                        const StepId& id, const Amount& free) const {
-  const wire::StepSpec& step = entry.job.step(id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
   int32_t fit = FitCount(free, TaskResources(step));
   if (step.max_per_upstream > 0 && fit > 0) {
     fit = std::min(fit,
                    step.max_per_upstream - pool_.ReservedTasks(upstream, id));
   }
-  if (!entry.unit(id.occurrence, id.step).exclusion.allows_suspects) {
+  if (!record.step_state(id.occurrence, id.step).exclusion.allows_suspects) {
     fit = std::min(fit, pool_.ProbesLeft(upstream));
   }
   return std::max(0, fit);
@@ -85,7 +85,7 @@
   return !size.FitsIn(left);
 }
 
-double Scheduler::Score(UpstreamIndex upstream, const Entry& entry,
+double Scheduler::Score(UpstreamIndex upstream, const JobRecord& record,
                         const wire::StepSpec& step) const {
   const Upstream& it = pool_.at(upstream);
   const Amount size = TaskResources(step);
@@ -97,7 +97,7 @@
   if (!step.data_rack.empty() && it.entry.rack != step.data_rack) {
     score += kOtherRackCost;
   }
-  if (entry.job.queue().priority == 0 && UsesGangReservation(upstream, size)) {
+  if (record.job.queue().priority == 0 && UsesGangReservation(upstream, size)) {
     score += kGangReservationCost;
   }
   return score;
@@ -116,19 +116,20 @@
 }
 
 std::vector<Scheduler::Candidate> Scheduler::Candidates(
-    const Entry& entry, const StepId& id, const StepAdvice& advice,
+    const JobRecord& record, const StepId& id, const StepAdvice& advice,
     TimePoint now, const Reserved& reserved) const {
   std::vector<Candidate> out;
-  const wire::StepSpec& step = entry.job.step(id.step);
-  const bool advised = entry.job.queue().advised;
+  const wire::StepSpec& step = record.job.step(id.step);
+  const bool advised = record.job.queue().advised;
   const auto consider = [&](UpstreamIndex upstream) {
-    if (!pool_.Usable(upstream, now) || !Matches(upstream, entry, step)) return;
-    if (pool_.InQuarantineOfAnother(upstream, entry.job.id(), now)) return;
+    if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step))
+      return;
+    if (pool_.InQuarantineOfAnother(upstream, record.job.id(), now)) return;
     const Amount free =
         CapacityFor(step, upstream, pool_.at(upstream).free, now, reserved);
-    const int32_t fit = Fit(upstream, entry, id, free);
+    const int32_t fit = Fit(upstream, record, id, free);
     if (fit == 0) return;
-    out.push_back({upstream, fit, Score(upstream, entry, step)});
+    out.push_back({upstream, fit, Score(upstream, record, step)});
   };
   if (!advised) {
     for (const UpstreamIndex upstream : pool_.all()) consider(upstream);
@@ -156,11 +157,11 @@
       static_cast<int64_t>(kMaxReservedShare * static_cast<double>(cores));
   int visited = 0;
   for (auto at = queue_.begin(); at != queue_.end();) {
-    if (++visited > kUnitsPerPass) break;
+    if (++visited > kStepsPerPass) break;
     const StepId id = at->id;
-    // Placing removes no unit but this one from the queue.
+    // Placing removes no step but this one from the queue.
     ++at;
-    PlaceUnit(*jobs_.at(id.job), id, now, reserved, orders);
+    PlaceStep(*jobs_.at(id.job), id, now, reserved, orders);
   }
   gang_reserved_.clear();
   gang_reserved_millicores_ = 0;
@@ -172,22 +173,24 @@
   }
 }
 
-bool Scheduler::PlaceUnit(Entry& entry, const StepId& id, TimePoint now,
+bool Scheduler::PlaceStep(JobRecord& record, const StepId& id, TimePoint now,
                           Reserved& reserved, Orders& orders) {
-  const bool gang = entry.job.step(id.step).gang;
-  UpdateExclusion(entry, id, now);
+  const bool gang = record.job.step(id.step).gang;
+  UpdateExclusion(record, id, now);
   if (gang) {
-    if (PlaceGang(entry, id, now, reserved, orders)) return true;
+    if (PlaceGang(record, id, now, reserved, orders)) return true;
   } else {
-    PlaceTasks(entry, id, now, reserved, orders);
-    if (entry.job.step_counts(id.occurrence, id.step).waiting == 0) return true;
+    PlaceTasks(record, id, now, reserved, orders);
+    if (record.job.step_counts(id.occurrence, id.step).waiting == 0)
+      return true;
   }
-  const wire::StepSpec& step = entry.job.step(id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
   const bool may_wait = gang && TakeReservationBudget(step);
   const GangPlan none;
-  const GangPlan& plan = may_wait ? UpdatePlan(entry, id, now, reserved) : none;
-  if (entry.job.queue().advised) {
-    AskAdvice(entry, id, now, may_wait, plan, reserved, orders);
+  const GangPlan& plan =
+      may_wait ? UpdatePlan(record, id, now, reserved) : none;
+  if (record.job.queue().advised) {
+    AskAdvice(record, id, now, may_wait, plan, reserved, orders);
   }
   if (plan.found()) ReserveForGang(step, plan, reserved);
   return false;
@@ -200,15 +203,15 @@
   });
 }
 
-bool Scheduler::PlaceGang(Entry& entry, const StepId& id, TimePoint now,
+bool Scheduler::PlaceGang(JobRecord& record, const StepId& id, TimePoint now,
                           const Reserved& reserved, Orders& orders) {
-  const wire::StepSpec& step = entry.job.step(id.step);
-  Unit& unit = entry.unit(id.occurrence, id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
+  StepState& step_state = record.step_state(id.occurrence, id.step);
   std::vector<Candidate> found =
-      Candidates(entry, id, unit.advice, now, reserved);
+      Candidates(record, id, step_state.advice, now, reserved);
   if (step.one_rack) {
-    // The rack with the most capacity first. The gang may span racks only if no
-    // single rack can take it.
+    // Use the rack that fits the most tasks first, so that the gang normally
+    // spans racks only if no single rack can take it.
     std::map<std::string, int32_t> free_by_rack;
     for (const auto& c : found)
       free_by_rack[pool_.at(c.upstream).entry.rack] += c.fit;
@@ -218,35 +221,35 @@
                               free_by_rack[pool_.at(b.upstream).entry.rack];
                      });
   }
-  DropExcluded(unit.exclusion, found);
+  DropExcluded(step_state.exclusion, found);
   int64_t total = 0;
   for (const Candidate& candidate : found) total += candidate.fit;
   if (total < step.tasks) return false;
-  if (HasCrashSuspect(entry, id) &&
-      !SelectForQuarantine(entry, step, found, now)) {
+  if (HasCrashSuspect(record, id) &&
+      !SelectForQuarantine(record, step, found, now)) {
     return false;
   }
   const int64_t attempt =
-      std::max(entry.job.LastAttempt(id), options_.attempt_base) + 1;
+      std::max(record.job.LastAttempt(id), options_.attempt_base) + 1;
   int32_t index = 0;
   for (const Candidate& candidate : found) {
     for (int32_t n = 0; n < candidate.fit && index < step.tasks; ++n) {
-      StartTask(entry, {id.job, id.occurrence, id.step, index++},
+      StartTask(record, {id.job, id.occurrence, id.step, index++},
                 candidate.upstream, attempt, now, orders);
     }
   }
-  Refresh(entry, id.occurrence, id.step);
+  Refresh(record, id.occurrence, id.step);
   return true;
 }
 
-void Scheduler::PlaceTasks(Entry& entry, const StepId& id, TimePoint now,
+void Scheduler::PlaceTasks(JobRecord& record, const StepId& id, TimePoint now,
                            const Reserved& reserved, Orders& orders) {
-  const wire::StepSpec& step = entry.job.step(id.step);
-  const Unit& unit = entry.unit(id.occurrence, id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
+  const StepState& step_state = record.step_state(id.occurrence, id.step);
   std::vector<Candidate> found =
-      Candidates(entry, id, unit.advice, now, reserved);
+      Candidates(record, id, step_state.advice, now, reserved);
   std::vector<Candidate> retries = found;
-  DropExcluded(unit.exclusion, retries);
+  DropExcluded(step_state.exclusion, retries);
   const auto next = [](std::vector<Candidate>& from) -> Candidate* {
     for (Candidate& candidate : from) {
       if (candidate.fit > 0) return &candidate;
@@ -260,71 +263,73 @@
   };
   for (int32_t i = 0; i < step.tasks; ++i) {
     const TaskId task_id{id.job, id.occurrence, id.step, i};
-    const Task& task = entry.job.task(task_id);
+    const Task& task = record.job.task(task_id);
     if (task.phase != TaskPhase::kWaiting) continue;
     const bool again = task.failures() > 0;
     std::vector<Candidate>& from = again ? retries : found;
     const bool suspect = task.crashes.suspect();
     const Candidate* pick =
-        suspect ? PickForQuarantine(entry, from, now) : next(from);
+        suspect ? PickForQuarantine(record, from, now) : next(from);
     if (pick == nullptr && (again || suspect)) continue;
     if (pick == nullptr) break;
     const UpstreamIndex upstream = pick->upstream;
-    StartTask(entry, task_id, upstream,
+    StartTask(record, task_id, upstream,
               std::max(task.LastAttempt(), options_.attempt_base) + 1, now,
               orders);
     take(found, upstream);
     take(retries, upstream);
   }
-  Refresh(entry, id.occurrence, id.step);
+  Refresh(record, id.occurrence, id.step);
 }
 
-Scheduler::StepFailures Scheduler::FailuresOf(const Entry& entry,
+Scheduler::StepFailures Scheduler::FailuresOf(const JobRecord& record,
                                               const StepId& id) const {
   StepFailures out;
-  for (int32_t i = 0; i < entry.job.step(id.step).tasks; ++i) {
-    const Task& task = entry.job.task({id.job, id.occurrence, id.step, i});
+  for (int32_t i = 0; i < record.job.step(id.step).tasks; ++i) {
+    const Task& task = record.job.task({id.job, id.occurrence, id.step, i});
     out.any = out.any || task.failures() > 0;
     if (task.failed_at != kNoUpstream) out.places.insert(task.failed_at);
   }
   return out;
 }
 
-void Scheduler::UpdateExclusion(Entry& entry, const StepId& id, TimePoint now) {
-  const wire::StepSpec& step = entry.job.step(id.step);
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  if (now < unit.exclusion.until) return;
-  StepFailures failures = FailuresOf(entry, id);
+void Scheduler::UpdateExclusion(JobRecord& record, const StepId& id,
+                                TimePoint now) {
+  const wire::StepSpec& step = record.job.step(id.step);
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  if (now < step_state.exclusion.until) return;
+  StepFailures failures = FailuresOf(record, id);
   if (!failures.any && !step.gang) return;
-  unit.exclusion = {.until = now + kExclusionMaxAge};
+  step_state.exclusion = {.until = now + kExclusionMaxAge};
   std::set<UpstreamIndex>& excluded = failures.places;
-  const bool advised = entry.job.queue().advised;
+  const bool advised = record.job.queue().advised;
   int64_t elsewhere = 0;
   int64_t with_probes = 0;
   for (const UpstreamIndex upstream : pool_.all()) {
     const Upstream& it = pool_.at(upstream);
-    if (!it.TakesWork() || !Matches(upstream, entry, step)) continue;
-    const bool unknown = unit.advice.upstreams.count(upstream) == 0;
-    if (advised && !unknown && !unit.advice.Allowed(upstream)) continue;
+    if (!it.TakesWork() || !Matches(upstream, record, step)) continue;
+    const bool unknown = step_state.advice.upstreams.count(upstream) == 0;
+    if (advised && !unknown && !step_state.advice.Allowed(upstream)) continue;
     const int32_t most = MaxTasks(step, it.capacity);
     const bool suspect = it.health.consecutive_failures > 0;
     with_probes += suspect ? std::min(most, 1) : most;
     if (suspect) excluded.insert(upstream);
     if (excluded.count(upstream) == 0) elsewhere += most;
   }
-  // If nothing better is available, now or by asking, any upstream will do:
-  // otherwise a step without an alternative would wait forever.
+  // Exclude upstreams only if the others, allowed or not yet asked about, could
+  // take the gang, or one task of any other step, when empty. Otherwise a step
+  // without an alternative would wait forever.
   const int32_t needed = step.gang ? step.tasks : 1;
   if (failures.any && elsewhere >= needed) {
-    unit.exclusion.excluded = std::move(excluded);
+    step_state.exclusion.excluded = std::move(excluded);
   }
-  unit.exclusion.allows_suspects = step.gang && with_probes < needed;
+  step_state.exclusion.allows_suspects = step.gang && with_probes < needed;
 }
 
-void Scheduler::StartTask(Entry& entry, const TaskId& id,
+void Scheduler::StartTask(JobRecord& record, const TaskId& id,
                           UpstreamIndex upstream, int64_t attempt,
                           TimePoint now, Orders& orders) {
-  Job& job = entry.job;
+  Job& job = record.job;
   Task& task = job.task(id);
   task.attempt = attempt;
   task.upstream = upstream;
@@ -343,46 +348,46 @@
                    .attempt = attempt,
                    .payload = job.spec().payload,
                    .checkpoint = task.checkpoint};
-  const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
+  const StepAdvice& advice = record.step_state(id.occurrence, id.step).advice;
   if (const std::string* ticket = advice.Ticket(upstream, now)) {
     order.ticket = *ticket;
   }
   orders.starts.push_back(std::move(order));
 }
 
-const GangPlan& Scheduler::UpdatePlan(Entry& entry, const StepId& id,
+const GangPlan& Scheduler::UpdatePlan(JobRecord& record, const StepId& id,
                                       TimePoint now, const Reserved& reserved) {
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  if (now >= unit.plan_until) {
-    unit.plan = PlanFor(entry, id, now, reserved);
-    unit.plan_until = now + kPlanMaxAge;
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  if (now >= step_state.plan_until) {
+    step_state.plan = PlanFor(record, id, now, reserved);
+    step_state.plan_until = now + kPlanMaxAge;
   }
-  return unit.plan;
+  return step_state.plan;
 }
 
-GangPlan Scheduler::PlanFor(const Entry& entry, const StepId& id, TimePoint now,
-                            const Reserved& reserved) const {
-  const Unit& unit = entry.unit(id.occurrence, id.step);
-  const wire::StepSpec& step = entry.job.step(id.step);
-  const StepAdvice& advice = unit.advice;
+GangPlan Scheduler::PlanFor(const JobRecord& record, const StepId& id,
+                            TimePoint now, const Reserved& reserved) const {
+  const StepState& step_state = record.step_state(id.occurrence, id.step);
+  const wire::StepSpec& step = record.job.step(id.step);
+  const StepAdvice& advice = step_state.advice;
   const Amount size = TaskResources(step);
   std::vector<SlotTimes> slots;
   const auto consider = [&](UpstreamIndex upstream) {
     const Upstream& it = pool_.at(upstream);
     if (!it.TakesWork()) return;
-    if (unit.exclusion.excluded.count(upstream) > 0) return;
-    if (!Matches(upstream, entry, step)) return;
+    if (step_state.exclusion.excluded.count(upstream) > 0) return;
+    if (!Matches(upstream, record, step)) return;
     const auto reservation = reserved.find(upstream);
     const Amount blocked =
         reservation == reserved.end() ? Amount{} : reservation->second.amount;
     int32_t most =
         step.max_per_upstream > 0 ? step.max_per_upstream : step.tasks;
-    if (!unit.exclusion.allows_suspects) {
+    if (!step_state.exclusion.allows_suspects) {
       most = std::min(most, std::max(1, pool_.ProbesLeft(upstream)));
     }
     slots.push_back(FindSlots(pool_, upstream, size, blocked, most, now));
   };
-  if (!entry.job.queue().advised) {
+  if (!record.job.queue().advised) {
     for (const UpstreamIndex upstream : pool_.all()) consider(upstream);
   } else {
     for (const auto& [upstream, upstream_advice] : advice.upstreams) {
@@ -409,10 +414,10 @@
   }
 }
 
-std::string Scheduler::Explain(const Entry& entry, const StepId& id,
+std::string Scheduler::Explain(const JobRecord& record, const StepId& id,
                                TimePoint now) const {
-  const wire::StepSpec& step = entry.job.step(id.step);
-  const StepAdvice& advice = entry.unit(id.occurrence, id.step).advice;
+  const wire::StepSpec& step = record.job.step(id.step);
+  const StepAdvice& advice = record.step_state(id.occurrence, id.step).advice;
   int suits = 0;
   int usable = 0;
   int allowed = 0;
@@ -420,24 +425,24 @@
   int64_t fit_now = 0;
   int64_t fit_allowed = 0;
   for (const UpstreamIndex upstream : pool_.all()) {
-    if (!Matches(upstream, entry, step)) continue;
+    if (!Matches(upstream, record, step)) continue;
     ++suits;
     if (!pool_.Usable(upstream, now)) continue;
     ++usable;
-    const int32_t fit = Fit(upstream, entry, id, pool_.at(upstream).free);
+    const int32_t fit = Fit(upstream, record, id, pool_.at(upstream).free);
     fit_now += fit;
     if (!advice.Allowed(upstream)) continue;
     ++allowed;
     fit_allowed += fit;
     if (advice.Ticket(upstream, now) != nullptr) ++tickets;
   }
-  const StepCounts& run = entry.job.step_counts(id.occurrence, id.step);
+  const StepCounts& run = record.job.step_counts(id.occurrence, id.step);
   std::string out = "waiting " + std::to_string(run.waiting) + " of " +
                     std::to_string(step.tasks) + (step.gang ? " (gang)" : "") +
                     ", upstreams " + std::to_string(suits) + ", usable " +
                     std::to_string(usable) + ", room for " +
                     std::to_string(fit_now);
-  if (!entry.job.queue().advised) return out;
+  if (!record.job.queue().advised) return out;
   return out + ", asked " + std::to_string(advice.upstreams.size()) +
          ", allowed " + std::to_string(allowed) + " with room for " +
          std::to_string(fit_allowed) + ", tickets " + std::to_string(tickets) +
@@ -446,14 +451,14 @@
 
 std::vector<std::pair<StepId, std::string>> Scheduler::ExplainWaiting(
     size_t most, TimePoint now) const {
-  std::vector<UnitKey> oldest(queue_.begin(), queue_.end());
+  std::vector<QueueKey> oldest(queue_.begin(), queue_.end());
   std::sort(oldest.begin(), oldest.end(), [&](const auto& a, const auto& b) {
     return std::pair(jobs_.at(a.id.job)->accepted, a.id) <
            std::pair(jobs_.at(b.id.job)->accepted, b.id);
   });
   if (oldest.size() > most) oldest.resize(most);
   std::vector<std::pair<StepId, std::string>> out;
-  for (const UnitKey& key : oldest) {
+  for (const QueueKey& key : oldest) {
     out.emplace_back(key.id, Explain(*jobs_.at(key.id.job), key.id, now));
   }
   return out;
--- a/src/scheduling/running.cc
+++ b/src/scheduling/running.cc
@@ -9,12 +9,12 @@
 namespace mimosarail::scheduling {
 namespace {
 
-/// A stop without an answer is sent again with the first report after this
-/// time, so that an upstream that reports many ends is not called after each
-/// report.
+/// If a stop gets no answer, it is sent again after the first report that lists
+/// the run and arrives at least this much later. Without this delay, an
+/// upstream that reports many ends would be called after each report.
 constexpr Millis kFailedStopRetryInterval{100};
-/// The members of a broken gang end on their own; those that still run after
-/// this time are stopped.
+/// After a member of a gang ends without success, the other members should end
+/// by themselves. Those that still run after this time are stopped.
 constexpr Millis kBrokenGangGrace{300};
 /// A task without progress for this long is stalled: one percent of a 10 s task
 /// that runs seven times slower than estimated takes 0.7 s.
@@ -38,8 +38,8 @@
 }
 
 /// Whether the run of a completed task ends without a stop: the members of a
-/// gang end together, and the end of one stands for all. Runs of a cancelled
-/// job are stopped without waiting.
+/// gang end together, and one member's end completes all of them. Runs of a
+/// cancelled job are stopped at once.
 bool EndsWithoutStop(const Job& job, const ports::RunningTask& running) {
   const Task& task = job.task(running.task);
   return job.state() != JobState::kCancelled &&
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-void Scheduler::Adopt(Entry& entry, UpstreamIndex upstream,
+void Scheduler::Adopt(JobRecord& record, UpstreamIndex upstream,
                       const ports::RunningTask& running, TimePoint now) {
-  Job& job = entry.job;
+  Job& job = record.job;
   Task& task = job.task(running.task);
   task.attempt = running.attempt;
   task.upstream = upstream;
@@ -69,49 +69,50 @@
   // The upstream answers, so it has not crashed with its runs.
   pool_.at(upstream).suspect_runs.clear();
   for (const ports::RunningTask& run : running) {
-    Entry* entry = FindEntry(run.task.job);
-    if (entry != nullptr && !entry->job.Has(run.task)) entry = nullptr;
-    if (entry != nullptr) AccountForRun(*entry, upstream, run, now);
-    if (entry != nullptr && IsCurrentRun(entry->job, upstream, run)) {
-      ClearSuspicion(*entry, upstream, run);
-      CheckStall(*entry, upstream, run, now, orders);
+    JobRecord* record = FindJobRecord(run.task.job);
+    if (record != nullptr && !record->job.Has(run.task)) record = nullptr;
+    if (record != nullptr) AccountForRun(*record, upstream, run, now);
+    if (record != nullptr && IsCurrentRun(record->job, upstream, run)) {
+      ClearSuspicion(*record, upstream, run);
+      CheckStall(*record, upstream, run, now, orders);
     } else {
-      StopUnwanted(entry, upstream, run, now, orders);
+      StopUnwanted(record, upstream, run, now, orders);
     }
   }
 }
 
-void Scheduler::AccountForRun(Entry& entry, UpstreamIndex upstream,
+void Scheduler::AccountForRun(JobRecord& record, UpstreamIndex upstream,
                               const ports::RunningTask& running,
                               TimePoint now) {
   // Every run takes resources, no matter which leader started it.
-  const wire::StepSpec& step = entry.job.step(running.task.step);
+  const wire::StepSpec& step = record.job.step(running.task.step);
   pool_.Reserve(upstream, running.task, running.attempt,
                 {.amount = TaskResources(step),
                  .expected_end = ExpectedEnd(step, now),
                  .since = now});
   pool_.NoteListed(upstream, running.task, running.attempt, now);
-  const Task& task = entry.job.task(running.task);
-  if (entry.uncertain && task.phase == TaskPhase::kWaiting) {
-    Adopt(entry, upstream, running, now);
+  const Task& task = record.job.task(running.task);
+  if (record.may_have_unreported_runs && task.phase == TaskPhase::kWaiting) {
+    Adopt(record, upstream, running, now);
   }
 }
 
-void Scheduler::StopUnwanted(const Entry* entry, UpstreamIndex upstream,
+void Scheduler::StopUnwanted(const JobRecord* record, UpstreamIndex upstream,
                              const ports::RunningTask& running, TimePoint now,
                              Orders& orders) {
-  // Only a stop that was actually ordered may be waited for. A run may have
-  // received no stop yet: a new leader adopts it after its job was cancelled,
-  // or an upstream starts it seconds after the order. If such a run were
-  // treated as stopping, it would continue for two more reports, 2 s and more.
-  const auto [at, found] =
+  // Wait for the end of a run only if its stop was really ordered. There may be
+  // no stop order yet: a new leader may see the run after its job was
+  // cancelled, or an upstream may start it seconds after the start order. If
+  // such a run were treated as stopping, it would continue for two more
+  // reports, which is 2 s or more.
+  const auto [at, inserted] =
       stops_[upstream].try_emplace({running.task, running.attempt});
   StopNote& note = at->second;
-  if (found) {
-    note.reason = entry == nullptr ? StopReason::kUnknownJob
-                                   : ReasonToStop(entry->job.state());
+  if (inserted) {
+    note.reason = record == nullptr ? StopReason::kUnknownJob
+                                    : ReasonToStop(record->job.state());
   }
-  if (found && entry != nullptr && EndsWithoutStop(entry->job, running)) {
+  if (inserted && record != nullptr && EndsWithoutStop(record->job, running)) {
     note.due = now + kStopRetryInterval;
   }
   if (now < note.due) return;
@@ -120,8 +121,8 @@
                  .attempt = running.attempt,
                  .reason = note.reason,
                  .orphaned = !note.ordered};
-  if (entry != nullptr && entry->ended) {
-    stop.since_end = std::chrono::duration_cast<Millis>(now - *entry->ended);
+  if (record != nullptr && record->ended) {
+    stop.since_end = std::chrono::duration_cast<Millis>(now - *record->ended);
   }
   note.ordered = true;
   note.due = now + kStopRetryInterval;
@@ -138,23 +139,24 @@
   }
 }
 
-void Scheduler::CheckStall(Entry& entry, UpstreamIndex upstream,
+void Scheduler::CheckStall(JobRecord& record, UpstreamIndex upstream,
                            const ports::RunningTask& running, TimePoint now,
                            Orders& orders) {
-  Job& job = entry.job;
+  Job& job = record.job;
   Task& task = job.task(running.task);
   if (task.phase == TaskPhase::kStarting) {
     job.SetPhase(running.task, TaskPhase::kRunning);
     job.NoteStarted();
   }
   if (!running.checkpoint.empty()) task.checkpoint = running.checkpoint;
-  const Unit& unit = entry.unit(running.task.occurrence, running.task.step);
-  if (unit.aborting && now - unit.abort_since > kBrokenGangGrace) {
-    return StopTask(entry, running.task, StopReason::kGangBroken, now, orders);
+  const StepState& step_state =
+      record.step_state(running.task.occurrence, running.task.step);
+  if (step_state.broken && now - step_state.broken_since > kBrokenGangGrace) {
+    return StopTask(record, running.task, StopReason::kGangBroken, now, orders);
   }
   const wire::StepSpec& step = job.step(running.task.step);
   if (running.percent != task.percent) {
-    UpdateExpectedEnd(entry, upstream, running, now);
+    UpdateExpectedEnd(record, upstream, running, now);
     task.percent = running.percent;
     task.progressed_at = now;
     return;
@@ -169,15 +171,15 @@
   if (now - task.progressed_at < limit) return;
   pool_.NoteFailure(upstream, now, UpstreamPool::kBackoffAfterFailures);
   if (step.gang) {
-    return AbortGang(entry, running.task.step_id(), now, orders);
+    return BreakGang(record, running.task.step_id(), now, orders);
   }
-  StopTask(entry, running.task, StopReason::kStalled, now, orders);
+  StopTask(record, running.task, StopReason::kStalled, now, orders);
 }
 
-void Scheduler::UpdateExpectedEnd(Entry& entry, UpstreamIndex upstream,
+void Scheduler::UpdateExpectedEnd(JobRecord& record, UpstreamIndex upstream,
                                   const ports::RunningTask& running,
                                   TimePoint now) {
-  Task& task = entry.job.task(running.task);
+  Task& task = record.job.task(running.task);
   if (task.rate_since == TimePoint{}) {
     task.rate_since = now;
     task.rate_base_percent = running.percent;
@@ -188,31 +190,31 @@
   const auto took = std::chrono::duration_cast<Millis>(now - task.rate_since);
   const Millis left = took * (kWholePercent - running.percent) / moved;
   task.expected_end = now + left;
-  if (!entry.job.step(running.task.step).gang) {
+  if (!record.job.step(running.task.step).gang) {
     return pool_.SetExpectedEnd(upstream, running.task, running.attempt,
                                 task.expected_end);
   }
-  UpdateExpectedGangEnd(entry, running.task.step_id());
+  UpdateExpectedGangEnd(record, running.task.step_id());
 }
 
-void Scheduler::UpdateExpectedGangEnd(Entry& entry, const StepId& id) {
+void Scheduler::UpdateExpectedGangEnd(JobRecord& record, const StepId& id) {
   // The members end together with the slowest one. Until then the other members
   // keep their resources, although they are at 100 %.
-  const int32_t tasks = entry.job.step(id.step).tasks;
+  const int32_t tasks = record.job.step(id.step).tasks;
   TimePoint end{};
   for (int32_t i = 0; i < tasks; ++i) {
-    const Task& member = entry.job.task({id.job, id.occurrence, id.step, i});
+    const Task& member = record.job.task({id.job, id.occurrence, id.step, i});
     end = std::max(end, member.expected_end);
   }
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  if (end <= unit.expected_end + kEndTolerance &&
-      end + kEndTolerance >= unit.expected_end) {
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  if (end <= step_state.expected_end + kEndTolerance &&
+      end + kEndTolerance >= step_state.expected_end) {
     return;
   }
-  unit.expected_end = end;
+  step_state.expected_end = end;
   for (int32_t i = 0; i < tasks; ++i) {
     const TaskId member_id{id.job, id.occurrence, id.step, i};
-    const Task& member = entry.job.task(member_id);
+    const Task& member = record.job.task(member_id);
     if (!member.active()) continue;
     pool_.SetExpectedEnd(member.upstream, member_id, member.attempt, end);
   }
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -41,7 +41,7 @@
   return now + (estimate > Millis(0) ? estimate : kDefaultEstimate);
 }
 
-Scheduler::Entry* Scheduler::FindEntry(JobId id) {
+Scheduler::JobRecord* Scheduler::FindJobRecord(JobId id) {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : found->second.get();
 }
@@ -51,54 +51,54 @@
   return found == jobs_.end() ? nullptr : &found->second->job;
 }
 
-Scheduler::Entry& Scheduler::Insert(const wire::JobSpec& spec, TimePoint now,
-                                    int64_t wall_ms) {
+Scheduler::JobRecord& Scheduler::Insert(const wire::JobSpec& spec,
+                                        TimePoint now, int64_t wall_ms) {
   const auto id = static_cast<JobId>(spec.id);
   const int64_t age = std::max<int64_t>(0, wall_ms - spec.accepted_unix_ms);
-  auto entry = std::make_unique<Entry>(spec);
-  entry->accepted = now - Millis(age);
-  const Job& job = entry->job;
-  entry->units.resize(static_cast<size_t>(job.occurrences()) *
-                      static_cast<size_t>(job.steps()));
+  auto record = std::make_unique<JobRecord>(spec);
+  record->accepted = now - Millis(age);
+  const Job& job = record->job;
+  record->step_states.resize(static_cast<size_t>(job.occurrences()) *
+                             static_cast<size_t>(job.steps()));
   if (job.timed()) {
     for (int32_t k = 0; k < job.occurrences(); ++k) {
       due_.emplace(job.spec().first_due_ms + k * job.spec().interval_ms,
                    StepId{id, k, 0});
     }
   } else {
-    entry->due = 1;
+    record->due = 1;
   }
-  return *jobs_.insert_or_assign(id, std::move(entry)).first->second;
+  return *jobs_.insert_or_assign(id, std::move(record)).first->second;
 }
 
 void Scheduler::Add(const wire::JobSpec& spec, TimePoint now, int64_t wall_ms) {
-  Entry& entry = Insert(spec, now, wall_ms);
-  RefreshAll(entry);
+  JobRecord& record = Insert(spec, now, wall_ms);
+  RefreshAll(record);
 }
 
 void Scheduler::Load(const wire::JobSpec& spec,
                      const wire::ProgressRecord& progress, TimePoint now,
                      int64_t wall_ms) {
-  Entry& entry = Insert(spec, now, wall_ms);
-  entry.job.Restore(progress);
-  entry.uncertain = !resolved_ && !entry.job.final();
-  RefreshAll(entry);
+  JobRecord& record = Insert(spec, now, wall_ms);
+  record.job.Restore(progress);
+  record.may_have_unreported_runs = !resolved_ && !record.job.final();
+  RefreshAll(record);
 }
 
 void Scheduler::Resolve(const std::unordered_set<JobId>& uncertain,
                         TimePoint now, Orders& orders) {
   resolved_ = true;
-  for (auto& [id, entry] : jobs_) {
-    if (!entry->uncertain || uncertain.count(id) > 0) continue;
-    entry->uncertain = false;
-    for (int32_t k = 0; k < entry->job.occurrences(); ++k) {
-      for (int32_t s = 0; s < entry->job.steps(); ++s) {
-        const StepCounts& run = entry->job.step_counts(k, s);
+  for (auto& [id, record] : jobs_) {
+    if (!record->may_have_unreported_runs || uncertain.count(id) > 0) continue;
+    record->may_have_unreported_runs = false;
+    for (int32_t k = 0; k < record->job.occurrences(); ++k) {
+      for (int32_t s = 0; s < record->job.steps(); ++s) {
+        const StepCounts& run = record->job.step_counts(k, s);
         // A gang with a missing member would wait for it forever.
-        if (entry->job.step(s).gang && run.active > 0 && run.waiting > 0) {
-          AbortGang(*entry, {id, k, s}, now, orders);
+        if (record->job.step(s).gang && run.active > 0 && run.waiting > 0) {
+          BreakGang(*record, {id, k, s}, now, orders);
         }
-        Refresh(*entry, k, s);
+        Refresh(*record, k, s);
       }
     }
   }
@@ -111,69 +111,70 @@
 
 void Scheduler::Forget(JobId id) { jobs_.erase(id); }
 
-void Scheduler::RefreshAll(Entry& entry) {
-  for (int32_t k = 0; k < entry.job.occurrences(); ++k) {
-    for (int32_t s = 0; s < entry.job.steps(); ++s) Refresh(entry, k, s);
+void Scheduler::RefreshAll(JobRecord& record) {
+  for (int32_t k = 0; k < record.job.occurrences(); ++k) {
+    for (int32_t s = 0; s < record.job.steps(); ++s) Refresh(record, k, s);
   }
 }
 
-void Scheduler::Dequeue(Unit& unit) {
-  if (!unit.queued) return;
-  queue_.erase(unit.key);
-  unit.queued = false;
+void Scheduler::Dequeue(StepState& step_state) {
+  if (!step_state.queued) return;
+  queue_.erase(step_state.key);
+  step_state.queued = false;
 }
 
-void Scheduler::Refresh(Entry& entry, int32_t occurrence, int32_t step) {
-  Unit& unit = entry.unit(occurrence, step);
-  Job& job = entry.job;
+void Scheduler::Refresh(JobRecord& record, int32_t occurrence, int32_t step) {
+  StepState& step_state = record.step_state(occurrence, step);
+  Job& job = record.job;
   const StepCounts& run = job.step_counts(occurrence, step);
   const bool gang_whole = !job.step(step).gang || run.active == 0;
-  const bool wanted = !entry.uncertain && !job.final() &&
-                      occurrence < entry.due && run.waiting > 0 && gang_whole &&
-                      job.StepReady(occurrence, step);
-  if (run.active == 0) unit.aborting = false;
-  if (!wanted) return Dequeue(unit);
-  if (unit.queued) return;
-  unit.key = KeyOf(entry, {job.id(), occurrence, step}, Outlook::kInTime);
-  unit.queued = true;
-  unit.plan_until = {};
-  unit.next_ask_check = {};
-  queue_.insert(unit.key);
+  const bool wanted = !record.may_have_unreported_runs && !job.final() &&
+                      occurrence < record.due && run.waiting > 0 &&
+                      gang_whole && job.StepReady(occurrence, step);
+  if (run.active == 0) step_state.broken = false;
+  if (!wanted) return Dequeue(step_state);
+  if (step_state.queued) return;
+  step_state.key =
+      KeyOf(record, {job.id(), occurrence, step}, Timeliness::kInTime);
+  step_state.queued = true;
+  step_state.plan_until = {};
+  step_state.next_ask_check = {};
+  queue_.insert(step_state.key);
 }
 
 bool Scheduler::Cancel(JobId id, TimePoint now, Orders& orders) {
-  Entry* entry = FindEntry(id);
-  if (entry == nullptr || entry->job.final()) return false;
-  Finish(*entry, JobState::kCancelled, now);
-  StopAll(*entry, StopReason::kCancelled, now, orders);
+  JobRecord* record = FindJobRecord(id);
+  if (record == nullptr || record->job.final()) return false;
+  Finish(*record, JobState::kCancelled, now);
+  StopAll(*record, StopReason::kCancelled, now, orders);
   return true;
 }
 
-void Scheduler::Finish(Entry& entry, JobState state, TimePoint now) {
-  entry.job.SetState(state);
-  entry.ended = now;
-  MarkChanged(entry);
-  for (Unit& unit : entry.units) Dequeue(unit);
+void Scheduler::Finish(JobRecord& record, JobState state, TimePoint now) {
+  record.job.SetState(state);
+  record.ended = now;
+  MarkChanged(record);
+  for (StepState& step_state : record.step_states) Dequeue(step_state);
 }
 
-void Scheduler::StopAll(Entry& entry, StopReason reason, TimePoint now,
+void Scheduler::StopAll(JobRecord& record, StopReason reason, TimePoint now,
                         Orders& orders) {
-  const Job& job = entry.job;
+  const Job& job = record.job;
   for (int32_t k = 0; k < job.occurrences(); ++k) {
     for (int32_t s = 0; s < job.steps(); ++s) {
       if (job.step_counts(k, s).active == 0) continue;
       for (int32_t i = 0; i < job.step(s).tasks; ++i) {
-        StopTask(entry, {job.id(), k, s, i}, reason, now, orders);
+        StopTask(record, {job.id(), k, s, i}, reason, now, orders);
       }
     }
   }
 }
 
-void Scheduler::StopTask(Entry& entry, const TaskId& id, StopReason reason,
+void Scheduler::StopTask(JobRecord& record, const TaskId& id, StopReason reason,
                          TimePoint now, Orders& orders) {
-  Task& task = entry.job.task(id);
+  Task& task = record.job.task(id);
   if (!task.active() || task.phase == TaskPhase::kStopping) return;
-  entry.job.SetPhase(id, TaskPhase::kStopping);
+  record.job.SetPhase(id, TaskPhase::kStopping);
   stops_[task.upstream][{id, task.attempt}] = {
       .reason = reason, .ordered = true, .due = now + kStopRetryInterval};
   orders.stops.push_back({.upstream = task.upstream,
@@ -182,28 +183,29 @@
                           .reason = reason});
 }
 
-void Scheduler::AbortGang(Entry& entry, const StepId& id, TimePoint now,
+void Scheduler::BreakGang(JobRecord& record, const StepId& id, TimePoint now,
                           Orders& orders) {
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  if (!unit.aborting) unit.abort_since = now;
-  unit.aborting = true;
-  for (int32_t i = 0; i < entry.job.step(id.step).tasks; ++i) {
-    StopTask(entry, {id.job, id.occurrence, id.step, i},
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  if (!step_state.broken) step_state.broken_since = now;
+  step_state.broken = true;
+  for (int32_t i = 0; i < record.job.step(id.step).tasks; ++i) {
+    StopTask(record, {id.job, id.occurrence, id.step, i},
              StopReason::kGangBroken, now, orders);
   }
 }
 
-void Scheduler::ReturnToWaiting(Entry& entry, const TaskId& id, TimePoint now) {
-  Task& task = entry.job.task(id);
+void Scheduler::ReturnToWaiting(JobRecord& record, const TaskId& id,
+                                TimePoint now) {
+  Task& task = record.job.task(id);
   if (!task.active()) return;
   task.upstream = kNoUpstream;
-  entry.job.SetPhase(id, TaskPhase::kWaiting);
-  Unit& unit = entry.unit(id.occurrence, id.step);
-  if (entry.job.step(id.step).gang && !unit.aborting) {
-    unit.aborting = true;
-    unit.abort_since = now;
+  record.job.SetPhase(id, TaskPhase::kWaiting);
+  StepState& step_state = record.step_state(id.occurrence, id.step);
+  if (record.job.step(id.step).gang && !step_state.broken) {
+    step_state.broken = true;
+    step_state.broken_since = now;
   }
-  Refresh(entry, id.occurrence, id.step);
+  Refresh(record, id.occurrence, id.step);
 }
 
 void Scheduler::OnStartReply(const StartOrder& order,
@@ -211,20 +213,21 @@
                              Orders& orders) {
   using ports::CallVerdict;
   if (verdict == CallVerdict::kUnknown) return;
-  Entry* entry = FindEntry(order.task.job);
-  const bool ours = entry != nullptr &&
-                    entry->job.task(order.task).attempt == order.attempt &&
-                    entry->job.task(order.task).upstream == order.upstream;
+  JobRecord* record = FindJobRecord(order.task.job);
+  const bool ours = record != nullptr &&
+                    record->job.task(order.task).attempt == order.attempt &&
+                    record->job.task(order.task).upstream == order.upstream;
   if (verdict == CallVerdict::kDone) {
     pool_.NoteBegan(order.upstream, order.task, order.attempt, now);
     if (!ours) return;
-    Task& task = entry->job.task(order.task);
+    Task& task = record->job.task(order.task);
     if (task.phase != TaskPhase::kStarting) return;
-    entry->job.SetPhase(order.task, TaskPhase::kRunning);
-    entry->job.NoteStarted();
-    const Unit& unit = entry->unit(order.task.occurrence, order.task.step);
-    if (unit.aborting) {
-      StopTask(*entry, order.task, StopReason::kGangBroken, now, orders);
+    record->job.SetPhase(order.task, TaskPhase::kRunning);
+    record->job.NoteStarted();
+    const StepState& step_state =
+        record->step_state(order.task.occurrence, order.task.step);
+    if (step_state.broken) {
+      StopTask(*record, order.task, StopReason::kGangBroken, now, orders);
     }
     return;
   }
@@ -234,27 +237,28 @@
   if (verdict == CallVerdict::kUnhealthy) {
     pool_.NoteFailure(order.upstream, now);
   } else {
-    pool_.at(order.upstream).health.in_flight_probes = 0;
+    pool_.at(order.upstream).health.starts_since_result = 0;
   }
-  if (!ours || !entry->job.task(order.task).active()) return;
-  Unit& unit = entry->unit(order.task.occurrence, order.task.step);
+  if (!ours || !record->job.task(order.task).active()) return;
+  StepState& step_state =
+      record->step_state(order.task.occurrence, order.task.step);
   if (verdict == CallVerdict::kBadTicket) {
-    unit.advice.upstreams[order.upstream].valid_until = {};
+    step_state.advice.upstreams[order.upstream].valid_until = {};
   }
-  ReturnToWaiting(*entry, order.task, now);
-  if (entry->job.step(order.task.step).gang &&
-      entry->job.step_counts(order.task.occurrence, order.task.step).active >
+  ReturnToWaiting(*record, order.task, now);
+  if (record->job.step(order.task.step).gang &&
+      record->job.step_counts(order.task.occurrence, order.task.step).active >
           0) {
-    AbortGang(*entry, order.task.step_id(), now, orders);
+    BreakGang(*record, order.task.step_id(), now, orders);
   }
 }
 
-void Scheduler::TaskDone(Entry& entry, const TaskId& id, TimePoint now) {
-  Job& job = entry.job;
+void Scheduler::TaskDone(JobRecord& record, const TaskId& id, TimePoint now) {
+  Job& job = record.job;
   const wire::StepSpec& step = job.step(id.step);
   if (step.gang) {
-    // The end of one member stands for all; the resources of each are released
-    // by its own end.
+    // The first member to end completes all members. The resources of each
+    // member are released when its own end is reported.
     for (int32_t i = 0; i < step.tasks; ++i) {
       const TaskId member{id.job, id.occurrence, id.step, i};
       job.task(member).checkpoint.clear();
@@ -264,28 +268,28 @@
     job.task(id).checkpoint.clear();
     job.SetPhase(id, TaskPhase::kDone);
   }
-  MarkChanged(entry);
-  Refresh(entry, id.occurrence, id.step);
-  if (job.AllDone()) return Finish(entry, JobState::kComplete, now);
+  MarkChanged(record);
+  Refresh(record, id.occurrence, id.step);
+  if (job.AllDone()) return Finish(record, JobState::kComplete, now);
   if (!job.StepDone(id.occurrence, id.step)) return;
   for (int32_t s = id.step + 1; s < job.steps(); ++s) {
-    Refresh(entry, id.occurrence, s);
+    Refresh(record, id.occurrence, s);
   }
 }
 
-void Scheduler::TaskFailed(Entry& entry, UpstreamIndex upstream,
+void Scheduler::TaskFailed(JobRecord& record, UpstreamIndex upstream,
                            const TaskId& id, int64_t attempt, TimePoint now,
                            Orders& orders) {
-  Job& job = entry.job;
+  Job& job = record.job;
   if (!job.CountFailure(id, attempt)) return;
-  MarkChanged(entry);
+  MarkChanged(record);
   job.task(id).failed_at = upstream;
-  entry.unit(id.occurrence, id.step).exclusion.until = {};
+  record.step_state(id.occurrence, id.step).exclusion.until = {};
   pool_.NoteFailure(upstream, now);
   if (job.step(id.step).long_running) return;
   if (job.Failures(id) < job.queue().max_attempts) return;
-  Finish(entry, JobState::kFailed, now);
-  StopAll(entry, StopReason::kJobFailed, now, orders);
+  Finish(record, JobState::kFailed, now);
+  StopAll(record, StopReason::kJobFailed, now, orders);
 }
 
 void Scheduler::OnEnd(UpstreamIndex upstream, const ports::EndedTask& end,
@@ -294,30 +298,31 @@
   pool_.Release(upstream, end.task, end.attempt);
   stops_[upstream].erase({end.task, end.attempt});
   UpstreamHealth& health = pool_.at(upstream).health;
-  if (end.kind != EndKind::kFailed) health.in_flight_probes = 0;
-  Entry* entry = FindEntry(end.task.job);
-  if (entry == nullptr || !entry->job.Has(end.task)) return;
-  Job& job = entry->job;
+  if (end.kind != EndKind::kFailed) health.starts_since_result = 0;
+  JobRecord* record = FindJobRecord(end.task.job);
+  if (record == nullptr || !record->job.Has(end.task)) return;
+  Job& job = record->job;
   Task& task = job.task(end.task);
   // The end of a run that was abandoned earlier says nothing about the current
   // one.
   const bool current =
       task.active() && task.attempt == end.attempt && task.upstream == upstream;
-  const bool unreported =
-      entry->uncertain && !task.active() && task.phase != TaskPhase::kDone;
+  const bool ended_before_adoption = record->may_have_unreported_runs &&
+                                     !task.active() &&
+                                     task.phase != TaskPhase::kDone;
   if (end.kind == EndKind::kDone) pool_.NoteSuccess(upstream);
-  if (!current && !unreported) {
+  if (!current && !ended_before_adoption) {
     // Only a failure still counts: a new leader may receive it after it has
     // adopted a later run of the task.
     if (end.kind == EndKind::kFailed && !job.final()) {
-      TaskFailed(*entry, upstream, end.task, end.attempt, now, orders);
+      TaskFailed(*record, upstream, end.task, end.attempt, now, orders);
     }
     return;
   }
   if (end.kind == EndKind::kDone && !job.step(end.task.step).long_running) {
     if (!job.final()) {
       job.NoteStarted();
-      TaskDone(*entry, end.task, now);
+      TaskDone(*record, end.task, now);
     } else {
       job.SetPhase(end.task, TaskPhase::kDone);
     }
@@ -325,15 +330,15 @@
   }
   if (!end.checkpoint.empty()) {
     task.checkpoint = end.checkpoint;
-    MarkChanged(*entry);
+    MarkChanged(*record);
   }
-  if (current) ReturnToWaiting(*entry, end.task, now);
+  if (current) ReturnToWaiting(*record, end.task, now);
   if (job.final()) return;
   job.NoteStarted();
   if (end.kind == EndKind::kFailed) {
-    TaskFailed(*entry, upstream, end.task, end.attempt, now, orders);
+    TaskFailed(*record, upstream, end.task, end.attempt, now, orders);
   } else {
-    MarkChanged(*entry);
+    MarkChanged(*record);
   }
 }
 
@@ -341,55 +346,58 @@
   while (!due_.empty() && due_.begin()->first <= wall_ms) {
     const StepId id = due_.begin()->second;
     due_.erase(due_.begin());
-    Entry* entry = FindEntry(id.job);
-    if (entry == nullptr) continue;
-    entry->due = std::max(entry->due, id.occurrence + 1);
-    if (id.occurrence == 0) entry->accepted = now;
-    for (int32_t s = 0; s < entry->job.steps(); ++s) {
-      Refresh(*entry, id.occurrence, s);
+    JobRecord* record = FindJobRecord(id.job);
+    if (record == nullptr) continue;
+    record->due = std::max(record->due, id.occurrence + 1);
+    if (id.occurrence == 0) record->accepted = now;
+    for (int32_t s = 0; s < record->job.steps(); ++s) {
+      Refresh(*record, id.occurrence, s);
     }
   }
   DemoteMissed(now);
 }
 
-Scheduler::UnitKey Scheduler::KeyOf(const Entry& entry, const StepId& id,
-                                    Outlook outlook) {
-  const Job& job = entry.job;
+Scheduler::QueueKey Scheduler::KeyOf(const JobRecord& record, const StepId& id,
+                                     Timeliness timeliness) {
+  const Job& job = record.job;
   const int64_t objectives =
-      outlook == Outlook::kInTime ? 1 : kWorthlessMultiple;
+      timeliness == Timeliness::kInTime ? 1 : kWorthlessMultiple;
   return {.priority = job.queue().priority,
-          .outlook = outlook,
-          .rank = ToMs(entry.accepted + objectives * job.Objective() -
+          .timeliness = timeliness,
+          .rank = ToMs(record.accepted + objectives * job.Objective() -
                        job.CriticalPathFrom(id.step)),
           .id = id};
 }
 
 void Scheduler::DemoteMissed(TimePoint now) {
-  std::vector<UnitKey> missed;
-  for (const UnitKey& key : queue_) {
-    if (key.rank > ToMs(now) || key.outlook == Outlook::kWorthless) continue;
+  std::vector<QueueKey> missed;
+  for (const QueueKey& key : queue_) {
+    if (key.rank > ToMs(now) || key.timeliness == Timeliness::kWorthless)
+      continue;
     const Job& job = jobs_.at(key.id.job)->job;
     if (!job.step(key.id.step).long_running && !job.timed())
       missed.push_back(key);
   }
-  for (const UnitKey& key : missed) {
-    const Entry& entry = *jobs_.at(key.id.job);
+  for (const QueueKey& key : missed) {
+    const JobRecord& record = *jobs_.at(key.id.job);
     // Under overload, starting the steps nearest to their objective makes all
-    // of them slightly late. A step that can no longer be in time therefore
-    // yields to those that still can, and moves up again before it becomes
-    // worthless. At 1.3 times the load that 70 upstreams can take, 54 % instead
-    // of 19 % of renders begin in time. Urgent jobs are small: a backlog of
-    // them that built up without a leader is worked off within a second, and
-    // the oldest go first so that none is served too late to have any value.
+    // of them slightly late. A step that can no longer be in time is therefore
+    // placed after all steps of its priority that still can. Late steps are
+    // ordered by the time at which they become worthless. At 1.3 times the load
+    // that 70 upstreams can take, 54 % instead of 19 % of render jobs begin in
+    // time. Urgent jobs are small: a backlog of them that built up without a
+    // leader is worked off within a second, and the oldest go first so that
+    // none is served too late to have any value.
     const bool urgent = key.priority == 0;
-    UnitKey next = KeyOf(entry, key.id, Outlook::kLate);
-    if (key.outlook == Outlook::kLate || (urgent && next.rank <= ToMs(now))) {
-      next.outlook = Outlook::kWorthless;
+    QueueKey next = KeyOf(record, key.id, Timeliness::kLate);
+    if (key.timeliness == Timeliness::kLate ||
+        (urgent && next.rank <= ToMs(now))) {
+      next.timeliness = Timeliness::kWorthless;
     } else if (urgent) {
       continue;
     }
     queue_.erase(key);
-    jobs_.at(key.id.job)->unit(key.id.occurrence, key.id.step).key = next;
+    jobs_.at(key.id.job)->step_state(key.id.occurrence, key.id.step).key = next;
     queue_.insert(next);
   }
 }
@@ -403,7 +411,7 @@
     free += std::max(0, pool_.at(upstream).free[Dimension::kCores]);
   }
   std::map<int32_t, int32_t> waiting;
-  for (const UnitKey& key : queue_) ++waiting[key.priority];
+  for (const QueueKey& key : queue_) ++waiting[key.priority];
   constexpr int64_t kPercent = 100;
   const int64_t used =
       capacity == 0 ? 0 : kPercent - kPercent * free / capacity;
@@ -426,8 +434,8 @@
 
 int64_t Scheduler::Pending(const std::string& queue) const {
   int64_t count = 0;
-  for (const auto& [id, entry] : jobs_) {
-    const Job& job = entry->job;
+  for (const auto& [id, record] : jobs_) {
+    const Job& job = record->job;
     if (!job.started() && !job.final() && !job.timed() &&
         job.queue().name == queue) {
       ++count;
--- a/src/scheduling/upstream_pool.cc
+++ b/src/scheduling/upstream_pool.cc
@@ -158,7 +158,7 @@
 void UpstreamPool::NoteSuccess(UpstreamIndex index) {
   UpstreamHealth& health = upstreams_[index].health;
   health.consecutive_failures = 0;
-  health.in_flight_probes = 0;
+  health.starts_since_result = 0;
   health.last_backoff = Millis(0);
   health.backoff_until = {};
 }
@@ -167,7 +167,7 @@
                                int32_t weight) {
   UpstreamHealth& health = upstreams_[index].health;
   health.consecutive_failures += weight;
-  health.in_flight_probes = 0;
+  health.starts_since_result = 0;
   if (health.consecutive_failures < kBackoffAfterFailures ||
       now < health.backoff_until) {
     return;
@@ -179,7 +179,7 @@
 }
 
 void UpstreamPool::NoteStart(UpstreamIndex index) {
-  ++upstreams_[index].health.in_flight_probes;
+  ++upstreams_[index].health.starts_since_result;
 }
 
 bool UpstreamPool::Usable(UpstreamIndex index, TimePoint now) const {
@@ -191,7 +191,7 @@
 int32_t UpstreamPool::ProbesLeft(UpstreamIndex index) const {
   const UpstreamHealth& health = upstreams_[index].health;
   if (health.consecutive_failures == 0) return kUnlimitedProbes;
-  return std::max(0, 1 - health.in_flight_probes);
+  return std::max(0, 1 - health.starts_since_result);
 }
 
 }  // namespace mimosarail::scheduling
--- a/src/scheduling/upstream_pool.h
+++ b/src/scheduling/upstream_pool.h
@@ -25,8 +25,9 @@
   /// Nothing new starts before this time.
   TimePoint backoff_until{};
   Millis last_backoff{0};
-  /// Starts since the last result; a suspect upstream gets one at a time.
-  int32_t in_flight_probes = 0;
+  /// Starts ordered since the last result, on a healthy upstream too. An
+  /// upstream whose last result was a failure gets one at a time.
+  int32_t starts_since_result = 0;
 };
 
 /// Resources reserved by one run.
@@ -46,7 +47,9 @@
 /// The reservations on an upstream, by task and attempt.
 using Reservations = std::map<std::pair<TaskId, int64_t>, Reservation>;
 
-/// Runs of an unresponsive upstream, each with whether it had only just begun.
+/// The runs on an unresponsive upstream. The value is true if the run is known
+/// to have begun less than kEarlyWindow (crashes.cc) before the upstream became
+/// unresponsive.
 using SuspectRuns = std::map<std::pair<TaskId, int64_t>, bool>;
 
 /// While it lasts, only tasks of this job start on the upstream, because one of
@@ -60,15 +63,15 @@
   ports::UpstreamEntry entry;
   Amount capacity;
   Amount free;
-  /// The upstream answered its last renewal under our fence, and its tasks are
-  /// known.
+  /// The upstream answered the last lease renewal that carried this leader's
+  /// fence, and has reported its tasks.
   bool reachable = false;
   bool listed = true;
   /// The newest list entry is malformed. Nothing new starts there until a valid
   /// entry arrives; existing runs are kept, listed and stopped as before.
   bool entry_malformed = false;
-  /// The store records that nothing new starts there, so that a later leader
-  /// knows the most that it may run.
+  /// The store holds a record that no new work starts on this upstream. A later
+  /// leader can then tell which runs may exist there at most.
   bool closed = false;
   /// Takes no new work, because its host is due for maintenance.
   bool cordoned = false;
@@ -82,7 +85,8 @@
   std::optional<Quarantine> quarantine{};
   /// When the upstream was first seen.
   TimePoint known_since{};
-  /// Since when it has been unresponsive; unset if it responds or never has.
+  /// Time since which the upstream has been unresponsive. Unset while it
+  /// responds, or if it has never responded.
   std::optional<TimePoint> unresponsive_since{};
 
   /// Whether its list entry and its answers permit new work there.
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -463,7 +463,7 @@
   Orders orders;
   BOOST_TEST(b.s.Cancel(1, b.now, orders));
   BOOST_TEST(b.Place().starts.empty());
-  BOOST_TEST(b.s.waiting_units() == 0);
+  BOOST_TEST(b.s.waiting_steps() == 0);
 }
 
 /// An upstream lists a run of an unknown job. The run is stopped with the first
