--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -83,15 +83,15 @@
 
 void Job::SetPhase(const TaskId& id, TaskPhase phase) {
   Task& task = this->task(id);
-  StepCounts& run = step_counts_[StepIndex(id.occurrence, id.step)];
+  StepCounts& counts = step_counts_[StepIndex(id.occurrence, id.step)];
   const auto count = [&](TaskPhase of, int32_t by) {
     if (of == TaskPhase::kWaiting) {
-      run.waiting += by;
+      counts.waiting += by;
     } else if (of == TaskPhase::kDone) {
-      run.done += by;
+      counts.done += by;
       done_ = static_cast<size_t>(static_cast<int64_t>(done_) + by);
     } else {
-      run.active += by;
+      counts.active += by;
       active_ += by;
     }
   };
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -40,7 +40,7 @@
   std::vector<int64_t> failed_attempts;
   CrashCounts crashes;
   UpstreamIndex upstream = kNoUpstream;
-  /// Upstream of the last failure; the next attempt goes elsewhere.
+  /// Upstream of the last failure; the next attempt starts on another one.
   UpstreamIndex failed_at = kNoUpstream;
   int32_t percent = 0;
   /// When `percent` last changed.
@@ -86,6 +86,7 @@
   }
   int32_t occurrences() const { return occurrences_; }
   int32_t steps() const { return static_cast<int32_t>(spec_.steps.size()); }
+  /// The job has occurrences at fixed times.
   bool timed() const { return spec_.occurrences > 0; }
 
   JobState state() const { return state_; }
--- a/src/jobs/job_state.h
+++ b/src/jobs/job_state.h
@@ -42,24 +42,24 @@
 /// Longest estimate, target or interval, in ms: 30 days. The sum over a chain
 /// of a thousand steps fits into the nanoseconds of the clock.
 inline constexpr int64_t kMaxJobSpanMs = int64_t{30} * 24 * 3600 * 1000;
-/// Latest time of day that a job may name, in ms since 1970: the year 9999.
+/// Latest point in time that a job may specify, in ms since 1970: the end of
+/// the year 9999.
 inline constexpr int64_t kMaxUnixMs = 253402300799999;
 /// Largest factor by which a queue may multiply the duration of a job's chain.
 inline constexpr double kMaxJobSlack = 1000;
 /// Longest advice call that a queue may configure, in ms.
 inline constexpr double kMaxJobAdviceMs = 60000;
 
-/// Adds findings for an invalid job. Safe from any thread.
+/// Adds findings for an invalid job. Thread-safe.
 void CheckJob(const wire::JobSpec& spec, Findings& findings);
 /// Adds findings for an invalid stored job, whose record includes the policy of
-/// its queue: those of CheckJob() and those of the policy. Safe from any
-/// thread.
+/// its queue: those of CheckJob() and those of the policy. Thread-safe.
 void CheckStoredJob(const wire::JobSpec& spec, Findings& findings);
-/// Adds findings for a progress record that is invalid for any job. Safe from
-/// any thread.
+/// Adds findings for a progress record that is invalid for any job.
+/// Thread-safe.
 void CheckProgress(const wire::ProgressRecord& record, Findings& findings);
-/// Adds findings for progress of tasks that the job does not have. Safe from
-/// any thread. Precondition: CheckStoredJob() found nothing.
+/// Adds findings for progress of tasks that the job does not have. Thread-safe.
+/// Precondition: CheckStoredJob() found nothing.
 void CheckProgressOf(const wire::JobSpec& spec,
                      const wire::ProgressRecord& record, Findings& findings);
 
--- a/src/jobs/task_id.h
+++ b/src/jobs/task_id.h
@@ -9,12 +9,12 @@
 
 namespace mimosarail {
 
-/// Chosen by the caller; 16 hex digits in text.
+/// Id of a job, chosen by the caller. Its text form is 16 hex digits.
 using JobId = uint64_t;
 
-/// Reads exactly 16 lower-case hex digits. Safe from any thread.
+/// Reads exactly 16 lower-case hex digits. Thread-safe.
 std::optional<JobId> ParseJobId(std::string_view text);
-/// Safe from any thread.
+/// Thread-safe.
 std::string JobIdText(JobId id);
 
 /// One step of one occurrence of a job.
@@ -37,11 +37,11 @@
   friend auto operator<=>(const TaskId&, const TaskId&) = default;
 };
 
-/// "JOB.OCCURRENCE.STEP". Safe from any thread.
+/// "JOB.OCCURRENCE.STEP". Thread-safe.
 std::string StepIdText(const StepId& id);
-/// "JOB.OCCURRENCE.STEP.INDEX". Safe from any thread.
+/// "JOB.OCCURRENCE.STEP.INDEX". Thread-safe.
 std::string TaskIdText(const TaskId& id);
-/// Reads what TaskIdText() writes. Safe from any thread.
+/// Reads what TaskIdText() writes. Thread-safe.
 std::optional<TaskId> ParseTaskId(std::string_view text);
 
 }  // namespace mimosarail
@@ -49,8 +49,10 @@
 template <>
 struct std::hash<mimosarail::StepId> {
   size_t operator()(const mimosarail::StepId& id) const noexcept {
-    constexpr uint64_t kOdd = 0x9e3779b97f4a7c15;
-    return (id.job * kOdd) ^ (static_cast<uint64_t>(id.occurrence) << 20U) ^
+    /// Multiplier of a Fibonacci hash.
+    constexpr uint64_t kGoldenRatio64 = 0x9e3779b97f4a7c15;
+    return (id.job * kGoldenRatio64) ^
+           (static_cast<uint64_t>(id.occurrence) << 20U) ^
            static_cast<uint64_t>(id.step);
   }
 };
--- a/src/ports/instance_list_port.h
+++ b/src/ports/instance_list_port.h
@@ -5,8 +5,8 @@
 
 namespace mimosarail::ports {
 
-/// The platform's list of live and leaving instances, which lags. Callbacks
-/// run on the control thread. Not thread-safe: control thread only.
+/// The platform's list of live and leaving instances. The list may be out of
+/// date. Callbacks run on the control thread. Control thread only.
 class InstanceListPort {
  public:
   virtual ~InstanceListPort() = default;
--- a/src/ports/log_port.h
+++ b/src/ports/log_port.h
@@ -6,7 +6,7 @@
 namespace mimosarail::ports {
 
 /// The platform's append-only log. Callbacks run on the control thread; a
-/// failed append may have taken effect. Not thread-safe: control thread only.
+/// failed append may have taken effect. Control thread only.
 class LogPort {
  public:
   virtual ~LogPort() = default;
--- a/src/ports/record_store_port.h
+++ b/src/ports/record_store_port.h
@@ -75,9 +75,9 @@
   virtual ~RecordStorePort() = default;
   virtual void Append(const AppendCall& call, Millis timeout,
                       std::function<void(AppendReply)> done) = 0;
-  /// Reads the newest records, in order of their keys, after the key `after`.
-  /// `timeout` bounds the time without incoming data: a page that is being
-  /// received is waited for, however long it takes.
+  /// Reads the newest records with keys above `after`, in key order. `timeout`
+  /// bounds the time without incoming data, not the duration of the whole read;
+  /// the client may set a separate limit for that.
   virtual void ReadNewest(const std::string& table, const std::string& after,
                           Millis timeout, Callback<NewestPage> done) = 0;
   /// Reads records from an offset on; waits up to `wait` for the first one.
--- a/src/ports/task_port.h
+++ b/src/ports/task_port.h
@@ -13,8 +13,8 @@
 
 namespace mimosarail::ports {
 
-/// The upstream that a call is meant for. The id is unique to one life of the
-/// upstream; a restarted one has a new id.
+/// The upstream that a call is meant for. The id is unique to one incarnation
+/// of the upstream; a restarted one has a new id.
 struct UpstreamTarget {
   std::string address;
   std::string id;
@@ -69,10 +69,10 @@
 enum class EndKind {
   kDone,
   kFailed,
-  kStopped,
-  kLeaseExpired,
-  kGangFailed,
-  kGangIncomplete
+  kStopped,         ///< Ended by a stop order.
+  kLeaseExpired,    ///< Its lease expired without a renewal.
+  kGangFailed,      ///< Another member of its gang ended without success.
+  kGangIncomplete,  ///< Other members of its gang did not start in time.
 };
 
 inline constexpr EnumTable kEndKindNames{std::array{
@@ -91,8 +91,10 @@
   int32_t percent = 0;
 };
 
+/// A completion: any end of a run, successful or not.
 struct EndedTask {
-  /// Sequence number among the completions at one life of the upstream, from 1.
+  /// Sequence number among the completions at one incarnation of the
+  /// upstream, from 1.
   int64_t number = 0;
   TaskId task;
   int64_t attempt = 0;
@@ -102,7 +104,7 @@
 
 struct RenewCall {
   int64_t fence = 0;
-  /// Completions up to this number are durable, and the upstream may discard
+  /// Completions up to this number are stored, and the upstream may discard
   /// them.
   int64_t acked_ends = 0;
   int64_t lease_until_ms = 0;
--- a/src/ports/upstream_list_port.h
+++ b/src/ports/upstream_list_port.h
@@ -15,7 +15,8 @@
   int32_t accelerators = 0;
 };
 
-/// One life of an upstream, from its start to its end, as it registered itself.
+/// One incarnation of an upstream, from its start to its end, with the data
+/// that it registered.
 struct UpstreamEntry {
   std::string id;
   /// False if the upstream has left the list; then only `id` is set.
--- a/src/ports/upstream_port.h
+++ b/src/ports/upstream_port.h
@@ -10,8 +10,7 @@
 /// A controller's operations on an upstream. docs/PLATFORM.md lists the
 /// assumptions about each call. Every callback runs on the control thread.
 /// After an error the effect of the call is unknown, except after
-/// Errc::kUnavailable: the call was not sent. Not thread-safe: control thread
-/// only.
+/// Errc::kUnavailable: the call was not sent. Control thread only.
 class UpstreamPort {
  public:
   virtual ~UpstreamPort() = default;
