--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -51,12 +51,15 @@
 int main(int argc, char** argv) {
   gflags::SetUsageMessage(
       "entry instance of the mimosarail cluster scheduler\n"
-      "  mimosaraild --settings FILE          with the project's stand-ins\n"
-      "  mimosaraild jobs --settings FILE     on the users' platform\n"
+      "  mimosaraild --settings FILE\n"
+      "      uses the simulated platform services\n"
+      "  mimosaraild jobs --settings FILE\n"
+      "      uses the real platform's HTTP APIs\n"
       "  mimosaraild [jobs] --settings FILE --check_settings\n"
       "  mimosaraild [jobs] [--settings FILE] --print_settings\n"
-      "Stop it with SIGTERM: it hands its racks over and finishes what is in "
-      "flight. Exit codes: 0 done, 1 cannot serve, 2 bad settings or usage.");
+      "On SIGTERM it shuts down gracefully: it transfers its responsibilities\n"
+      "to other entries and answers open requests. Exit codes: 0 clean\n"
+      "shutdown, 1 cannot listen, 2 invalid settings or usage.");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   namespace settings = mimosarail::settings;
   const bool jobs = argc > 1 && std::string(argv[1]) == "jobs";
