--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -78,33 +78,33 @@
       static_cast<double>(s.host_lists_per_100_s) / kHundredths;
   out.coordinator.host_orders_per_s =
       static_cast<double>(s.host_orders_per_100_s) / kHundredths;
-  out.coordinator.holder_lease = Millis(s.holder_lease_ms);
+  out.coordinator.host_holder_timeout = Millis(s.holder_lease_ms);
   out.coordinator.max_jobs = static_cast<size_t>(s.max_jobs);
   out.leader_wait_timeout = Millis(s.patience_ms);
-  out.shutdown_reply_deadline = Millis(s.shutdown_ms) - kLastAnswerTime;
+  out.shutdown_reply_timeout = Millis(s.shutdown_ms) - kLastAnswerTime;
   return out;
 }
 
 /// Owns the components of a running daemon, in order of construction.
 struct JobDaemon {
   explicit JobDaemon(const JobSettings& s)
-      : store_http(traffic, {.max_connections = kStoreConnections,
-                             .max_response_time = kMaxPageTime,
-                             .traffic = &link,
-                             .traffic_kind = platform::StoreTrafficKind}),
-        upstream_http(traffic, {.max_connections = kUpstreamConnections,
-                                .traffic = &link}),
-        adviser_http(traffic, {.max_connections = kAdviserConnections,
-                               .traffic = &link}),
-        hosts_http(traffic,
-                   {.max_connections = kHostsConnections, .traffic = &link}),
+      : store_http(network_io, {.max_connections = kStoreConnections,
+                                .max_response_time = kMaxPageTime,
+                                .traffic = &traffic_counters,
+                                .traffic_kind = platform::StoreTrafficKind}),
+        upstream_http(network_io, {.max_connections = kUpstreamConnections,
+                                   .traffic = &traffic_counters}),
+        adviser_http(network_io, {.max_connections = kAdviserConnections,
+                                  .traffic = &traffic_counters}),
+        hosts_http(network_io, {.max_connections = kHostsConnections,
+                                .traffic = &traffic_counters}),
         store(store_http, executor, s.store_address),
         upstreams(upstream_http, executor, {}),
         adviser(adviser_http, executor, s.adviser_address),
         hosts(hosts_http, executor, s.hosts_address),
-        peer_client(traffic, &link),
+        peer_client(network_io, &traffic_counters),
         peers(peer_client, executor),
-        peer_server(traffic, &link),
+        peer_server(network_io, &traffic_counters),
         entry({.executor = executor,
                .store = store,
                .config = store,
@@ -116,13 +116,14 @@
                .hosts = s.hosts_address.empty() ? nullptr : &hosts,
                .wave_status = &store},
               MakeOptions(s)),
-        job_server(traffic, executor, entry,
+        job_server(network_io, executor, entry,
                    {.address = s.front_address,
                     .ready_address = s.ready_address,
                     .max_connections = static_cast<size_t>(s.max_connections),
-                    .traffic = &link}),
+                    .traffic = &traffic_counters}),
         metrics_server(
-            traffic, {.traffic = &link, .traffic_kind = "metrics"},
+            network_io,
+            {.traffic = &traffic_counters, .traffic_kind = "metrics"},
             [this](const http::Request&, const http::Responder& respond) {
               UpdateMetrics();
               respond({.headers = {{"Content-Type", "text/plain"}},
@@ -148,12 +149,13 @@
                 static_cast<double>(upstream_http.connections_opened()));
     metrics.Set({.name = "open_requests"},
                 static_cast<double>(job_server.open_requests()));
-    metrics::ExportTraffic(link, metrics);
+    metrics::ExportTraffic(traffic_counters, metrics);
   }
 
   /// Logs the traffic since the previous traffic line. Control thread only.
   void LogTraffic() {
-    const std::vector<metrics::Traffic::Row> rows = link.TakeRecent();
+    const std::vector<metrics::Traffic::Row> rows =
+        traffic_counters.TakeRecent();
     if (rows.empty()) return;
     logging::Event(
         Level::kInfo, "traffic",
@@ -165,10 +167,10 @@
   }
 
   asio::io_context control{1};
-  asio::io_context traffic{1};
+  asio::io_context network_io{1};
   rpc::AsioExecutor executor{control};
   metrics::Registry metrics;
-  metrics::Traffic link;
+  metrics::Traffic traffic_counters;
   http::Client store_http;
   http::Client upstream_http;
   http::Client adviser_http;
@@ -223,13 +225,13 @@
                          daemon_.entry.advice_in_flight(),
         .connections = daemon_.job_server.connections(),
         .accepting_stopped = accepting_stopped_};
-    switch (shutdown::NextStep(options_, view)) {
-      case shutdown::ShutdownStep::kServe:
+    switch (shutdown::NextAction(options_, view)) {
+      case shutdown::ShutdownAction::kContinue:
         break;
-      case shutdown::ShutdownStep::kStopAccepting:
+      case shutdown::ShutdownAction::kStopAccepting:
         StopAccepting();
         break;
-      case shutdown::ShutdownStep::kEnd:
+      case shutdown::ShutdownAction::kEnd:
         daemon_.job_server.LogOpenRequests();
         LogProgress("ending");
         return daemon_.control.stop();
@@ -322,8 +324,8 @@
                   {"failure_domain", settings.failure_domain},
                   {"store", settings.store_address}});
   const auto control_work = asio::make_work_guard(daemon.control);
-  const auto traffic_work = asio::make_work_guard(daemon.traffic);
-  std::thread traffic([&daemon] { daemon.traffic.run(); });
+  const auto network_work = asio::make_work_guard(daemon.network_io);
+  std::thread network_thread([&daemon] { daemon.network_io.run(); });
   asio::signal_set signals(daemon.control, SIGTERM, SIGINT);
   ShutdownSequence sequence(daemon,
                             {.unready_period = Millis(settings.unready_ms),
@@ -339,8 +341,8 @@
   RunEvery(daemon.executor, kTrafficPeriod, [&daemon] { daemon.LogTraffic(); });
   daemon.entry.Start();
   daemon.control.run();
-  daemon.traffic.stop();
-  traffic.join();
+  daemon.network_io.stop();
+  network_thread.join();
   logging::Event(Level::kInfo, "stopped");
   logging::Stop();
   return 0;
--- a/src/coordinator/advice_lanes.cc
+++ b/src/coordinator/advice_lanes.cc
@@ -27,7 +27,8 @@
   peak_at_ = now;
   const auto count = static_cast<double>(lanes_.size());
   const int max_reserved =
-      lanes_.size() < 2 ? 0 : static_cast<int>(std::ceil(kUrgentShare * count));
+      lanes_.size() < 2 ? 0
+                        : static_cast<int>(std::ceil(kMaxUrgentShare * count));
   int reserved =
       std::min(max_reserved,
                static_cast<int>(std::ceil(urgent_peak_)) + kUrgentHeadroom);
--- a/src/coordinator/advice_lanes.h
+++ b/src/coordinator/advice_lanes.h
@@ -37,9 +37,9 @@
   void Free(const std::string& address, bool failed, TimePoint now);
 
   /// Largest share of the lanes that is reserved for urgent work. In bursts of
-  /// urgent work, two of seven reduced the late jobs from 94 to 4 of 154;
-  /// reserving none or half of the lanes did worse.
-  static constexpr double kUrgentShare = 2.0 / 7;
+  /// urgent work, a share of 2/7 reduced the number of late jobs from 94 to 4
+  /// of 154. Reserving none or half of the lanes gave more late jobs.
+  static constexpr double kMaxUrgentShare = 2.0 / 7;
   /// Lanes reserved in addition to the recent peak of urgent calls. The share
   /// alone reserved 11 of 36 lanes, 9 of which were idle while gangs waited for
   /// a lane.
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -16,11 +16,13 @@
 constexpr Millis kPlaceDelay{2};
 /// How often, and for how many of the steps that have waited longest, the
 /// reason for the wait is logged.
-constexpr Millis kExplainPeriod{2000};
+constexpr Millis kLoadLogPeriod{2000};
 constexpr size_t kExplainedSteps = 4;
-/// What an adviser call may take beyond the duration expected for its queue.
+/// Added to the expected duration of an adviser call to obtain its timeout.
 constexpr Millis kAdviceSlack{600};
 
+/// Attempt numbers reserved for each term, so that the attempts of a later
+/// leader have higher numbers than all earlier ones.
 constexpr int64_t kAttemptsPerTerm = 100000;
 
 }  // namespace
@@ -56,7 +58,7 @@
           .maintenance_duration = options_.maintenance_duration,
           .lists_per_s = options_.host_lists_per_s,
           .orders_per_s = options_.host_orders_per_s,
-          .previous_holder_timeout = options_.holder_lease});
+          .host_holder_timeout = options_.host_holder_timeout});
 }
 
 void Coordinator::Start() {
@@ -78,20 +80,20 @@
   if (closed_) return;
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
   DropUnresponsiveUpstreams();
-  CheckResolved();
+  ResolveIfAllReported();
   RefuseUnsentJobs();
   DropFinalJobs();
-  ExplainWaiting();
+  LogLoadAndWaits();
   PlaceSoon();
   deps_.executor.RunAfter(kTick, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Tick();
   });
 }
 
-void Coordinator::ExplainWaiting() {
+void Coordinator::LogLoadAndWaits() {
   const TimePoint now = deps_.executor.Now();
-  if (now - explained_at_ < kExplainPeriod) return;
-  explained_at_ = now;
+  if (now - load_logged_at_ < kLoadLogPeriod) return;
+  load_logged_at_ = now;
   deps_.metrics.Set({.name = "waiting_steps"},
                     static_cast<double>(scheduler_.waiting_units()));
   deps_.metrics.Set({.name = "jobs_kept"},
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -27,15 +27,18 @@
 namespace mimosarail::coordinator {
 
 struct CoordinatorOptions {
+  /// Term of this leader.
   int64_t term = 0;
+  /// Table of the store that holds the jobs.
   std::string table = "jobs";
+  /// Duration of the task leases at the upstreams; not the leader lease.
   Millis lease{4000};
   /// How long an earlier leader may keep giving orders without being noticed.
   Millis previous_leader_timeout{2000};
-  /// An upstream that is not listed, has not answered for this long and holds
-  /// no lease any more counts as ended. Until then it may only be unreachable
-  /// and come back.
-  Millis dead_upstream_timeout{5000};
+  /// An upstream counts as ended if it is not listed, has not answered for this
+  /// long and has no valid lease. Until then it may be merely unreachable, and
+  /// come back.
+  Millis unresponsive_upstream_timeout{5000};
   /// Interval between reads of the list of upstreams. No task may start on a
   /// draining upstream later than 2 s after it has reported that it drains.
   Millis list_period{250};
@@ -67,7 +70,7 @@
   double host_orders_per_s = 10;
   /// Two leaders must not give orders to the same host within this time of each
   /// other, so a new leader waits this long.
-  Millis holder_lease{3000};
+  Millis host_holder_timeout{3000};
 };
 
 /// Performs the leader's work for one term: it accepts jobs, stores them in the
@@ -89,11 +92,11 @@
     /// Pools that the configuration names; null while none is known.
     std::function<const std::set<std::string>*()> pools;
     /// Whether the leader lease is valid, so that orders may be given now.
-    std::function<bool()> lease_valid;
+    std::function<bool()> leader_lease_valid;
     /// Whether the store has recently confirmed that no other entry leads.
     std::function<bool()> lease_confirmed_by_store;
     /// Called when the stored state is loaded; calls are accepted from then on.
-    std::function<void()> loaded;
+    std::function<void()> on_loaded;
     /// Called when another leader is detected.
     std::function<void(const std::string& cause)> on_leadership_lost;
     /// Null where hosts have no API: then there is no maintenance.
@@ -207,17 +210,20 @@
   void CloseUpstream(UpstreamIndex upstream);
   /// Opens the upstream to new work once the reopening is stored.
   void ReopenUpstream(UpstreamIndex upstream);
-  void CheckResolved();
+  /// Passes the uncertain jobs to the scheduler, once UncertainJobs() knows
+  /// them, and again when their number changes.
+  void ResolveIfAllReported();
   /// Jobs that may have tasks on upstreams which have not reported their
   /// running tasks yet; nullopt if that is unknown for one of these upstreams.
   std::optional<std::unordered_set<JobId>> UncertainJobs() const;
   void Tick();
   /// Drops upstreams that are unlisted and have been unresponsive for
-  /// `dead_upstream_timeout`.
+  /// `unresponsive_upstream_timeout`.
   void DropUnresponsiveUpstreams();
   void DropUpstream(UpstreamIndex upstream, scheduling::UpstreamLoss why);
   void DropFinalJobs();
-  void ExplainWaiting();
+  /// Sets the metrics of the load; logs the load and why steps wait.
+  void LogLoadAndWaits();
 
   /// Returns a function that passes its reply to `done`. `done` runs only once:
   /// after `reply_deadline` without a confirmation of the store it gets `late`.
@@ -275,8 +281,8 @@
   /// Upstreams that an earlier leader closed, until they have reported their
   /// running tasks.
   std::map<std::string, InheritedClosure> inherited_closures_;
-  /// How often each upstream was closed; a reopening that was superseded by a
-  /// closing is recognized by this.
+  /// Number of times each upstream was closed. ReopenUpstream() compares it to
+  /// detect that the upstream was closed again before the reopening was stored.
   std::map<UpstreamIndex, int64_t> close_counts_;
   /// Number of jobs that waited for an upstream's report at the last check.
   size_t uncertain_count_ = 0;
@@ -288,11 +294,12 @@
   /// Listed upstreams of pools that neither the configuration nor a job names.
   /// They are not called.
   std::map<std::string, ports::UpstreamEntry> unreferenced_upstreams_;
-  /// Until then an upstream whose record can't be read may run tasks.
-  TimePoint resolved_after_{};
+  /// Time at which the last lease of an upstream whose record can't be read has
+  /// certainly expired. Until then it may run tasks.
+  TimePoint unreadable_leases_end_{};
   int64_t list_cursor_ = -1;
   bool list_known_ = false;
-  TimePoint explained_at_{};
+  TimePoint load_logged_at_{};
 };
 
 }  // namespace mimosarail::coordinator
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -119,8 +119,9 @@
   }
   // The upstream may run tasks of this service. Only the expiry of its leases
   // is certain.
-  resolved_after_ = deps_.executor.Now() + options_.previous_leader_timeout +
-                    fleet::MaxLeaseDuration(options_.lease);
+  unreadable_leases_end_ = deps_.executor.Now() +
+                           options_.previous_leader_timeout +
+                           fleet::MaxLeaseDuration(options_.lease);
   return "does not decode";
 }
 
@@ -249,7 +250,7 @@
   ReadList();
   if (waves_) waves_->Start();
   Tick();
-  deps_.loaded();
+  deps_.on_loaded();
 }
 
 }  // namespace mimosarail::coordinator
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -62,7 +62,7 @@
   }
   for (const ports::UpstreamEntry& entry : update.entries) OnEntry(entry);
   AdoptReferencedUpstreams();
-  CheckResolved();
+  ResolveIfAllReported();
   PlaceSoon();
 }
 
@@ -162,7 +162,7 @@
           .target = {.address = entry.address, .id = entry.id},
           .first_fence = next_fence_,
           .lease = options_.lease,
-          .previous_holder_timeout = options_.previous_leader_timeout});
+          .previous_leader_timeout = options_.previous_leader_timeout});
   links_[index] = link;
   journal_->WhenStored([weak = weak_from_this(), link](bool stored) {
     const auto self = weak.lock();
@@ -209,11 +209,11 @@
   // closed: a later leader would start the same tasks elsewhere.
   journal_->Put(kUpstreamPrefix + it.entry.id, rpc::Encode(ToRecord(it.entry)));
   journal_->WhenStored([weak = weak_from_this(), upstream,
-                        closing = close_counts_[upstream]](bool stored) {
+                        close_count = close_counts_[upstream]](bool stored) {
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
     if (self->links_.count(upstream) == 0) return;
-    if (self->close_counts_[upstream] != closing) return;
+    if (self->close_counts_[upstream] != close_count) return;
     scheduling::Upstream& reopened = self->scheduler_.pool().at(upstream);
     reopened.closed = false;
     logging::Event(Level::kInfo, "upstream open again",
@@ -234,8 +234,8 @@
   return out;
 }
 
-void Coordinator::CheckResolved() {
-  if (!list_known_ || deps_.executor.Now() < resolved_after_) return;
+void Coordinator::ResolveIfAllReported() {
+  if (!list_known_ || deps_.executor.Now() < unreadable_leases_end_) return;
   if (scheduler_.resolved() && uncertain_count_ == 0) return;
   const auto uncertain = UncertainJobs();
   if (!uncertain) return;
@@ -251,7 +251,9 @@
   ExecuteOrders(orders);
 }
 
-bool Coordinator::MaySendOrders() { return !closed_ && deps_.lease_valid(); }
+bool Coordinator::MaySendOrders() {
+  return !closed_ && deps_.leader_lease_valid();
+}
 
 void Coordinator::OnReport(UpstreamIndex upstream,
                            const std::vector<ports::RunningTask>& running,
@@ -297,7 +299,7 @@
   inherited_closures_.erase(it.entry.id);
   if (it.entry.draining && !it.closed) CloseUpstream(upstream);
   if (!it.entry.draining && it.closed) ReopenUpstream(upstream);
-  CheckResolved();
+  ResolveIfAllReported();
   PlaceSoon();
 }
 
@@ -315,7 +317,7 @@
   const bool ended = why != UpstreamLoss::kLeasesExpired ||
                      (!it.listed && it.suspect_runs.empty());
   if (ended) DropUpstream(upstream, why);
-  CheckResolved();
+  ResolveIfAllReported();
   PlaceSoon();
 }
 
@@ -342,7 +344,8 @@
     const scheduling::Upstream& it = scheduler_.pool().at(index);
     if (it.listed || !link->all_runs_ended()) continue;
     const TimePoint since = it.unresponsive_since.value_or(it.known_since);
-    if (now - since >= options_.dead_upstream_timeout) dead.push_back(index);
+    if (now - since >= options_.unresponsive_upstream_timeout)
+      dead.push_back(index);
   }
   for (const UpstreamIndex index : dead)
     OnAllRunsEnded(index, UpstreamLoss::kCrashed);
--- a/src/fleet/adaptive_timeout.cc
+++ b/src/fleet/adaptive_timeout.cc
@@ -11,8 +11,8 @@
 constexpr double kMeanGain = 1.0 / 8;
 constexpr double kDeviationGain = 1.0 / 4;
 constexpr double kDeviationFactor = 4;
-/// Upper bound of the doublings: more than lie between the minimum and the
-/// maximum of any setting in use.
+/// Maximum number of doublings. In all settings in use, fewer doublings lead
+/// from the minimum to the maximum.
 constexpr int kMaxDoublings = 10;
 
 }  // namespace
--- a/src/fleet/adaptive_timeout.h
+++ b/src/fleet/adaptive_timeout.h
@@ -10,8 +10,9 @@
 ///
 /// Some upstreams leave an order unanswered and carry it out seconds later. The
 /// caller of an urgent job of 0.64 s has some 0.6 s to spare, which a fixed
-/// timeout of 0.7 s exceeds. With 3.5 % of the orders unanswered, 228 of 2,958
-/// requests were served late and 1 too late; with the fixed timeout 379 and 8.
+/// timeout of 0.7 s exceeds. With 3.5 % of the orders unanswered and this
+/// timeout, 228 of 2,958 requests were served late and 1 too late. With the
+/// fixed timeout, the numbers were 379 and 8.
 class AdaptiveTimeout {
  public:
   /// Preconditions: 0 < min <= max.
@@ -19,9 +20,9 @@
 
   /// Records that a call was answered after `reply_time`.
   void AddSample(Clock::duration reply_time);
-  /// Records that a call timed out. Doubles the limit until a call is answered:
-  /// otherwise no answer of an upstream that has become slow would arrive in
-  /// time.
+  /// Records that a call timed out. Each consecutive timeout doubles the limit,
+  /// up to the maximum; an answer resets it. Without this, no answer of an
+  /// upstream that has become slow would arrive in time.
   void AddTimeout();
   Millis timeout() const;
 
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -18,12 +18,12 @@
 /// Consecutive renewals without an answer after which the upstream gets no new
 /// tasks.
 constexpr int kUnreachableAfter = 2;
-/// Renewal period while completions are not durable yet (the store is slow or
+/// Renewal period while completions are not stored yet (the store is slow or
 /// unreachable). The upstream then answers a renewal at once instead of waiting
 /// for more completions, and a completion is seen up to this much later. With a
 /// store that is 50 times slower, 25 of 14,459 urgent jobs completed too late
 /// to be of use; with 500 ms it was 39.
-constexpr Millis kNotDurableRenewPeriod{200};
+constexpr Millis kUnstoredEndsRenewPeriod{200};
 
 }  // namespace
 
@@ -43,9 +43,10 @@
       adaptive_timeout_(options_.min_timeout, options_.max_timeout) {}
 
 void UpstreamLink::Open() {
-  // An earlier holder that was partitioned from everything else may have
-  // renewed leases here, as long as ours, until its leader lease expired.
-  leases_end_ = executor_.Now() + options_.previous_holder_timeout +
+  // An earlier leader may have been partitioned from everything except this
+  // upstream. Until its leader lease expired, it may have renewed the task
+  // leases here. Its leases are as long as ours.
+  leases_end_ = executor_.Now() + options_.previous_leader_timeout +
                 MaxLeaseDuration(options_.lease);
   Renew(Millis(0));
   CheckLeases();
@@ -68,7 +69,8 @@
 }
 
 void UpstreamLink::RenewSoon(Millis delay) {
-  // Only one chain of renewals: the last outstanding reply continues it.
+  // Only one renewal is scheduled at a time. While several are outstanding, the
+  // last reply schedules the next one.
   if (renewal_due_ || closed_ || outstanding_ > 0) return;
   renewal_due_ = true;
   executor_.RunAfter(delay, [weak = weak_from_this()] {
@@ -76,7 +78,7 @@
     if (!self || self->closed_) return;
     self->renewal_due_ = false;
     if (self->outstanding_ > 0) return;
-    self->Renew(self->reachable_ ? self->options_.wait : Millis(0));
+    self->Renew(self->reachable_ ? self->options_.completion_wait : Millis(0));
   });
 }
 
@@ -94,18 +96,18 @@
     leases_end_ =
         std::max(leases_end_, sent + MaxLeaseDuration(options_.lease));
   }
-  const bool has_volatile_ends = ends_durable_ < ends_reported_;
-  const Millis reply_wait = has_volatile_ends ? Millis(0) : wait;
+  const bool has_unstored_ends = ends_stored_ < ends_reported_;
+  const Millis reply_wait = has_unstored_ends ? Millis(0) : wait;
   const int64_t fence = fence_;
   const int64_t number = ++renewals_;
   tasks_.Renew(options_.target,
                {.fence = fence,
-                .acked_ends = ends_durable_,
+                .acked_ends = ends_stored_,
                 .lease_until_ms = extend ? LeaseUntil() : 0,
                 .wait = reply_wait},
                adaptive_timeout_.timeout() + reply_wait,
                [weak = weak_from_this(), number, fence, sent, reply_wait,
-                acked_ends = ends_durable_](const ports::RenewReply& reply) {
+                acked_ends = ends_stored_](const ports::RenewReply& reply) {
                  const auto self = weak.lock();
                  if (!self || self->closed_) return;
                  // The reply to a renewal that waited for a completion does
@@ -144,9 +146,10 @@
   const bool outdated =
       reply.call.clock_ms < clock_ms_ ||
       (reply.call.clock_ms == clock_ms_ && number < newest_answered_);
-  if (outdated) return RenewSoon(options_.gap);
+  if (outdated) return RenewSoon(options_.renew_delay);
   newest_answered_ = std::max(newest_answered_, number);
-  // This reply makes it possible to set a lease again; it is sent at once.
+  // The reply makes it possible to set a lease again. The renewal that sets it
+  // is sent at once.
   const bool lease_due = clock_ms_ == 0 || failures_ >= kUnreachableAfter;
   failures_ = 0;
   ends_acknowledged_ = std::max(ends_acknowledged_, acked_ends);
@@ -165,9 +168,10 @@
   if (closed_) return;
   SetReachable(true);
   if (lease_due) return Renew(Millis(0));
-  const bool has_volatile_ends = ends_durable_ < ends_reported_;
-  // While completions are not durable, the upstream answers without waiting.
-  RenewSoon(has_volatile_ends ? kNotDurableRenewPeriod : options_.gap);
+  const bool has_unstored_ends = ends_stored_ < ends_reported_;
+  // While completions are not stored, the upstream answers without waiting.
+  RenewSoon(has_unstored_ends ? kUnstoredEndsRenewPeriod
+                              : options_.renew_delay);
 }
 
 void UpstreamLink::OnRenewFailed(const ports::CallReply& reply) {
@@ -204,12 +208,12 @@
 }
 
 void UpstreamLink::AcknowledgeEnds(int64_t number) {
-  if (number <= ends_durable_) return;
-  ends_durable_ = number;
-  if (ends_durable_ < ends_reported_ || closed_) return;
-  // Sends the renewal that was delayed until the completions were durable.
+  if (number <= ends_stored_) return;
+  ends_stored_ = number;
+  if (ends_stored_ < ends_reported_ || closed_) return;
+  // Sends the renewal that was delayed until the completions were stored.
   renewal_due_ = false;
-  RenewSoon(options_.gap);
+  RenewSoon(options_.renew_delay);
 }
 
 void UpstreamLink::Start(const scheduling::StartOrder& order) {
--- a/src/fleet/upstream_link.h
+++ b/src/fleet/upstream_link.h
@@ -18,20 +18,21 @@
 struct UpstreamLinkOptions {
   UpstreamIndex index = kNoUpstream;
   ports::UpstreamTarget target;
-  /// First fencing token of this holder, which owns kFenceSpan tokens from
+  /// First fencing token of this leader, which owns kFenceSpan tokens from
   /// there on.
   int64_t first_fence = 0;
-  /// How long tasks at the upstream keep running without a renewal. A shorter
-  /// lease frees the tasks of a lost upstream sooner, a longer one survives
-  /// longer interruptions of control.
+  /// How long tasks at the upstream keep running without a renewal. With a
+  /// shorter lease, the tasks of a lost upstream can be restarted elsewhere
+  /// sooner. With a longer one, tasks survive a longer time without a leader or
+  /// a connection.
   Millis lease{4000};
-  /// How long an earlier holder may keep renewing leases undetected.
-  Millis previous_holder_timeout{2000};
+  /// How long an earlier leader may keep renewing leases undetected.
+  Millis previous_leader_timeout{2000};
   /// How long a renewal waits at the upstream for a completion.
-  Millis wait{1000};
-  /// Minimum time between two renewals, so that completions that arrive in a
-  /// burst share one.
-  Millis gap{25};
+  Millis completion_wait{1000};
+  /// Usual delay from the reply to a renewal to the next renewal, so that
+  /// completions that arrive in a burst share one.
+  Millis renew_delay{25};
   /// Bounds of the timeout of a call that the upstream answers at once; within
   /// them the timeout adapts to the reply times. The minimum keeps a leader
   /// that is busy for two of its 50 ms ticks from treating its own calls as in
@@ -40,7 +41,7 @@
   Millis max_timeout{700};
 };
 
-/// Number of fencing tokens that one holder may use at one upstream. Each start
+/// Number of fencing tokens that one leader may use at one upstream. Each start
 /// without a reply consumes one.
 inline constexpr int64_t kFenceSpan = 1000000;
 
@@ -53,8 +54,9 @@
   virtual ~UpstreamEvents() = default;
   /// Whether orders may be sent now.
   virtual bool MaySendOrders() = 0;
-  /// Reports the running tasks and the new completions. The first report is
-  /// the complete inventory.
+  /// Reports all running tasks and the new completions. If the upstream has
+  /// more completions than fit into one reply, later reports contain the rest;
+  /// reconciled() becomes true only then.
   virtual void OnReport(UpstreamIndex upstream,
                         const std::vector<ports::RunningTask>& running,
                         const std::vector<ports::EndedTask>& ended) = 0;
@@ -68,12 +70,13 @@
   /// A stop was not sent or not answered; the run may continue.
   virtual void OnStopFailed(UpstreamIndex upstream, const TaskId& task,
                             int64_t attempt) = 0;
-  /// Another holder used a higher fencing token there.
+  /// Another leader used a higher fencing token there.
   virtual void OnFenced(UpstreamIndex upstream) = 0;
 };
 
-/// The holder's connection to one upstream: renews its leases, sends orders,
-/// and resolves the outcome of starts without a reply. Control thread only.
+/// The leader's connection to one upstream: renews the leases of its tasks,
+/// sends orders, and determines the outcome of starts without a reply. Control
+/// thread only.
 class UpstreamLink : public std::enable_shared_from_this<UpstreamLink> {
  public:
   /// The referenced objects must outlive the link's last callback; there is
@@ -86,7 +89,7 @@
 
   void Start(const scheduling::StartOrder& order);
   void Stop(const TaskId& task, int64_t attempt);
-  /// Completions up to `number` are durable: the upstream may discard them.
+  /// Completions up to `number` are stored: the upstream may discard them.
   void AcknowledgeEnds(int64_t number);
 
   /// The highest fencing token in use.
@@ -116,8 +119,8 @@
   void OnRenewFailed(const ports::CallReply& reply);
   void OnStartDone(const scheduling::StartOrder& order, int64_t fence,
                    ports::CallReply reply);
-  /// Feeds the outcome of a call that is answered at once to the adaptive
-  /// timeout.
+  /// Updates the adaptive timeout with the outcome of a call that the upstream
+  /// answers at once.
   void RecordReply(TimePoint sent, ports::CallVerdict verdict);
   void RaiseFence();
   void ResolveStarts(int64_t fence, const ports::RenewReply& reply);
@@ -149,7 +152,7 @@
   /// No lease granted so far lasts beyond this, on the local clock.
   TimePoint leases_end_{};
   int64_t ends_reported_ = 0;
-  int64_t ends_durable_ = 0;
+  int64_t ends_stored_ = 0;
   int64_t ends_acknowledged_ = 0;
   std::map<std::pair<TaskId, int64_t>, UnresolvedStart> unresolved_starts_;
 };
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -18,13 +18,13 @@
 constexpr Millis kRetryAfter{1000};
 constexpr Millis kLanesPeriod{200};
 /// A call that the leader has not answered is retried after
-/// JobEntryOptions::retry. The pause then doubles up to three times, to 0.4 s:
-/// each retry uses link and processor capacity that the leader needs to answer
-/// at all.
+/// JobEntryOptions::first_retry_pause. The pause then doubles up to three
+/// times, to 0.4 s: each retry uses link and processor capacity that the leader
+/// needs to answer at all.
 constexpr int kMaxDoublings = 3;
-/// A call that waits for a leader checks at this interval whether its entry is
-/// shutting down.
-constexpr Millis kMaxWait{500};
+/// A call that waits for a leader checks its deadline again at this interval,
+/// since the deadline becomes earlier when its entry shuts down.
+constexpr Millis kLeaderWaitPeriod{500};
 /// Longest retry pause that is accepted from another entry's refusal.
 constexpr Millis kMaxRetryAfter{60000};
 /// Longest timeout of an advice call that another entry may request, and
@@ -87,10 +87,10 @@
 struct JobEntry::Forwarded {
   /// The call's kind and subject, for the log.
   std::string name;
-  /// When a call that cannot have taken effect is refused.
-  TimePoint deadline;
-  /// When the caller stops waiting.
-  TimePoint limit;
+  /// Time at which the call is refused if it cannot have taken effect.
+  TimePoint refuse_at;
+  /// Time at which the caller stops waiting.
+  TimePoint caller_deadline;
   /// Runs the call at this entry.
   std::function<void(std::function<void(Reply)>)> run_local;
   /// Sends the call to another entry.
@@ -166,10 +166,10 @@
           .metrics = deps_.metrics,
           .malformed_records = malformed_records_,
           .pools = [this] { return KnownPools(); },
-          .lease_valid = [this] { return leadership_.lease_valid(); },
+          .leader_lease_valid = [this] { return leadership_.lease_valid(); },
           .lease_confirmed_by_store =
               [this] { return leadership_.lease_confirmed_by_store(); },
-          .loaded = [this] { leadership_.MarkReady(); },
+          .on_loaded = [this] { leadership_.MarkReady(); },
           .on_leadership_lost =
               [this](const std::string& cause) {
                 // Posted, since stepping down destroys the coordinator that
@@ -207,7 +207,7 @@
 void JobEntry::BeginShutdown() {
   shutting_down_ = true;
   shutdown_reply_deadline_ =
-      deps_.executor.Now() + options_.shutdown_reply_deadline;
+      deps_.executor.Now() + options_.shutdown_reply_timeout;
   leadership_.Resign();
 }
 
@@ -239,8 +239,9 @@
   // A call that may have taken effect can't be refused any more, so its outcome
   // is resolved for as long as its caller waits. An entry that shuts down must
   // answer each call before it exits.
-  const TimePoint deadline = std::min(
-      call->in_doubt ? call->limit : call->deadline, shutdown_reply_deadline_);
+  const TimePoint deadline =
+      std::min(call->in_doubt ? call->caller_deadline : call->refuse_at,
+               shutdown_reply_deadline_);
   const auto remaining = std::chrono::duration_cast<Millis>(deadline - now);
   if (remaining <= Millis(0)) {
     logging::Event(Level::kWarning, "no answer from a leader",
@@ -258,11 +259,12 @@
   }
   const auto retry = [this, call, remaining] {
     const int doublings = std::clamp(call->tries - 1, 0, kMaxDoublings);
-    waiting_.Wait(std::min(remaining, options_.retry * (1 << doublings)),
-                  [this, call] { Forward(call); });
+    waiting_.Wait(
+        std::min(remaining, options_.first_retry_pause * (1 << doublings)),
+        [this, call] { Forward(call); });
   };
   const auto retry_later = [this, call] {
-    deps_.executor.RunAfter(options_.store_retry,
+    deps_.executor.RunAfter(options_.store_retry_pause,
                             [this, call] { Forward(call); });
   };
   const auto answer = [this, retry, retry_later, call](const Reply& reply) {
@@ -302,7 +304,7 @@
     call->last_try = leadership_.leader().address.empty()
                          ? "no leader known"
                          : "the leader still loads";
-    return waiting_.Wait(std::min(remaining, kMaxWait),
+    return waiting_.Wait(std::min(remaining, kLeaderWaitPeriod),
                          [this, call] { Forward(call); });
   }
   ++call->tries;
@@ -352,15 +354,16 @@
       });
 }
 
-void JobEntry::Submit(const wire::JobSpec& spec, Millis limit, JobDone done) {
+void JobEntry::Submit(const wire::JobSpec& spec, Millis caller_timeout,
+                      JobDone done) {
   const auto id = static_cast<JobId>(spec.id);
   auto message = std::make_shared<wire::SubmitJobCall>();
   message->job = spec;
   auto call = std::make_shared<Forwarded<wire::SubmitJobReply>>();
   call->name = "submit " + JobIdText(id);
-  call->limit = deps_.executor.Now() + limit;
-  call->deadline =
-      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
+  call->caller_deadline = deps_.executor.Now() + caller_timeout;
+  call->refuse_at = deps_.executor.Now() +
+                    std::min(caller_timeout, options_.leader_wait_timeout);
   call->run_local = [this, message](auto reply) { OnSubmit(*message, reply); };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
@@ -370,7 +373,7 @@
   Forward(call);
 }
 
-void JobEntry::State(JobId id, Millis limit, JobDone done) {
+void JobEntry::State(JobId id, Millis caller_timeout, JobDone done) {
   const auto known = final_states_.find(id);
   if (known != final_states_.end()) {
     return done({.verdict = JobVerdict::kDone, .state = known->second});
@@ -380,9 +383,9 @@
   auto call = std::make_shared<Forwarded<wire::JobStateReply>>();
   call->read_only = true;
   call->name = "state " + JobIdText(id);
-  call->limit = deps_.executor.Now() + limit;
-  call->deadline =
-      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
+  call->caller_deadline = deps_.executor.Now() + caller_timeout;
+  call->refuse_at = deps_.executor.Now() +
+                    std::min(caller_timeout, options_.leader_wait_timeout);
   call->run_local = [this, message](auto reply) { OnState(message, reply); };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
@@ -405,14 +408,14 @@
   final_order_.pop_front();
 }
 
-void JobEntry::Cancel(JobId id, Millis limit, JobDone done) {
+void JobEntry::Cancel(JobId id, Millis caller_timeout, JobDone done) {
   wire::CancelJobCall message;
   message.id = static_cast<int64_t>(id);
   auto call = std::make_shared<Forwarded<wire::CancelJobReply>>();
   call->name = "cancel " + JobIdText(id);
-  call->limit = deps_.executor.Now() + limit;
-  call->deadline =
-      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
+  call->caller_deadline = deps_.executor.Now() + caller_timeout;
+  call->refuse_at = deps_.executor.Now() +
+                    std::min(caller_timeout, options_.leader_wait_timeout);
   call->run_local = [this, message](auto reply) { OnCancel(message, reply); };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
@@ -422,15 +425,16 @@
   Forward(call);
 }
 
-void JobEntry::Pending(const std::string& queue, Millis limit, JobDone done) {
+void JobEntry::Pending(const std::string& queue, Millis caller_timeout,
+                       JobDone done) {
   wire::PendingJobsCall message;
   message.queue = queue;
   auto call = std::make_shared<Forwarded<wire::PendingJobsReply>>();
   call->read_only = true;
   call->name = "pending " + queue;
-  call->limit = deps_.executor.Now() + limit;
-  call->deadline =
-      deps_.executor.Now() + std::min(limit, options_.leader_wait_timeout);
+  call->caller_deadline = deps_.executor.Now() + caller_timeout;
+  call->refuse_at = deps_.executor.Now() +
+                    std::min(caller_timeout, options_.leader_wait_timeout);
   call->run_local = [this, message](auto reply) { OnPending(message, reply); };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -24,12 +24,12 @@
   /// doubt. A takeover takes about 1.2 s.
   Millis leader_wait_timeout{1300};
   /// Pause between the first two attempts to reach the leader.
-  Millis retry{50};
+  Millis first_retry_pause{50};
   /// Pause before a call is repeated at a leader that cannot reach the store.
-  Millis store_retry{150};
+  Millis store_retry_pause{150};
   /// An entry that shuts down answers its accepted calls within this time: the
   /// platform ends the process 6 s after it requested the stop.
-  Millis shutdown_reply_deadline{4400};
+  Millis shutdown_reply_timeout{4400};
   /// How long the result of a check whether the store serves this entry is
   /// reused.
   Millis store_check_max_age{500};
@@ -75,10 +75,12 @@
   int64_t advice_in_flight() const { return advice_in_flight_; }
 
   Route Find(const std::string& host, const std::string& path) override;
-  void Submit(const wire::JobSpec& spec, Millis limit, JobDone done) override;
-  void State(JobId id, Millis limit, JobDone done) override;
-  void Cancel(JobId id, Millis limit, JobDone done) override;
-  void Pending(const std::string& queue, Millis limit, JobDone done) override;
+  void Submit(const wire::JobSpec& spec, Millis caller_timeout,
+              JobDone done) override;
+  void State(JobId id, Millis caller_timeout, JobDone done) override;
+  void Cancel(JobId id, Millis caller_timeout, JobDone done) override;
+  void Pending(const std::string& queue, Millis caller_timeout,
+               JobDone done) override;
   bool Ready() override;
 
   void Ask(const std::string& entry_address, const StepId& step,
--- a/src/jobentry/job_service.h
+++ b/src/jobentry/job_service.h
@@ -33,18 +33,18 @@
 using JobDone = std::function<void(JobAnswer)>;
 
 /// Operations that an entry offers to callers. Control thread only. `done` runs
-/// once, on the control thread, after `limit` at the latest.
+/// once, on the control thread, after `caller_timeout` at the latest.
 class JobService {
  public:
   virtual ~JobService() = default;
   /// Finds the queue of this host with the longest prefix of the path.
   virtual Route Find(const std::string& host, const std::string& path) = 0;
   /// Precondition: CheckJob() found nothing.
-  virtual void Submit(const wire::JobSpec& spec, Millis limit,
+  virtual void Submit(const wire::JobSpec& spec, Millis caller_timeout,
                       JobDone done) = 0;
-  virtual void State(JobId id, Millis limit, JobDone done) = 0;
-  virtual void Cancel(JobId id, Millis limit, JobDone done) = 0;
-  virtual void Pending(const std::string& queue, Millis limit,
+  virtual void State(JobId id, Millis caller_timeout, JobDone done) = 0;
+  virtual void Cancel(JobId id, Millis caller_timeout, JobDone done) = 0;
+  virtual void Pending(const std::string& queue, Millis caller_timeout,
                        JobDone done) = 0;
   /// Whether a load balancer should send new callers here.
   virtual bool Ready() = 0;
--- a/src/jobentry/waiting_calls.h
+++ b/src/jobentry/waiting_calls.h
@@ -8,9 +8,9 @@
 
 namespace mimosarail::jobentry {
 
-/// Holds calls at the callers' entry while the leader can't accept them,
-/// instead of repeating them at the leader. Control thread only. Must outlive
-/// the tasks of its executor.
+/// Holds calls at the entry that received them while the leader can't accept
+/// them. This avoids repeated calls to the leader. Control thread only. Must
+/// outlive the callbacks queued in its executor.
 class WaitingCalls {
  public:
   explicit WaitingCalls(Executor& executor) : executor_(executor) {}
--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -15,15 +15,16 @@
 using ports::WaveStatus;
 
 constexpr Millis kTick{100};
-/// The API answers in some 20 ms, at its slowest in fifty times that.
+/// The API answers in about 20 ms, and in 1 s at its slowest.
 constexpr Millis kCallTimeout{2000};
 /// Minimum time between two readings of the list while a change is expected;
 /// each reading has a cost.
 constexpr Millis kAwaitedListPeriod{500};
-/// The same while a host's upstream is unknown, partitioned or down, which
-/// lasts some 3 to 7 s.
+/// Minimum time between two readings while a host's upstream is unknown,
+/// partitioned or down, which lasts about 3 to 7 s.
 constexpr Millis kChangedListPeriod{1000};
-/// Readings while no change is expected only find hosts that left or came up.
+/// Time between two readings while no change is expected. They only find hosts
+/// that left or came up.
 constexpr Millis kIdleListPeriod{3000};
 /// Backoff after a refused or unanswered call; doubles up to the maximum.
 constexpr Millis kMinBackoff{250};
@@ -74,14 +75,14 @@
   const TimePoint now = deps_.executor.Now();
   host.upstream = stored->upstream;
   host.recorded = true;
-  host.progress = stored->begun ? HostMaintenancePhase::kInProgress
-                                : HostMaintenancePhase::kRequested;
+  host.phase = stored->begun ? HostMaintenancePhase::kInProgress
+                             : HostMaintenancePhase::kRequested;
   host.begun_at = now;
   // The order of the earlier leader may still be in flight.
   host.unanswered = now;
   // Delays the orders to all hosts, not only to this one in this wave: another
   // wave may include the same host, and two leaders would order it alternately.
-  next_order_ = now + options_.previous_holder_timeout;
+  next_order_ = now + options_.host_holder_timeout;
   return true;
 }
 
@@ -154,13 +155,13 @@
       // The host is back after the maintenance at the earliest; an earlier
       // reading is useless.
       const bool may_be_back =
-          host.progress == HostMaintenancePhase::kInProgress &&
+          host.phase == HostMaintenancePhase::kInProgress &&
           now >= host.begun_at + options_.maintenance_duration;
       if (!wave.complete && may_be_back) return true;
       // The upstream of the host has ended or is unreachable; the host may run
       // another upstream by now.
       const Listed* listed = FindListed(name);
-      const bool changed = host.progress == HostMaintenancePhase::kPending &&
+      const bool changed = host.phase == HostMaintenancePhase::kPending &&
                            listed != nullptr && listed->missing == 0 &&
                            !listed->entry.upstream.empty() &&
                            !deps_.workload.WorkOn(listed->entry.upstream).known;
@@ -237,7 +238,7 @@
 
 void WaveManager::RecordReturned(Wave& wave, TimePoint read_from) {
   for (auto& [name, host] : wave.hosts) {
-    if (host.progress != HostMaintenancePhase::kInProgress) continue;
+    if (host.phase != HostMaintenancePhase::kInProgress) continue;
     // Only a reading that began after the reply to the order shows the state of
     // the host since then; an older one may show it up from before.
     if (read_from <= host.begun_at) continue;
@@ -252,7 +253,7 @@
                       (duration_passed && state != HostState::kMaintenance &&
                        state != HostState::kUnknown);
     if (!back) continue;
-    host.progress = HostMaintenancePhase::kCompleted;
+    host.phase = HostMaintenancePhase::kCompleted;
     host.draining_since.reset();
     logging::Event(Level::kInfo, "upkeep over",
                    {{"wave", Text(wave.request.wave)},
@@ -276,7 +277,8 @@
                        entry.upstream != host.upstream;
   if (!another && entry.state != HostState::kMaintenance) return;
   host.upstream_ended = true;
-  // A later leader need not wait until the leases of the upstream have expired.
+  // This also removes the upstream's stored record, so that a later leader does
+  // not wait for the expiry of its leases.
   deps_.workload.OnUpstreamEnded(host.upstream);
 }
 
@@ -289,12 +291,12 @@
 HostView WaveManager::ViewOf(const std::string& name, const Host& host) const {
   const TimePoint now = deps_.executor.Now();
   const Listed* listed = FindListed(name);
-  HostView out{.host = name, .progress = host.progress};
+  HostView out{.host = name, .phase = host.phase};
   out.listed = listed != nullptr && listed->missing < kRemovedAfterReadings;
   // A host that the last reading lacks is not acted on until the next reading.
   const bool seen = listed != nullptr && listed->missing == 0;
   out.state = seen ? listed->entry.state : HostState::kUnknown;
-  out.on_hold = host.in_flight || now < host.retry_at;
+  out.on_hold = host.operation_pending || now < host.retry_at;
   out.draining = host.draining_since.has_value();
   if (out.draining) {
     out.draining_for =
@@ -325,11 +327,11 @@
 }
 
 void WaveManager::ApplyDecision(Wave& wave, std::set<std::string>& cordoned) {
-  // The maintenance that an earlier leader ordered may begin at any moment:
-  // cordons those hosts even before the list is known.
+  // Maintenance that was ordered may begin at any moment. The upstreams on
+  // those hosts are cordoned, even before the list is known.
   for (const auto& [name, host] : wave.hosts) {
-    const bool ordered = host.progress == HostMaintenancePhase::kRequested ||
-                         host.progress == HostMaintenancePhase::kInProgress;
+    const bool ordered = host.phase == HostMaintenancePhase::kRequested ||
+                         host.phase == HostMaintenancePhase::kInProgress;
     if (ordered && !host.upstream.empty()) cordoned.insert(host.upstream);
   }
   if (!list_known_ || !wave.known) return;
@@ -345,11 +347,13 @@
 void WaveManager::ForgetLostOrders(Wave& wave) {
   const TimePoint now = deps_.executor.Now();
   for (auto& [name, host] : wave.hosts) {
-    if (host.progress != HostMaintenancePhase::kRequested || host.in_flight)
+    if (host.phase != HostMaintenancePhase::kRequested ||
+        host.operation_pending)
       continue;
     const bool may_take_effect =
         host.unanswered && now <= *host.unanswered + options_.max_order_delay;
-    // An order that was never sent keeps its slot only while it can be sent.
+    // An order that was never sent still counts towards max_unavailable, but
+    // only while the host is up, so that it can still be sent.
     const HostState state = ViewOf(name, host).state;
     if (may_take_effect || (!host.unanswered && state == HostState::kUp))
       continue;
@@ -365,7 +369,7 @@
 void WaveManager::Release(int64_t wave, const std::string& name) {
   Host& host = waves_.at(wave).hosts.at(name);
   host.unanswered.reset();
-  host.in_flight = true;
+  host.operation_pending = true;
   // The slot becomes free only when the record is removed. A later leader that
   // found it beside the record of the next host would treat both as ordered,
   // order both again, and let one host too many be away.
@@ -374,9 +378,9 @@
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
     Host& released = self->waves_.at(wave).hosts.at(name);
-    released.in_flight = false;
+    released.operation_pending = false;
     released.recorded = false;
-    released.progress = HostMaintenancePhase::kPending;
+    released.phase = HostMaintenancePhase::kPending;
   });
 }
 
@@ -431,7 +435,7 @@
   const Host& host = wave.hosts.at(name);
   return {.wave = wave.request.wave,
           .host = name,
-          .begun = host.progress == HostMaintenancePhase::kInProgress,
+          .begun = host.phase == HostMaintenancePhase::kInProgress,
           .upstream = host.upstream};
 }
 
@@ -441,9 +445,9 @@
   next_order_ = now + Spacing(options_.orders_per_s);
   Host& host = wave.hosts.at(name);
   const Listed* listed = FindListed(name);
-  const bool repeated = host.progress == HostMaintenancePhase::kRequested;
-  host.progress = HostMaintenancePhase::kRequested;
-  host.in_flight = true;
+  const bool repeated = host.phase == HostMaintenancePhase::kRequested;
+  host.phase = HostMaintenancePhase::kRequested;
+  host.operation_pending = true;
   if (listed != nullptr) host.upstream = listed->entry.upstream;
   const int64_t number = wave.request.wave;
   if (repeated) return Send(number, name);
@@ -466,7 +470,7 @@
   const bool valid = !fenced_ && deps_.workload.MayOrder() &&
                      (host.upstream.empty() || work.known) && work.tasks == 0;
   if (!valid) {
-    host.in_flight = false;
+    host.operation_pending = false;
     return;
   }
   host.upstream_ended = false;
@@ -494,7 +498,7 @@
                           const ports::HostReply& reply) {
   const TimePoint now = deps_.executor.Now();
   Host& host = waves_.at(wave).hosts.at(name);
-  host.in_flight = false;
+  host.operation_pending = false;
   const std::string verdict(ports::kHostVerdictNames.Name(reply.verdict));
   deps_.metrics.Count(
       {.name = "upkeep_answers", .labels = {{"verdict", verdict}}});
@@ -508,7 +512,7 @@
   switch (reply.verdict) {
     case HostVerdict::kDone: {
       backoff_ = Millis(0);
-      host.progress = HostMaintenancePhase::kInProgress;
+      host.phase = HostMaintenancePhase::kInProgress;
       host.begun_at = now;
       host.unanswered.reset();
       const auto record = Encode(RecordOf(waves_.at(wave), name));
@@ -525,7 +529,7 @@
       return;
     case HostVerdict::kNotInWave:
     case HostVerdict::kNoSuchHost:
-      host.progress = HostMaintenancePhase::kExcluded;
+      host.phase = HostMaintenancePhase::kExcluded;
       return;
     case HostVerdict::kRefused:
       BackOff();
--- a/src/maintenance/wave_manager.h
+++ b/src/maintenance/wave_manager.h
@@ -46,10 +46,10 @@
   /// Calls per second that the platform accepts from all entries together.
   double lists_per_s = 10;
   double orders_per_s = 10;
-  /// Two holders that order one host within this time count as alternating. A
-  /// new leader that finds orders of an earlier one sends none before it has
-  /// passed.
-  Millis previous_holder_timeout{3000};
+  /// Orders of two holders to the same host must be at least this far apart;
+  /// closer ones count as alternating control. A new leader that finds stored
+  /// orders of an earlier leader sends no order until this time has passed.
+  Millis host_holder_timeout{3000};
   /// An order without an answer may take effect this much later; after that it
   /// counts as lost. Orders have taken effect at the platform up to 12 s late.
   Millis max_order_delay{15000};
@@ -91,8 +91,10 @@
 
  private:
   struct Host {
-    HostMaintenancePhase progress = HostMaintenancePhase::kPending;
-    bool in_flight = false;
+    HostMaintenancePhase phase = HostMaintenancePhase::kPending;
+    /// An order is being stored or sent, or its record is being removed; no
+    /// further order is sent to the host.
+    bool operation_pending = false;
     /// When the last order without an answer timed out; unset if no order can
     /// take effect later.
     std::optional<TimePoint> unanswered;
--- a/src/maintenance/wave_plan.cc
+++ b/src/maintenance/wave_plan.cc
@@ -21,15 +21,15 @@
 
 /// Whether the maintenance of the host is still outstanding for the wave.
 bool IsPending(const HostView& host) {
-  return host.listed && (host.progress == HostMaintenancePhase::kPending ||
-                         host.progress == HostMaintenancePhase::kRequested);
+  return host.listed && (host.phase == HostMaintenancePhase::kPending ||
+                         host.phase == HostMaintenancePhase::kRequested);
 }
 
 /// Whether the host counts as away. An order in doubt may take effect at any
 /// moment, and the list shows maintenance begun by another party: both count.
 bool IsAway(const HostView& host) {
-  if (host.progress == HostMaintenancePhase::kRequested) return true;
-  if (host.progress == HostMaintenancePhase::kInProgress) return host.listed;
+  if (host.phase == HostMaintenancePhase::kRequested) return true;
+  if (host.phase == HostMaintenancePhase::kInProgress) return host.listed;
   return host.listed && host.state == HostState::kMaintenance;
 }
 
@@ -40,9 +40,9 @@
   size_t taken = 0;
   for (const HostView& host : view.hosts) {
     const bool in_flight =
-        host.progress == HostMaintenancePhase::kRequested && host.on_hold;
+        host.phase == HostMaintenancePhase::kRequested && host.on_hold;
     const bool begun =
-        host.progress == HostMaintenancePhase::kInProgress && host.listed;
+        host.phase == HostMaintenancePhase::kInProgress && host.listed;
     if (in_flight || begun) ++taken;
   }
   return view.max_unavailable > taken ? view.max_unavailable - taken : 0;
@@ -70,7 +70,7 @@
   return std::clamp(share - view.maintenance_duration, Millis(0), kMaxDrain);
 }
 
-/// Returns the condition that the maintenance of a draining host blocked_by
+/// Returns the condition that the maintenance of a draining host waits
 /// for; empty if it may begin.
 std::string BlockedBy(const HostView& host) {
   if (host.on_hold) return "the answer to an order, or the backoff after one";
@@ -88,12 +88,12 @@
 std::vector<const HostView*> PendingInOrder(const WaveView& view) {
   std::vector<const HostView*> out;
   for (const HostView& host : view.hosts) {
-    const bool eligible = host.progress == HostMaintenancePhase::kRequested ||
+    const bool eligible = host.phase == HostMaintenancePhase::kRequested ||
                           host.state == HostState::kUp;
     if (IsPending(host) && eligible) out.push_back(&host);
   }
   const auto rank = [](const HostView* host) {
-    return std::tuple(host->progress != HostMaintenancePhase::kRequested,
+    return std::tuple(host->phase != HostMaintenancePhase::kRequested,
                       !host->draining, host->work.budgeted_tasks,
                       host->work.drain_time, host->work.tasks);
   };
@@ -119,16 +119,18 @@
   out.drain_limit = DrainLimit(view, out.pending, out.pace);
   size_t slots = out.pace > out.away ? out.pace - out.away : 0;
   size_t repeat_slots = RepeatSlots(view);
-  // The next hosts drain while these are away, as long as the free capacity
-  // elsewhere suffices for their work.
+  // Number of hosts that may drain, those with an order in doubt not counted:
+  // those that get a free slot now, plus `pace` hosts that drain in advance
+  // while others are away. A host begins to drain in advance only if the free
+  // capacity elsewhere suffices for its work.
   size_t drains = slots + out.pace;
   int64_t free_millicores = view.free_millicores;
   for (const HostView* host : PendingInOrder(view)) {
-    const bool in_doubt = host->progress == HostMaintenancePhase::kRequested;
-    const bool on_turn = drains > out.pace;
+    const bool in_doubt = host->phase == HostMaintenancePhase::kRequested;
+    const bool has_free_slot = drains > out.pace;
     const bool fits =
         host->draining || host->work.millicores <= free_millicores;
-    if (!in_doubt && (drains == 0 || (!on_turn && !fits))) continue;
+    if (!in_doubt && (drains == 0 || (!has_free_slot && !fits))) continue;
     out.drain.push_back(host->host);
     free_millicores -= host->work.millicores;
     if (!in_doubt) --drains;
@@ -140,7 +142,8 @@
       out.evict.push_back(host->host);
     }
     if (!blocked_by.empty() || slots_left == 0) {
-      // Reserves a slot for the host whose turn it is.
+      // A host past its drain limit keeps a slot reserved until its maintenance
+      // can begin.
       if (!in_doubt && slots_left > 0 && limit_passed) --slots_left;
       out.drain_blockers.push_back(
           host->host + " for " +
--- a/src/maintenance/wave_plan.h
+++ b/src/maintenance/wave_plan.h
@@ -11,7 +11,7 @@
 
 namespace mimosarail::maintenance {
 
-/// Progress of one host of a wave.
+/// Phase of the maintenance of one host of a wave.
 enum class HostMaintenancePhase {
   kPending,     ///< Its maintenance has not been ordered.
   kRequested,   ///< Ordered; in doubt whether the maintenance has begun.
@@ -47,7 +47,7 @@
   /// On the platform's list; a host that is not has left permanently.
   bool listed = true;
   ports::HostState state = ports::HostState::kUp;
-  HostMaintenancePhase progress = HostMaintenancePhase::kPending;
+  HostMaintenancePhase phase = HostMaintenancePhase::kPending;
   /// No order may be sent to the host for now: one is in flight, or one was
   /// refused recently.
   bool on_hold = false;
@@ -73,8 +73,9 @@
   /// The subset of `drain` whose drain limit has passed: all their work is to
   /// be stopped.
   std::vector<std::string> evict;
-  /// Hosts whose maintenance is to begin now. No task runs there: a completion
-  /// right before the maintenance may be recorded here and lost there.
+  /// Hosts whose maintenance is to begin now. No task runs on them. Otherwise a
+  /// task could complete right before the maintenance, and its completion could
+  /// be recorded by the leader but lost on the host.
   std::vector<std::string> start_maintenance;
   ports::WaveStatus status = ports::WaveStatus::kRunning;
   /// For the log: draining hosts, each with the condition that it waits for.
@@ -89,7 +90,8 @@
 
 /// Decides the next steps of one wave. A pure function: no clock, no I/O. Never
 /// lets more than `max_unavailable` hosts be away; a host whose order has no
-/// answer counts as away. Safe from any thread.
+/// answer counts as away. A slot is one of the places for hosts that may be
+/// away at a time. Thread-safe.
 WaveDecision DecideWave(const WaveView& view);
 
 }  // namespace mimosarail::maintenance
--- a/src/maintenance/wave_records.h
+++ b/src/maintenance/wave_records.h
@@ -10,7 +10,7 @@
 namespace mimosarail::maintenance {
 
 /// The records of maintenance waves that the leader stores in its table for the
-/// next leader. All functions are safe from any thread.
+/// next leader. All functions are thread-safe.
 
 /// First character of the keys.
 inline constexpr char kWavePrefix = 'w';
--- a/src/shutdown/shutdown_plan.h
+++ b/src/shutdown/shutdown_plan.h
@@ -16,7 +16,7 @@
   Millis limit{5200};
 };
 
-/// State of a process that is shutting down, as input for NextStep().
+/// State of a process that is shutting down, as input for NextAction().
 struct ShutdownView {
   /// Time since the shutdown was requested.
   Millis elapsed{0};
@@ -29,24 +29,26 @@
   bool accepting_stopped = false;
 };
 
-enum class ShutdownStep {
-  /// Accept requests and answer them.
-  kServe,
+enum class ShutdownAction {
+  /// Change nothing: continue to accept requests, or, after kStopAccepting,
+  /// continue to answer the accepted ones.
+  kContinue,
   /// Accept no further requests; answer those that were accepted.
   kStopAccepting,
   /// End the process.
   kEnd,
 };
 
-inline constexpr EnumTable kShutdownStepNames{std::array{
-    EnumName{ShutdownStep::kServe, "serve"},
-    EnumName{ShutdownStep::kStopAccepting, "end intake"},
-    EnumName{ShutdownStep::kEnd, "end"},
+inline constexpr EnumTable kShutdownActionNames{std::array{
+    EnumName{ShutdownAction::kContinue, "serve"},
+    EnumName{ShutdownAction::kStopAccepting, "end intake"},
+    EnumName{ShutdownAction::kEnd, "end"},
 }};
 
-/// Returns the next step of a graceful shutdown: the process serves until the
+/// Returns the next action of a graceful shutdown: the process serves until the
 /// load balancer has noticed, then stops accepting requests, answers the
 /// accepted ones, and exits. Thread-safe.
-ShutdownStep NextStep(const ShutdownOptions& options, const ShutdownView& view);
+ShutdownAction NextAction(const ShutdownOptions& options,
+                          const ShutdownView& view);
 
 }  // namespace mimosarail::shutdown
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(HostsAwayNeverExceedLimit) {
   struct Row {
     const char* what;
-    HostMaintenancePhase progress;
+    HostMaintenancePhase phase;
     HostState state;
     bool listed;
     bool allows_another;
@@ -116,10 +116,10 @@
   };
   for (const Row& row : rows) {
     WaveView view = ThreeHosts();
-    view.hosts[0].progress = row.progress;
+    view.hosts[0].phase = row.phase;
     view.hosts[0].state = row.state;
     view.hosts[0].listed = row.listed;
-    view.hosts[0].on_hold = row.progress == HostMaintenancePhase::kRequested;
+    view.hosts[0].on_hold = row.phase == HostMaintenancePhase::kRequested;
     const WaveDecision decision = DecideWave(view);
     BOOST_TEST(
         decision.start_maintenance.size() == (row.allows_another ? 1U : 0U),
@@ -132,7 +132,7 @@
 BOOST_AUTO_TEST_CASE(CompleteOnlyWhenAllHaveBegun) {
   struct Row {
     const char* what;
-    HostMaintenancePhase progress;
+    HostMaintenancePhase phase;
     HostState state;
     bool listed;
     bool complete;
@@ -158,8 +158,8 @@
   for (const Row& row : rows) {
     WaveView view = ThreeHosts();
     for (HostView& host : view.hosts)
-      host.progress = HostMaintenancePhase::kCompleted;
-    view.hosts[1].progress = row.progress;
+      host.phase = HostMaintenancePhase::kCompleted;
+    view.hosts[1].phase = row.phase;
     view.hosts[1].state = row.state;
     view.hosts[1].listed = row.listed;
     const bool complete = DecideWave(view).status == WaveStatus::kComplete;
@@ -231,7 +231,7 @@
 /// resolves it, and needs no new slot.
 BOOST_AUTO_TEST_CASE(OrderInDoubtIsRepeated) {
   WaveView view = ThreeHosts();
-  view.hosts[2].progress = HostMaintenancePhase::kRequested;
+  view.hosts[2].phase = HostMaintenancePhase::kRequested;
   BOOST_TEST(DecideWave(view).start_maintenance == Names({"c"}));
   view.hosts[2].on_hold = true;
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
@@ -241,10 +241,10 @@
 /// as ordered where one may be away, and are ordered one after the other.
 BOOST_AUTO_TEST_CASE(RepeatedOrdersRespectLimit) {
   WaveView view = ThreeHosts();
-  view.hosts[1].progress = HostMaintenancePhase::kRequested;
-  view.hosts[2].progress = HostMaintenancePhase::kRequested;
+  view.hosts[1].phase = HostMaintenancePhase::kRequested;
+  view.hosts[2].phase = HostMaintenancePhase::kRequested;
   BOOST_TEST(DecideWave(view).start_maintenance == Names({"b"}));
-  view.hosts[1].progress = HostMaintenancePhase::kInProgress;
+  view.hosts[1].phase = HostMaintenancePhase::kInProgress;
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -40,9 +40,9 @@
     view.open_requests = static_cast<int64_t>(answered_at.size());
     view.connections = answered_at.size();
     if (now.count() % kPollInterval.count() != 0) continue;
-    const ShutdownStep step = NextStep(options, view);
-    if (step == ShutdownStep::kStopAccepting) view.accepting_stopped = true;
-    if (step == ShutdownStep::kEnd) {
+    const ShutdownAction step = NextAction(options, view);
+    if (step == ShutdownAction::kStopAccepting) view.accepting_stopped = true;
+    if (step == ShutdownAction::kEnd) {
       return {.ended = now, .unanswered = answered_at.size()};
     }
   }
