--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -59,7 +59,7 @@
       "  mimosaraild [jobs] [--settings FILE] --print_settings\n"
       "On SIGTERM it shuts down gracefully: it transfers its responsibilities\n"
       "to other entries and answers open requests. Exit codes: 0 clean\n"
-      "shutdown, 1 cannot listen, 2 invalid settings or usage.");
+      "shutdown, 1 cannot serve, 2 invalid settings or usage.");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   namespace settings = mimosarail::settings;
   const bool jobs = argc > 1 && std::string(argv[1]) == "jobs";
--- a/src/callers/request_json.h
+++ b/src/callers/request_json.h
@@ -10,8 +10,8 @@
 namespace mimosarail::callers {
 
 /// Reads a submission in the format that callers send (docs/API.md). `object`
-/// is the value at `path` in `text`. All faults are added to `findings`. Safe
-/// from any thread.
+/// is the value at `path` in `text`. All faults are added to `findings`.
+/// Thread-safe.
 std::optional<wire::RequestSpec> ReadRequest(const json::JsonText& text,
                                              const json::Json& object,
                                              const std::string& path,
@@ -25,7 +25,7 @@
 bool ValidKey(const std::string& key);
 
 /// The outcome in the format that callers receive. An answer that is not UTF-8
-/// is encoded in base64. Safe from any thread.
+/// is encoded in base64. Thread-safe.
 json::Json OutcomeJson(const std::string& id, const wire::Outcome& outcome);
 
 /// HTTP status of the reply with this outcome.
--- a/src/configlog/config_fold.h
+++ b/src/configlog/config_fold.h
@@ -70,9 +70,9 @@
   std::shared_ptr<const rules::RuleSet> rules() const { return rules_; }
   /// The next offset to read.
   int64_t position() const { return position_; }
-  /// The latest offset as of which the log itself states the configuration:
-  /// the largest `as_of` of a checkpoint read, or the offset after the last
-  /// accepted publish.
+  /// Up to this offset, the records read from the log suffice to determine the
+  /// configuration: the largest `as_of` of the checkpoints read, or the offset
+  /// after the last accepted publish.
   int64_t newest_checkpoint() const { return newest_checkpoint_; }
   const std::deque<AuditEntry>& audit() const { return audit_; }
   /// The audit entry of the record `id`; null if the audit trail has no such
--- a/src/configlog/config_follower.h
+++ b/src/configlog/config_follower.h
@@ -23,10 +23,10 @@
 
 enum class PublishState { kDecided, kRefusedHere, kUnconfirmed };
 
-/// The result of a publish. `entry` is the audit entry of the record if
-/// kDecided, holds the findings if kRefusedHere (nothing was appended), and
-/// only the id and the revision in force if kUnconfirmed: the record may still
-/// come into force.
+/// The result of a publish. The content of `entry` depends on `state`.
+/// kDecided: the audit entry of the record. kRefusedHere: the findings; nothing
+/// was appended. kUnconfirmed: only the id and the revision in force; the
+/// record may still come into force.
 struct PublishResult {
   PublishState state = PublishState::kUnconfirmed;
   AuditEntry entry;
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -21,9 +21,8 @@
 
   /// Applies a new version of the instance list.
   void SetListed(const std::vector<wire::ListedInstance>& instances);
-  /// `controller_of` maps each rack to its preferred controller; `minority`
-  /// is set if this entry receives heartbeats from less than half of the other
-  /// entries.
+  /// `controller_of` maps each rack to its preferred controller; `minority` is
+  /// the result of Membership::InMinority().
   void SetAssignment(std::map<std::string, std::string> controller_of,
                      bool minority);
 
@@ -51,7 +50,7 @@
   /// Names of the attached upstreams that have confirmed control of this entry
   /// after `since`.
   std::vector<std::string> AttachedSince(TimePoint since) const;
-  /// When an upstream last left the instance list; epoch if never.
+  /// When an upstream last left the instance list; TimePoint{} if never.
   TimePoint last_delisting() const { return last_delisting_; }
 
  private:
--- a/src/control/upstream_session.h
+++ b/src/control/upstream_session.h
@@ -42,8 +42,8 @@
   /// The task had started and is no longer in the inventory, not even as ended.
   virtual void OnLost(const std::string& upstream,
                       const wire::TaskSpec& task) = 0;
-  /// The upstream was unresponsive for longer than the lease. Another
-  /// controller may know more.
+  /// The upstream was unresponsive for longer than the lease, so the lease of
+  /// the task is assumed to have expired. Another controller may know more.
   virtual void OnLapseAssumed(const std::string& upstream,
                               const wire::TaskSpec& task) = 0;
   /// Another controller has attached the upstream. `began` is set if the
@@ -76,8 +76,7 @@
   /// new starts stop, and leases are renewed until another controller has
   /// attached.
   void SetPreferred(bool preferred);
-  /// Sets whether this entry receives heartbeats from only a minority of the
-  /// other entries.
+  /// Sets whether this entry is in the minority; see Membership::InMinority().
   void SetMinority(bool minority) { minority_ = minority; }
   /// Applies a changed instance list entry, such as a new address or state.
   void Update(const wire::ListedInstance& listed);
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -15,7 +15,8 @@
 using logging::Text;
 using scheduling::Orders;
 
-/// Callers retry after this when the store is unavailable.
+/// Time after which a caller retries a refused job: the store is unavailable,
+/// there are too many jobs, or the job's record is too large.
 constexpr int64_t kRetryAfterMs = 1000;
 
 wire::SubmitJobReply SubmitReply(JobVerdict verdict, int64_t retry_after = 0) {
@@ -48,10 +49,10 @@
                          std::function<void(wire::SubmitJobReply)> done) {
   const auto id = static_cast<JobId>(spec.id);
   if (!loaded_) return done(SubmitReply(JobVerdict::kNotLeading));
-  if (scheduler_.Find(id) != nullptr || finals_.count(id) > 0) {
+  if (scheduler_.Find(id) != nullptr || final_records_.count(id) > 0) {
     return done(SubmitReply(JobVerdict::kDone));
   }
-  if (unreadable_.count(id) > 0) {
+  if (unreadable_jobs_.count(id) > 0) {
     return done(SubmitReply(JobVerdict::kUnreadable));
   }
   const auto waiting = pending_submissions_.find(id);
@@ -69,9 +70,9 @@
                                                 : JobVerdict::kRefused,
                               kRetryAfterMs));
     }
-    wire::JobSpec stored = spec;
-    stored.accepted_unix_ms = deps_.executor.UnixMillis();
-    std::string record = rpc::Encode(stored);
+    wire::JobSpec stored_spec = spec;
+    stored_spec.accepted_unix_ms = deps_.executor.UnixMillis();
+    std::string record = rpc::Encode(stored_spec);
     if (!Storable(SpecKey(id), record)) {
       // The store would refuse every append that contains this record, and
       // thereby block all records behind it.
@@ -85,12 +86,12 @@
     const int64_t number = ++submissions_;
     pending_submissions_[id].number = number;
     journal_->WhenStored(
-        [weak = weak_from_this(), stored, id, number](bool kept) {
+        [weak = weak_from_this(), stored_spec, id, number](bool stored) {
           const auto self = weak.lock();
-          if (!kept || !self || self->closed_) return;
+          if (!stored || !self || self->closed_) return;
           const auto still = self->pending_submissions_.find(id);
           if (still == self->pending_submissions_.end()) return;
-          if (still->second.number == number) self->OnJobStored(stored);
+          if (still->second.number == number) self->OnJobStored(stored_spec);
         });
   }
   pending_submissions_[id].waiters.push_back(
@@ -156,10 +157,10 @@
 }
 
 JobVerdict Coordinator::VerdictOnUnknownJob() const {
-  // Without a recent confirmation of the store this leader may have a
-  // successor, which has accepted jobs that are unknown here, even if other
-  // entries still follow this one. The caller's entry repeats the call and
-  // finds the current leader.
+  // If the store has not confirmed the lease recently, this leader may already
+  // have a successor that has accepted jobs unknown here, even if other entries
+  // still follow this leader. The caller's entry repeats the call and finds the
+  // current leader.
   return deps_.lease_confirmed_by_store() ? JobVerdict::kNoSuchJob
                                           : JobVerdict::kNotLeading;
 }
@@ -172,16 +173,17 @@
     return reply;
   };
   if (!loaded_) return answer(JobVerdict::kNotLeading, JobState::kQueued);
-  const auto final = finals_.find(id);
-  if (final != finals_.end()) {
+  const auto final = final_records_.find(id);
+  if (final != final_records_.end()) {
     return answer(JobVerdict::kDone, final->second.state);
   }
-  if (unreadable_.count(id) > 0) {
+  if (unreadable_jobs_.count(id) > 0) {
     return answer(JobVerdict::kUnreadable, JobState::kQueued);
   }
   const Job* job = scheduler_.Find(id);
   if (job == nullptr) {
-    // Its record is not stored yet, and the caller has no answer yet.
+    // A pending job is reported as queued: its record is not stored yet, and
+    // its caller has no answer yet.
     const bool pending = pending_submissions_.count(id) > 0;
     return answer(pending ? JobVerdict::kDone : VerdictOnUnknownJob(),
                   JobState::kQueued);
@@ -194,10 +196,10 @@
 void Coordinator::Cancel(JobId id,
                          std::function<void(wire::CancelJobReply)> done) {
   if (!loaded_) return done(CancelReply(JobVerdict::kNotLeading));
-  if (finals_.count(id) > 0) return done(CancelReply(JobVerdict::kDone));
+  if (final_records_.count(id) > 0) return done(CancelReply(JobVerdict::kDone));
   if (pending_submissions_.count(id) > 0)
     return done(CancelReply(JobVerdict::kUnknown));
-  if (unreadable_.count(id) > 0) {
+  if (unreadable_jobs_.count(id) > 0) {
     return done(CancelReply(JobVerdict::kUnreadable));
   }
   if (scheduler_.Find(id) == nullptr)
@@ -214,7 +216,7 @@
 }
 
 bool Coordinator::Knows(JobId id) const {
-  return scheduler_.Find(id) != nullptr || finals_.count(id) > 0 ||
+  return scheduler_.Find(id) != nullptr || final_records_.count(id) > 0 ||
          pending_submissions_.count(id) > 0;
 }
 
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -112,7 +112,7 @@
 
 void Coordinator::DropFinalJobs() {
   const TimePoint now = deps_.executor.Now();
-  for (auto at = finals_.begin(); at != finals_.end();) {
+  for (auto at = final_records_.begin(); at != final_records_.end();) {
     auto& [id, job] = *at;
     if (job.spec_stored && now - job.since > options_.spec_retention &&
         (scheduler_.Find(id) == nullptr || scheduler_.CanForget(id))) {
@@ -122,7 +122,7 @@
     }
     if (!job.spec_stored && now - job.since > options_.state_retention) {
       journal_->Remove(ProgressKey(id));
-      at = finals_.erase(at);
+      at = final_records_.erase(at);
     } else {
       ++at;
     }
@@ -202,9 +202,9 @@
 void Coordinator::LogOrphanedRun(scheduling::StopOrder stop) {
   // The scheduler forgets the tasks of a final job before its state expires
   // here.
-  const auto final = finals_.find(stop.task.job);
+  const auto final = final_records_.find(stop.task.job);
   const bool forgotten = stop.reason == scheduling::StopReason::kUnknownJob &&
-                         final != finals_.end();
+                         final != final_records_.end();
   if (forgotten) {
     stop.reason = scheduling::ReasonToStop(final->second.state);
     if (final->second.ended_here) {
@@ -230,7 +230,7 @@
     const Job* job = scheduler_.Find(id);
     if (job == nullptr) continue;
     journal_->Put(ProgressKey(id), rpc::Encode(job->Progress()));
-    if (!job->final() || finals_.count(id) > 0) continue;
+    if (!job->final() || final_records_.count(id) > 0) continue;
     journal_->WhenStored(
         [weak = weak_from_this(), id, state = job->state()](bool stored) {
           const auto self = weak.lock();
@@ -240,10 +240,10 @@
 }
 
 void Coordinator::OnJobFinished(JobId id, JobState state) {
-  finals_[id] = {.state = state,
-                 .since = deps_.executor.Now(),
-                 .spec_stored = true,
-                 .ended_here = true};
+  final_records_[id] = {.state = state,
+                        .since = deps_.executor.Now(),
+                        .spec_stored = true,
+                        .ended_here = true};
   deps_.metrics.Count(
       {.name = "jobs_ended",
        .labels = {{"state", std::string(kJobStateNames.Name(state))}}});
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -272,7 +272,7 @@
   std::set<std::string> ended_upstreams_;
   std::unordered_map<JobId, PendingSubmission> pending_submissions_;
   int64_t submissions_ = 0;
-  std::unordered_map<JobId, FinalJob> finals_;
+  std::unordered_map<JobId, FinalJob> final_records_;
   /// While loading: records read so far, to be matched by job in LoadJobs().
   std::unordered_map<JobId, wire::JobSpec> loaded_specs_;
   std::unordered_map<JobId, wire::ProgressRecord> loaded_progress_;
@@ -288,7 +288,7 @@
   size_t uncertain_count_ = 0;
   /// Jobs whose records this version can't read. They are neither run nor
   /// overwritten here.
-  std::unordered_set<JobId> unreadable_;
+  std::unordered_set<JobId> unreadable_jobs_;
   /// Pools that jobs name; the configuration may no longer name them.
   std::set<std::string> job_pools_;
   /// Listed upstreams of pools that neither the configuration nor a job names.
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -77,7 +77,8 @@
   const bool of_job = !record.key.empty() && (record.key[0] == kSpecPrefix ||
                                               record.key[0] == kProgressPrefix);
   if (!of_job) return;
-  if (const auto id = ParseJobId(record.key.substr(1))) unreadable_.insert(*id);
+  if (const auto id = ParseJobId(record.key.substr(1)))
+    unreadable_jobs_.insert(*id);
 }
 
 std::string Coordinator::DecodeRecord(const ports::KeyedRecord& record) {
@@ -165,7 +166,7 @@
 
 void Coordinator::StoreUnmatchedEnd(const ports::EndedTask& end) {
   const bool failed = end.kind == ports::EndKind::kFailed;
-  if (unreadable_.count(end.task.job) == 0) return;
+  if (unreadable_jobs_.count(end.task.job) == 0) return;
   if (!failed && end.kind != ports::EndKind::kDone) return;
   // The upstream forgets the end once it is stored here. A version that can
   // read the job's records learns only from this record not to run the task
@@ -180,7 +181,7 @@
   std::vector<std::string> merged;
   for (const auto& [id, ends] : std::exchange(unmatched_ends_, {})) {
     const auto spec = loaded_specs_.find(id);
-    if (spec == loaded_specs_.end() || unreadable_.count(id) > 0) continue;
+    if (spec == loaded_specs_.end() || unreadable_jobs_.count(id) > 0) continue;
     Job job(spec->second);
     job.Restore(loaded_progress_[id]);
     for (const UnmatchedEnd& end : ends) {
@@ -210,20 +211,20 @@
     if (findings.empty()) continue;
     deps_.malformed_records.Report(faults::RecordSource::kJobs, ProgressKey(id),
                                    findings.ToString());
-    unreadable_.insert(id);
+    unreadable_jobs_.insert(id);
   }
   ApplyUnmatchedEnds();
   for (const auto& [id, progress] : loaded_progress_) {
     const auto state = static_cast<JobState>(progress.state);
     if (!IsFinal(state)) continue;
     // The outcome is known, whatever the job's spec record holds.
-    unreadable_.erase(id);
-    finals_[id] = {.state = state,
-                   .since = now,
-                   .spec_stored = loaded_specs_.count(id) > 0};
+    unreadable_jobs_.erase(id);
+    final_records_[id] = {.state = state,
+                          .since = now,
+                          .spec_stored = loaded_specs_.count(id) > 0};
   }
   for (const auto& [id, spec] : loaded_specs_) {
-    if (unreadable_.count(id) > 0) continue;
+    if (unreadable_jobs_.count(id) > 0) continue;
     job_pools_.insert(spec.queue.pool);
     scheduler_.Load(spec, loaded_progress_[id], now, wall);
   }
@@ -238,8 +239,8 @@
       {{"term", Text(options_.term)},
        {"end_offset", Text(end_offset)},
        {"open", Text(static_cast<int64_t>(loaded_specs_.size()))},
-       {"final", Text(static_cast<int64_t>(finals_.size()))},
-       {"unreadable", Text(static_cast<int64_t>(unreadable_.size()))},
+       {"final", Text(static_cast<int64_t>(final_records_.size()))},
+       {"unreadable", Text(static_cast<int64_t>(unreadable_jobs_.size()))},
        {"upstreams", Text(static_cast<int64_t>(loaded_upstreams_.size()))}});
   loaded_specs_.clear();
   loaded_progress_.clear();
--- a/src/leadership/election_timeout.h
+++ b/src/leadership/election_timeout.h
@@ -23,7 +23,7 @@
 /// as the successful one, whatever the size of the table and the speed of the
 /// link and the processor.
 ///
-/// Safe from any thread.
+/// Thread-safe.
 Millis ElectionTimeout(Millis usual,
                        const std::optional<wire::AnnounceCall>& record);
 
--- a/src/libs/base/digest.h
+++ b/src/libs/base/digest.h
@@ -6,11 +6,11 @@
 
 namespace mimosarail {
 
-/// 64-bit hash, identical on every machine. Safe from any thread.
+/// 64-bit hash, identical on every machine. Thread-safe.
 uint64_t Hash64(std::string_view bytes, uint64_t seed = 0);
 
 /// XXH3-128 hash of the bytes as 32 hex digits. Detects a truncated or swapped
-/// answer, but not a forged one. Safe from any thread.
+/// answer, but not a forged one. Thread-safe.
 std::string Digest(std::string_view bytes);
 
 }  // namespace mimosarail
--- a/src/libs/base/executor.h
+++ b/src/libs/base/executor.h
@@ -9,23 +9,23 @@
 using TimePoint = Clock::time_point;
 using Millis = std::chrono::milliseconds;
 
-/// Runs the work on the control state on one thread and provides the clocks.
-/// Posted and delayed work runs sequentially, never inside the call that
-/// schedules it.
+/// Runs all work that accesses the control state on one thread, and provides
+/// the clocks. Posted and delayed work runs sequentially, never inside the call
+/// that schedules it.
 class Executor {
  public:
   virtual ~Executor() = default;
-  /// Safe from any thread.
+  /// Thread-safe.
   virtual TimePoint Now() const = 0;
   /// Wall-clock time in ms since 1970, for records and rules only, never for
   /// leases.
   virtual int64_t UnixMillis() const = 0;
   /// Total time for which this machine has been suspended; the monotonic clock
-  /// does not count it. Safe from any thread.
+  /// does not count it. Thread-safe.
   virtual Millis Suspended() const { return Millis(0); }
-  /// Safe from any thread.
+  /// Thread-safe.
   virtual void Post(std::function<void()> work) = 0;
-  /// Safe from any thread; runs `work` no earlier than `delay` from now.
+  /// Thread-safe. Runs `work` no earlier than `delay` from now.
   virtual void RunAfter(Millis delay, std::function<void()> work) = 0;
 };
 
--- a/src/libs/base/result.h
+++ b/src/libs/base/result.h
@@ -19,10 +19,10 @@
   kUnknownMethod,  ///< The receiver does not implement the method.
 };
 
-/// Error category of Errc. Safe from any thread.
+/// Error category of Errc. Thread-safe.
 const std::error_category& ErrorCategory() noexcept;
 
-/// Found by argument-dependent lookup. Safe from any thread.
+/// Found by argument-dependent lookup. Thread-safe.
 std::error_code make_error_code(Errc code) noexcept;
 
 /// An error code and a message for operators.
--- a/src/libs/base/soft_assert.h
+++ b/src/libs/base/soft_assert.h
@@ -5,7 +5,7 @@
 namespace mimosarail {
 
 /// Counts a violated internal expectation and prints it to standard error; the
-/// caller then recovers. Safe from any thread.
+/// caller then recovers. Thread-safe.
 void ReportSoftAssert(const char* expression, const char* file, int line);
 
 /// Number of soft asserts that have failed, exported as a metric. Safe from any
--- a/src/libs/faults/malformed_record_reporter.h
+++ b/src/libs/faults/malformed_record_reporter.h
@@ -13,7 +13,8 @@
 
 namespace mimosarail::faults {
 
-/// External writers' records that this process reads.
+/// Sources of the records that this process reads and that another process, or
+/// an earlier one, has written.
 enum class RecordSource {
   kUpstreamList,
   kConfiguration,
@@ -31,10 +32,10 @@
 }};
 
 /// Reports malformed records, which cannot be used: one log line and one count
-/// in the metric `bad_entries` for each record and cause. Reports are
-/// deduplicated because the same record is read again with every poll, every
-/// restart of a read and every heartbeat of its writer, about four times a
-/// second. Not thread-safe.
+/// in the metric `bad_entries` for each record and cause. Each record and cause
+/// is reported once, because the same record is read again about four times a
+/// second: with every poll, every restart of a read and every heartbeat of its
+/// writer. Not thread-safe.
 class MalformedRecordReporter {
  public:
   /// `metrics` must outlive the reporter.
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -23,8 +23,8 @@
   /// Maximum number of connections to one address; further calls are queued.
   size_t max_connections = 16;
   /// An idle connection is not reused after this time, since the peer may be
-  /// closing it at that moment, which would leave a call on it in doubt
-  /// (outcome unknown). Peers keep idle connections for 4 s or longer.
+  /// closing it at that moment, which would leave the outcome of a call on it
+  /// unknown. Peers keep idle connections for 4 s or longer.
   Millis max_idle{2500};
   /// Time limit for opening a connection.
   Millis connect_timeout{700};
@@ -32,9 +32,10 @@
   /// long (TCP_USER_TIMEOUT).
   Millis unacked_data_timeout{1500};
   size_t max_body = 4 << 20;
-  /// Limit of a response that arrives in parts, counted from the call. Once it
-  /// has begun, the call's timeout applies to the time between two parts. With
-  /// 0, the call's timeout applies to the complete response.
+  /// Time limit for a complete response that arrives in parts, measured from
+  /// the start of the call. Once the response has begun, the call's timeout
+  /// limits the time between two parts. If 0, the call's timeout limits the
+  /// complete response.
   Millis max_response_time{0};
   /// Counts requests and responses unless it is null; must outlive the client.
   metrics::Traffic* traffic = nullptr;
@@ -53,8 +54,8 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Sends a request. `address` is "ip:port". Content-Length is added, and Host
-  /// unless the request has it. `done` runs once, on the thread of `io`.
+  /// Sends a request. `address` is "ip:port". Adds Content-Length, and adds
+  /// Host if the request lacks it. `done` runs once, on the thread of `io`.
   /// Thread-safe.
   void Call(const std::string& address, Request request, Millis timeout,
             Callback<Response> done);
--- a/src/libs/http/server.cc
+++ b/src/libs/http/server.cc
@@ -21,12 +21,13 @@
 /// A connection is aborted when sent data remains unacknowledged for this long,
 /// in ms.
 constexpr int kUnackedDataTimeoutMs = 5000;
-/// Pause after a failed accept, as when no descriptors are left.
+/// Pause after a failed accept, for example when no file descriptors are left.
 constexpr Millis kAcceptPause{50};
-/// How long idle connections stay open after the server has stopped accepting,
-/// for requests that were sent just before: a connection closed at once would
-/// break while a caller writes to it. Ten times the longest network latency to
-/// a caller in one region (a few ms), rounded up.
+/// How long idle connections stay open after the server has stopped accepting.
+/// Requests sent just before can still arrive in this time; if the connection
+/// were closed at once, it would break while a caller writes to it. The value
+/// is ten times the longest network latency to a caller in the same region (a
+/// few ms), rounded up.
 constexpr Millis kLastRequestGrace{100};
 
 std::string_view ReasonPhrase(int status) {
@@ -75,7 +76,7 @@
         options(std::move(options_in)),
         handler(std::move(handler_in)),
         acceptor(io_in),
-        pause(io_in) {}
+        accept_retry_timer(io_in) {}
 
   void AcceptNext();
   void StartSession(tcp::socket socket);
@@ -85,8 +86,8 @@
   ServerOptions options;
   Handler handler;
   tcp::acceptor acceptor;
-  asio::steady_timer pause;
-  std::atomic<bool> closing{false};
+  asio::steady_timer accept_retry_timer;
+  std::atomic<bool> shutting_down{false};
   std::atomic<int64_t> open_requests{0};
   std::atomic<size_t> connections{0};
   /// Accessed on the thread of `io` only, as is `sessions`.
@@ -123,7 +124,8 @@
     ReadNext();
   }
 
-  /// Shortens the wait of a connection that has no request.
+  /// If the connection is waiting for its next request, shortens the wait to
+  /// kLastRequestGrace.
   void OnAcceptingStopped() {
     if (reading_ && !parser_.inside_message()) ArmTimer(kLastRequestGrace);
   }
@@ -156,9 +158,10 @@
         });
   }
 
-  /// Cancelling the timer cannot stop a time-out that is already due, as after
-  /// a process pause. Without the new count it would close the connection of a
-  /// request that has just been read, and its caller would get no answer.
+  /// Cancelling the timer cannot stop a time-out that is already due, for
+  /// example after a process pause. Incrementing timer_generation_ makes such a
+  /// time-out outdated; otherwise it would close the connection of a request
+  /// that has just been read, and the caller would get no answer.
   void DisarmTimer() {
     ++timer_generation_;
     timer_.cancel();
@@ -187,10 +190,11 @@
     HandleNext();
   }
 
-  /// The pending response to one request. If the handler drops it, as when the
-  /// object that the request waited for is destroyed, the connection would be
-  /// closed without a response; the destructor sends status 504 instead, which
-  /// reports that the outcome is unknown.
+  /// The pending response to one request. The handler may drop it without
+  /// sending, for example when the object that the request waited for is
+  /// destroyed. The destructor then sends status 504, which reports that the
+  /// outcome is unknown; otherwise the connection would be closed without a
+  /// response.
   class PendingResponse {
    public:
     explicit PendingResponse(std::shared_ptr<Session> session)
@@ -227,24 +231,25 @@
             Response response) { pending->Send(std::move(response)); });
   }
 
-  void Write(const Response& response, bool counted) {
+  void Write(const Response& response, bool counted_as_open) {
     // During shutdown, requests that the caller has already sent are answered
     // before the connection is closed; no request that was read may remain
     // without an answer.
     const bool has_further_requests =
         !requests_.empty() || parser_.inside_message() || HasUnreadBytes();
-    keep_alive_ = keep_alive_ && (!server_->closing || has_further_requests);
+    keep_alive_ =
+        keep_alive_ && (!server_->shutting_down || has_further_requests);
     out_ = Serialize(response, keep_alive_);
     CountTraffic(metrics::Direction::kOut, out_.size(), 1);
-    asio::async_write(
-        socket_, asio::buffer(out_),
-        [self = shared_from_this(), counted](std::error_code error, size_t) {
-          if (counted) --self->server_->open_requests;
-          if (error) return self->Close();
-          if (!self->keep_alive_) return self->Finish();
-          if (!self->requests_.empty()) return self->HandleNext();
-          self->ReadNext();
-        });
+    asio::async_write(socket_, asio::buffer(out_),
+                      [self = shared_from_this(), counted_as_open](
+                          std::error_code error, size_t) {
+                        if (counted_as_open) --self->server_->open_requests;
+                        if (error) return self->Close();
+                        if (!self->keep_alive_) return self->Finish();
+                        if (!self->requests_.empty()) return self->HandleNext();
+                        self->ReadNext();
+                      });
   }
 
   void CountTraffic(metrics::Direction direction, size_t bytes,
@@ -269,8 +274,8 @@
   }
 
   void Drain() {
-    constexpr Millis kDrainTime{1000};
-    ArmTimer(kDrainTime);
+    constexpr Millis kDrainReadTimeout{1000};
+    ArmTimer(kDrainReadTimeout);
     socket_.async_read_some(
         asio::buffer(buffer_),
         [self = shared_from_this()](std::error_code error, size_t) {
@@ -309,7 +314,7 @@
 }
 
 void Server::Private::StopAccepting() {
-  closing = true;
+  shutting_down = true;
   accepting_stopped = true;
   // Connections that the kernel has already accepted are served. Later ones are
   // refused at once, so that callers can connect to another entry.
@@ -332,10 +337,11 @@
         if (error) {
           logging::Event(logging::Level::kWarning, "accept failed",
                          {{"cause", error.message()}});
-          self->pause.expires_after(kAcceptPause);
-          return self->pause.async_wait([self](std::error_code stopped) {
-            if (!stopped) self->AcceptNext();
-          });
+          self->accept_retry_timer.expires_after(kAcceptPause);
+          return self->accept_retry_timer.async_wait(
+              [self](std::error_code stopped) {
+                if (!stopped) self->AcceptNext();
+              });
         }
         self->StartSession(std::move(socket));
         self->AcceptNext();
@@ -369,7 +375,7 @@
   return d_->acceptor.local_endpoint().port();
 }
 
-void Server::BeginShutdown() { d_->closing = true; }
+void Server::BeginShutdown() { d_->shutting_down = true; }
 
 void Server::StopAccepting(std::function<void()> done) {
   asio::post(d_->io, [d = d_, done = std::move(done)]() mutable {
--- a/src/libs/json/json_text.h
+++ b/src/libs/json/json_text.h
@@ -22,7 +22,7 @@
 };
 
 /// Parses JSON with comments. Syntax errors and duplicate keys are added to
-/// `findings`, and the result is then empty. Safe from any thread.
+/// `findings`, and the result is then empty. Thread-safe.
 std::optional<JsonText> ParseText(const std::string& text, Findings& findings);
 
 }  // namespace mimosarail::json
--- a/src/libs/logging/log.cc
+++ b/src/libs/logging/log.cc
@@ -59,7 +59,7 @@
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
 
-  /// Queues a line; false if the queue is full. Safe from any thread.
+  /// Queues a line; false if the queue is full. Thread-safe.
   bool TryEnqueue(std::string line) {
     {
       std::lock_guard lock(mutex_);
--- a/src/libs/logging/log.h
+++ b/src/libs/logging/log.h
@@ -24,19 +24,19 @@
 void Stop();
 
 /// Number of lines dropped so far because the queue for standard output was
-/// full. Safe from any thread.
+/// full. Thread-safe.
 int64_t Dropped();
 
-/// Whether lines of this level are written. Safe from any thread.
+/// Whether lines of this level are written. Thread-safe.
 bool Enabled(Level level);
 
 /// Queues one line. Events are decisions that affect a request, and changes in
 /// the process's view of the system. Never blocks: if the queue is full, the
-/// line is dropped and counted. Safe from any thread.
+/// line is dropped and counted. Thread-safe.
 void Event(Level level, std::string_view event,
            const std::vector<Field>& fields = {});
 
-/// Formats a number for a log line. Safe from any thread.
+/// Formats a number for a log line. Thread-safe.
 inline std::string Text(int64_t value) { return std::to_string(value); }
 
 }  // namespace mimosarail::logging
--- a/src/libs/rpc/codec.h
+++ b/src/libs/rpc/codec.h
@@ -11,14 +11,14 @@
 
 namespace mimosarail::rpc {
 
-/// Encodes a message in Thrift's compact protocol. Safe from any thread.
+/// Encodes a message in Thrift's compact protocol. Thread-safe.
 std::string Encode(const apache::thrift::TBase& message);
 
 /// Decodes a message; false if the bytes are not a complete message. Safe from
 /// any thread.
 bool DecodeInto(std::string_view bytes, apache::thrift::TBase& message);
 
-/// Returns the decoded message, or Errc::kMalformed. Safe from any thread.
+/// Returns the decoded message, or Errc::kMalformed. Thread-safe.
 template <typename T>
 Result<T> Decode(std::string_view bytes) {
   T message;
--- a/src/libs/rpc/framing.h
+++ b/src/libs/rpc/framing.h
@@ -22,10 +22,10 @@
   uint16_t port = 0;
 };
 
-/// Parses "ip:port". Safe from any thread.
+/// Parses "ip:port". Thread-safe.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
-/// Returns the length prefix and the encoded frame. Safe from any thread.
+/// Returns the length prefix and the encoded frame. Thread-safe.
 std::string FrameBytes(const wire::Frame& frame);
 
 /// Returns the length given by the first kLengthBytes bytes.
@@ -43,9 +43,9 @@
         if (error) return done(Error{error, error.message()});
         const uint32_t length = FrameLength(buffer);
         if (length > kMaxFrame) return done(Errc::kMalformed);
-        // The buffer grows as bytes arrive. If it were allocated at once,
-        // lengths alone, sent on eight connections, would take up the 260 MB
-        // of memory that a process has.
+        // The buffer grows as bytes arrive. If it were allocated at once, a
+        // sender could use up the 260 MB of memory of a process by sending only
+        // the length prefix kMaxFrame on each of eight connections.
         buffer.clear();
         asio::async_read(
             socket, asio::dynamic_buffer(buffer, length),
--- a/src/libs/settings/job_settings.h
+++ b/src/libs/settings/job_settings.h
@@ -24,7 +24,7 @@
   /// In hundredths of a call per second.
   int64_t host_lists_per_100_s = 1000;
   int64_t host_orders_per_100_s = 1000;
-  /// In hundredths of a second.
+  /// How long a host is away for maintenance, in hundredths of a second.
   int64_t upkeep_centis = 200;
   int64_t holder_lease_ms = 3000;
   std::vector<std::string> seeds;
@@ -33,26 +33,33 @@
   int64_t cpu_percent = 100;
   int64_t lease_ms = 4000;
   int64_t hello_ms = 200;
+  /// Time without an answer after which the leader is suspected.
   int64_t silence_ms = 700;
   int64_t renew_ms = 200;
+  /// A suspected leader that did not renew for this long is replaced.
   int64_t quiet_ms = 450;
+  /// Leader lease: a leader that gets no answer from the store and none from a
+  /// follower for this long gives no orders.
   int64_t trust_ms = 2000;
   int64_t store_silence_ms = 700;
   int64_t list_ms = 250;
+  /// Longest time that a caller waits for a leader.
   int64_t patience_ms = 1300;
   int64_t max_connections = 2000;
   int64_t max_jobs = 20000;
+  /// At shutdown: how long callers still arrive after the balancer was
+  /// notified.
   int64_t unready_ms = 2600;
   int64_t shutdown_ms = 5200;
 };
 
 /// Parses settings from JSON with comments. All faults are added to `findings`
-/// with line and column, and the result is then empty. Safe from any thread.
+/// with line and column, and the result is then empty. Thread-safe.
 std::optional<JobSettings> ParseJobSettings(const std::string& text,
                                             Findings& findings);
 
 /// All keys with value, unit, bounds and help, as commented JSON that
-/// ParseJobSettings() accepts. Safe from any thread.
+/// ParseJobSettings() accepts. Thread-safe.
 std::string Print(const JobSettings& settings);
 
 }  // namespace mimosarail::settings
--- a/src/libs/settings/settings.h
+++ b/src/libs/settings/settings.h
@@ -9,7 +9,8 @@
 
 namespace mimosarail::settings {
 
-/// Settings of one daemon. Times are in milliseconds.
+/// Settings of one request daemon (src/app/daemon.h), as opposed to
+/// JobSettings. Times are in milliseconds.
 struct Settings {
   std::string name;
   std::string region = "local";
@@ -44,11 +45,11 @@
 };
 
 /// Parses settings from JSON with comments. All faults are added to `findings`
-/// with line and column, and the result is then empty. Safe from any thread.
+/// with line and column, and the result is then empty. Thread-safe.
 std::optional<Settings> Parse(const std::string& text, Findings& findings);
 
 /// All keys with value, unit, bounds and help, as commented JSON that Parse()
-/// accepts. Safe from any thread.
+/// accepts. Thread-safe.
 std::string Print(const Settings& settings);
 
 }  // namespace mimosarail::settings
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -90,17 +90,19 @@
   /// newer process runs under the name, or the instance list no longer contains
   /// it and it sends no heartbeats.
   bool IsConfirmedDead(const std::string& name, int64_t incarnation) const;
-  /// Whether this entry exchanges heartbeats with less than half of the listed
-  /// entries, itself counted in. It is then more likely partitioned than all
-  /// the others dead. With exactly half, the side with the smallest name is not
-  /// the minority.
+  /// Whether this entry and the listed entries that it exchanges heartbeats
+  /// with are less than half of the listed entries; this entry always counts as
+  /// listed. In that case a partition is more likely than the death of all the
+  /// others. With exactly half, this entry is in the minority unless its name
+  /// is the smallest of all listed entries.
   bool InMinority() const;
   /// Ready peers that may be assigned racks, without this entry.
   std::vector<const Peer*> Controllers() const;
   const MembershipOptions& options() const { return options_; }
 
-  /// Number of the last heartbeat sent. Calls of peers name the heartbeat that
-  /// they are based on, which shows how old they are.
+  /// Number of the last heartbeat sent. A peer's call contains the number of
+  /// the heartbeat that it is based on, which shows how old the peer's
+  /// information is.
   int64_t sequence() const { return sequence_; }
 
   /// Returns and resets the longest gap between two ticks since the last call.
--- a/src/placement/wait_queue.h
+++ b/src/placement/wait_queue.h
@@ -41,21 +41,23 @@
 struct WaitQueueOptions {
   /// One step of priority is equivalent to this waiting time.
   Millis age_step{120000};
-  /// Core-seconds per second that a team may request before its items are put
-  /// back.
+  /// Core-seconds per second that a team may request before its items are moved
+  /// back in the order.
   double team_rate = 64;
-  /// Maximum time by which the items of a team are put back; limits starvation.
+  /// Maximum time by which the items of a team are moved back; limits
+  /// starvation.
   Millis team_lag_limit{300000};
-  /// Once the first item of lower priority has waited this long, it is visited
-  /// first after every kUrgentStartsPerOther starts of priority 0, even while
-  /// items of priority 0 keep arriving.
+  /// Once the first item of lower priority than 0 has waited this long, one
+  /// pass visits it before all others after every kUrgentStartsPerOther starts
+  /// of priority 0. Items of priority 0 that keep arriving then cannot starve
+  /// it.
   Millis starve_after{600000};
 };
 
 /// Waiting requests in the order in which they should start: priority 0 first,
-/// then the others by time of arrival, put back according to their priority and
-/// to how far their team exceeds its share. Since this key never changes, all
-/// items age equally and none starves. Not thread-safe.
+/// then the others by time of arrival, moved back according to their priority
+/// and to how far their team exceeds its share. Since this key never changes,
+/// all items age equally and none starves. Not thread-safe.
 class WaitQueue {
  public:
   explicit WaitQueue(WaitQueueOptions options = {}) : options_(options) {}
--- a/src/requests/resolution.h
+++ b/src/requests/resolution.h
@@ -23,8 +23,8 @@
   /// An upstream was removed from the instance list after the attempt was
   /// placed.
   bool upstream_removed = false;
-  /// The latest removal of an upstream from the list lies further back than
-  /// any lease lasts.
+  /// Since the latest removal of an upstream from the list, more time has
+  /// passed than any lease lasts.
   bool removed_upstream_leases_expired = true;
   /// The controller assumed that the lease had expired, and more than one
   /// lease plus the maximum delay has passed since every entry was fenced.
@@ -47,8 +47,8 @@
   wire::ReportCall report;
 };
 
-/// Resolves the outcome of a task whose controller is unresponsive.
-/// Pure function; safe to call from any thread.
+/// Resolves the outcome of a task whose controller is unresponsive. Pure
+/// function. Thread-safe.
 Resolution ResolveTask(const ResolutionInput& input);
 
 }  // namespace mimosarail::requests
--- a/src/requests/task_summary.h
+++ b/src/requests/task_summary.h
@@ -24,7 +24,7 @@
   bool failed() const;
 };
 
-/// Pure function; safe to call from any thread.
+/// Pure function. Thread-safe.
 TaskSummary SummarizeTasks(
     const std::map<std::string, wire::FindReply>& answers);
 
--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -302,8 +302,8 @@
 }
 
 std::string RuleSet::Mismatch(const Condition& when,
-                              const RuleInput& facts) const {
-  const wire::RequestSpec& spec = *facts.spec;
+                              const RuleInput& input) const {
+  const wire::RequestSpec& spec = *input.spec;
   if (!when.teams.empty() && !Contains(when.teams, spec.team)) return "team";
   if (!when.works.empty() && !Contains(when.works, spec.work)) return "work";
   if (!when.failure_domains.empty()) {
@@ -329,27 +329,27 @@
       (spec.deadline_ms == 0 || spec.deadline_ms > *when.max_deadline_ms)) {
     return "max_deadline_s";
   }
-  if (when.min_waiting && facts.waiting < *when.min_waiting) {
+  if (when.min_waiting && input.waiting < *when.min_waiting) {
     return "min_waiting";
   }
   if (when.min_cost_nanos && EstimatedCost(spec) < *when.min_cost_nanos) {
     return "min_cost";
   }
-  if (when.from_minute && !InHours(when, facts.minute_of_day)) return "from/to";
+  if (when.from_minute && !InHours(when, input.minute_of_day)) return "from/to";
   return "";
 }
 
-const Rule& RuleSet::Decide(const RuleInput& facts) const {
+const Rule& RuleSet::Decide(const RuleInput& input) const {
   for (const Rule& rule : rules_) {
-    if (Mismatch(rule.when, facts).empty()) return rule;
+    if (Mismatch(rule.when, input).empty()) return rule;
   }
   return rules_.back();
 }
 
-Match RuleSet::Explain(const RuleInput& facts) const {
+Match RuleSet::Explain(const RuleInput& input) const {
   Match match;
   for (const Rule& rule : rules_) {
-    const std::string mismatch = Mismatch(rule.when, facts);
+    const std::string mismatch = Mismatch(rule.when, input);
     if (mismatch.empty()) {
       match.rule = &rule;
       return match;
--- a/src/rules/rule_set.h
+++ b/src/rules/rule_set.h
@@ -64,7 +64,7 @@
 };
 
 /// One checked configuration: limits, prices and the ordered rules.
-/// Immutable once parsed, so safe from any thread.
+/// Immutable once parsed, so thread-safe.
 class RuleSet {
  public:
   /// Parses and checks the whole text; the same text gives the same findings
@@ -73,9 +73,9 @@
                                       Findings& findings);
 
   /// The first rule that holds. Every set ends with a rule that always holds.
-  const Rule& Decide(const RuleInput& facts) const;
+  const Rule& Decide(const RuleInput& input) const;
   /// Decide(), with the reason why each earlier rule does not hold.
-  Match Explain(const RuleInput& facts) const;
+  Match Explain(const RuleInput& input) const;
 
   /// The limit of `team`, else the limit of the team "*"; null without either.
   const TeamLimit* LimitOf(const std::string& team) const;
@@ -88,7 +88,7 @@
 
  private:
   /// The first condition that does not hold; empty if all hold.
-  std::string Mismatch(const Condition& when, const RuleInput& facts) const;
+  std::string Mismatch(const Condition& when, const RuleInput& input) const;
 
   std::vector<Rule> rules_;
   std::map<std::string, TeamLimit> teams_;
--- a/src/scheduling/orders.h
+++ b/src/scheduling/orders.h
@@ -48,7 +48,7 @@
 }};
 
 /// Returns why a run is stopped that a job in this state does not continue.
-/// Safe to call from any thread.
+/// Thread-safe.
 StopReason ReasonToStop(JobState state);
 
 struct StopOrder {
--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -16,11 +16,12 @@
 namespace {
 
 /// Seeds that have failed before, kept as regression cases.
-/// 181 to 887: a run was adopted, or started late, after its job had been
+/// All but 374: a run was adopted, or started late, after its job had been
 /// cancelled, and the leader waited for the end of a stop that had never been
-/// ordered; or a stop was lost and the leader waited for as long again.
-/// 374: a cancel was answered "no such job" after the job, submitted a moment
-/// later, had been accepted.
+/// ordered; or a stop was lost, and the leader waited for its end without
+/// repeating it.
+/// 374: a cancel was answered "no such job". The job had been submitted a
+/// moment after the cancel and accepted before that answer.
 const std::vector<uint64_t> kRegressionSeeds{181, 277, 352, 374, 425, 444, 490,
                                              521, 608, 624, 653, 738, 752, 887};
 constexpr uint64_t kDefaultSeedCount = 60;
@@ -242,11 +243,11 @@
   BOOST_TEST_CONTEXT("seed " << seed) { CancelSchedule(seed).Play(); }
 }
 
-/// A cancelled job occupies its machine for another 4 s. Its leader was lost,
-/// and the next leader received the cancel before it could reach the upstream.
-/// Once it reached the upstream, it adopted the run as one that it had already
-/// ordered to stop, and waited for the end of a stop that had never been
-/// ordered.
+/// Guards against a cancelled job that occupies its machine for another 4 s.
+/// The leader is lost, and the next leader receives the cancel before it can
+/// reach the upstream. When it reaches the upstream, it must order the run to
+/// stop. If it adopted the run as already ordered to stop, it would wait for
+/// the end of a stop that was never ordered.
 BOOST_AUTO_TEST_CASE(RunFoundAfterItsCancelIsStoppedAtOnce) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(1);
@@ -264,9 +265,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A job is cancelled, and the stop of its run is lost on its way. The leader
-/// recorded the stop only when the next report listed the run, and waited from
-/// then on: the task ran for another 4 s.
+/// Guards against a cancelled task that runs for another 4 s because the stop
+/// of its run was lost. The leader must repeat the stop after the next report
+/// that lists the run. If it only recorded the stop upon that report, it would
+/// wait from then on.
 BOOST_AUTO_TEST_CASE(LostStopIsRepeatedAfterNextReport) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(2);
@@ -321,9 +323,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The same with a reachable upstream: the first renewal of the next leader
-/// raises the upstream's fence before the start is executed, so that the start
-/// is refused.
+/// An entry sends a start and is removed permanently. The start is executed 2 s
+/// later, but the next leader can reach the upstream: its first renewal raises
+/// the upstream's fence before, so that the start is refused.
 BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsFenced) {
   SlowCell cell;
   const std::string first = cell.Leader();
@@ -437,10 +439,11 @@
   BOOST_TEST(cell.StopsWithin(11, Millis(2900)));
 }
 
-/// Callers are refused for a second repeatedly while the list entry of an
-/// upstream expires and returns. The upstream's fence had been raised for a
-/// start in doubt. The leader reopened the link with its first token,
-/// attributed the refusal to another leader and resigned.
+/// Guards against a leader that resigns when the list entry of an upstream
+/// expires and returns; each time, callers are refused for a second. This
+/// happens if, after the upstream's fence has been raised for a start in doubt,
+/// the leader reconnects with its first fencing token: it attributes the
+/// refusal to another leader.
 BOOST_AUTO_TEST_CASE(ReturningUpstreamDoesNotDeposeLeader) {
   SlowCell cell;
   for (const auto& id : cell.upstreams().ids())
@@ -466,10 +469,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A caller's cancel is answered "no such job", and the job runs for another 20
-/// s. The entry that received the cancel was the leader and was paused. It
-/// resumed with outdated state, while another entry had become the leader and
-/// accepted the job.
+/// Guards against a cancel that is answered "no such job" while the job runs
+/// for another 20 s: the entry that receives the cancel was the leader and was
+/// paused, and it resumes with outdated state after another entry has become
+/// the leader and accepted the job.
 BOOST_AUTO_TEST_CASE(FormerLeaderDoesNotReportJobAsUnknown) {
   SlowCell cell;
   const std::string paused = cell.Leader();
@@ -490,9 +493,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A caller submits a job and cancels it at another entry at the same time. The
-/// cancel arrived first and found no such job. By the time the caller received
-/// that answer, the job had been accepted, and it ran for 20 s.
+/// Guards against a cancel that is answered "no such job" although the job has
+/// been accepted by the time the caller gets that answer, and runs for 20 s.
+/// The caller submits the job at one entry and cancels it at another at the
+/// same time, and the cancel arrives first.
 BOOST_AUTO_TEST_CASE(CancelConcurrentWithSubmitIsNotReportedAsUnknown) {
   SlowCell cell;
   cell.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
@@ -506,9 +510,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A job waits forever although an upstream is idle. The reply to a renewal was
-/// overtaken by a later one: it still listed a task whose end had been reported
-/// meanwhile, and the leader kept the resources of that task reserved.
+/// Guards against a job that waits forever although an upstream is idle: if a
+/// later reply to a renewal overtakes an earlier one, the earlier one still
+/// lists a task whose end has been reported meanwhile, and the leader must not
+/// keep the resources of that task reserved.
 BOOST_AUTO_TEST_CASE(OutdatedRenewReplyHoldsNoCapacity) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
--- a/tests/job_durability_test.cc
+++ b/tests/job_durability_test.cc
@@ -31,10 +31,10 @@
 /// run.
 constexpr Millis kRecoveryTime{40000};
 constexpr Millis kPollInterval{500};
-/// Every entry answers within this time: callers wait 3 s, and one call to the
-/// leader takes at most 1 s.
+/// Every entry answers within this time: it lets a caller wait for at most 3 s,
+/// and one call to the leader takes at most 1 s.
 constexpr Millis kAnswerLimit{4000};
-/// A caller without an answer by then asks another entry.
+/// A caller that gets no answer within this time asks another entry.
 constexpr Millis kCallerTimeout{1500};
 constexpr Millis kLeaderPollInterval{5};
 constexpr Millis kLeaderWaitLimit{3000};
@@ -43,9 +43,9 @@
 constexpr int32_t kMillicores = 500;
 
 /// Seeds that have failed before, kept as regression cases.
-/// 7482, 8628, 10595, 11580: a cancel was answered "no such job" 20 ms before
-/// the call that submitted the job was answered; the check treated the
-/// submitting call as finished.
+/// 7482, 8628, 10595, 11580: the check was wrong, not the entry: a cancel was
+/// answered "no such job" 20 ms before the submission of the job was answered,
+/// and the check treated the submission as finished by then.
 const std::vector<uint64_t> kRegressionSeeds{7482, 8628, 10595, 11580};
 
 uint64_t SeedCount() {
@@ -606,8 +606,8 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Guards against answers to callers that a change of leader or a faulty store
-/// later makes wrong.
+/// Guards against answers to callers that become wrong later, through a change
+/// of leader or a fault of the store.
 BOOST_DATA_TEST_CASE(RepliesToCallersHoldUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario scenario(seed);
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cell.h
@@ -113,10 +113,10 @@
   /// and not the store. Empty sets end the partition.
   void SetPartition(const std::set<std::string>& entries,
                     const std::set<std::string>& upstreams);
-  /// Adds `way` to each direction of every call to or from the entry. Calls to
-  /// the store keep their delay.
-  void SetPeerLatency(const std::string& entry, Millis way) {
-    peer_latency_[entry] = way;
+  /// Adds `one_way` to each direction of every call to or from the entry. Calls
+  /// to the store keep their delay.
+  void SetPeerLatency(const std::string& entry, Millis one_way) {
+    peer_latency_[entry] = one_way;
   }
   /// The running entry with the highest term among those that act as leader;
   /// empty if there is none.
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -75,7 +75,7 @@
       });
 }
 
-void UpstreamsFake::CheckStartOrder(const TaskId& task) {
+void UpstreamsFake::CheckSentStart(const TaskId& task) {
   const auto cancelled = cancelled_at_.find(task.job);
   if (cancelled == cancelled_at_.end()) return;
   const TimePoint since = std::max(cancelled->second, last_fault_at_);
@@ -117,7 +117,7 @@
     ++crashes_[task];
     BreakGang(task, run.attempt);
   }
-  if (crash_) crash_(id);
+  if (on_crash_) on_crash_(id);
   clock_.At(clock_.now() + replacement_delay_, [this, id] {
     if (!replacement_at_new_address_)
       upstreams_[id].state = UpstreamState::kReplaced;
@@ -490,7 +490,7 @@
 void UpstreamClientFake::Start(const ports::UpstreamTarget& target,
                                const ports::StartTask& call, Millis timeout,
                                std::function<void(ports::CallReply)> done) {
-  upstreams_.CheckStartOrder(call.task);
+  upstreams_.CheckSentStart(call.task);
   UpstreamFaults& faults = upstreams_.faults(target.id);
   const auto time_out = [&] {
     executor_.RunAfter(timeout, [done] {
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -78,14 +78,14 @@
       std::function<void(const std::string& id)> on_replacement) {
     on_replacement_ = std::move(on_replacement);
   }
-  void OnCrash(std::function<void(const std::string& id)> crash) {
-    crash_ = std::move(crash);
+  void OnCrash(std::function<void(const std::string& id)> on_crash) {
+    on_crash_ = std::move(on_crash);
   }
   /// How long after a crash the next incarnation answers, and whether it has
   /// the address of the previous one or a new one.
-  void SetReplacement(Millis after, bool elsewhere) {
+  void SetReplacement(Millis after, bool at_new_address) {
     replacement_delay_ = after;
-    replacement_at_new_address_ = elsewhere;
+    replacement_at_new_address_ = at_new_address;
   }
   /// Number of upstreams that have crashed while they ran the task.
   int Crashes(const TaskId& task) const;
@@ -98,8 +98,8 @@
   /// long-running task of a step that already has max_unavailable tasks
   /// unavailable.
   void CheckTerminationAllowed(const std::string& id);
-  /// Counts ends "done" that no leader has acknowledged as lost with the
-  /// upstream.
+  /// Some ends "done" of the upstream have not been acknowledged by any leader.
+  /// Counts these as lost together with the upstream.
   void DropUnacknowledgedEnds(const std::string& id);
   /// Number of runs that ended "done", without those that were lost by
   /// DropUnacknowledgedEnds().
@@ -124,15 +124,15 @@
   bool HasActiveFault() const;
   /// Checks a start that an entry sends: its job was not cancelled longer ago
   /// than the bound.
-  void CheckStartOrder(const TaskId& task);
+  void CheckSentStart(const TaskId& task);
   /// Checks that no task of a cancelled job runs past its bound.
   void CheckCancelled();
   /// Whether calls of the entry reach the upstream and replies come back.
   bool Reachable(const std::string& id, const std::string& entry);
-  /// Partitions the network: the members of `island` reach only each other. An
-  /// empty set ends the partition.
-  void SetPartition(std::set<std::string> island) {
-    partition_ = std::move(island);
+  /// Partitions the network: `members` reach only each other. An empty set ends
+  /// the partition.
+  void SetPartition(std::set<std::string> members) {
+    partition_ = std::move(members);
   }
   /// The verdict on a call to an upstream that has crashed; unset for others.
   std::optional<ports::CallVerdict> CrashVerdict(const std::string& id) const;
@@ -202,7 +202,7 @@
   /// Starts of tasks that crash their upstreams, after the third crash.
   std::map<TaskId, int> starts_after_crashes_;
   std::function<void(const std::string& id)> on_replacement_;
-  std::function<void(const std::string& id)> crash_;
+  std::function<void(const std::string& id)> on_crash_;
   Millis replacement_delay_{3000};
   bool replacement_at_new_address_ = false;
   /// Tasks with an end "done" that a leader has acknowledged.
--- a/tests/leader_partition_test.cc
+++ b/tests/leader_partition_test.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Millis kStartupTime{5000};
-/// A new leader relies on its predecessor giving no orders later than this
-/// after the new leader's claim.
+/// Time after a new leader's claim from which its predecessor gives no more
+/// orders; the new leader relies on this.
 constexpr Millis kPredecessorLease{2000};
 constexpr Millis kFailoverTimeout{6000};
 constexpr Millis kPollInterval{10};
@@ -86,8 +86,9 @@
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// Guards against the same right after a failover, when only few entries have
-/// sent a heartbeat to the new leader.
+/// Guards against a task that runs at two upstreams because a partitioned
+/// leader keeps its lease by few heartbeats right after a failover, when only
+/// few entries have sent a heartbeat to the new leader.
 BOOST_AUTO_TEST_CASE(EntriesWithoutHeartbeatToNewLeaderCountTowardMajority) {
   constexpr Millis kStep{20};
   constexpr int kMoments = 15;  // longer than one heartbeat interval
@@ -120,7 +121,8 @@
   }
 }
 
-/// Guards against the same while most entries, including the leader, are
+/// Guards against a task that runs at two upstreams because a leader keeps its
+/// lease by heartbeats while most entries, including the leader, are
 /// partitioned from the store.
 BOOST_AUTO_TEST_CASE(MajorityPartitionedFromStoreDoesNotConfirmLeader) {
   JobCell cell({});
--- a/tests/sim/cell.h
+++ b/tests/sim/cell.h
@@ -45,8 +45,9 @@
   Millis retention{3600000};
 };
 
-/// Entries, upstreams, log and list under one manual clock. Contains no model
-/// of a cluster: it only carries messages and switches faults.
+/// A simulated cluster: entries, upstreams, the log server and the instance
+/// list, all under one manual clock. Models no cluster behavior itself: it only
+/// delivers messages and turns faults on and off.
 class Cell {
  public:
   explicit Cell(CellOptions options);
@@ -90,7 +91,7 @@
   /// Queries an entry for the outcome of request `id`.
   std::shared_ptr<SubmitResult> Lookup(int entry, const std::string& id,
                                        Millis wait);
-  /// Publishes rules with a comment in them, based on `base`.
+  /// Publishes rules that contain `comment` and are based on revision `base`.
   std::shared_ptr<configlog::PublishResult> Publish(int entry, int64_t base,
                                                     const std::string& comment);
 
@@ -122,7 +123,7 @@
   std::vector<std::string> revision_regressions;
 };
 
-/// A small repeatable request that tests modify as needed.
+/// A small request that may be run more than once; tests modify it as needed.
 wire::RequestSpec MakeSpec(const std::string& work, int64_t run_ms);
 
 }  // namespace mimosarail::sim
--- a/tests/soak/consistency_checker.cc
+++ b/tests/soak/consistency_checker.cc
@@ -53,6 +53,7 @@
     if (!job.cancel_requested) add_finding("no caller cancelled it");
     return;
   }
+  // No task fails in this test, so any other final state is wrong.
   if (state != "complete") return add_finding("no task failed");
   for (int32_t step = 0; step < std::ssize(job.tasks); ++step) {
     if (!IsStepDone(id, step))
@@ -92,19 +93,19 @@
 }
 
 void ConsistencyChecker::OnEnd(const std::string& upstream, const TaskId& task,
-                               int64_t done) {
+                               int64_t completion_number) {
   TaskStatus& status = tasks_[task];
   status.runs_on.erase(upstream);
-  if (done == 0) return;
+  if (completion_number == 0) return;
   status.done = true;
-  unacknowledged_[upstream][done] = {.task = task};
+  unacknowledged_[upstream][completion_number] = {.task = task};
 }
 
 void ConsistencyChecker::OnAcknowledged(const std::string& upstream,
-                                        int64_t number) {
+                                        int64_t completion_number) {
   auto& ends = unacknowledged_[upstream];
-  while (!ends.empty() && ends.begin()->first <= number) {
-    const UnacknowledgedEnd& end = ends.begin()->second;
+  while (!ends.empty() && ends.begin()->first <= completion_number) {
+    const UnacknowledgedCompletion& end = ends.begin()->second;
     tasks_[end.task].acknowledged = true;
     if (end.started_again) {
       AddFinding("completion acknowledged after another start: " +
--- a/tests/soak/consistency_checker.h
+++ b/tests/soak/consistency_checker.h
@@ -54,10 +54,12 @@
 
   void OnStart(const std::string& upstream, const TaskId& task,
                const std::string& payload);
-  /// `done` is the number of the end if it is "done", 0 for other ends.
-  void OnEnd(const std::string& upstream, const TaskId& task, int64_t done);
-  /// A leader has acknowledged the ends up to `number`.
-  void OnAcknowledged(const std::string& upstream, int64_t number);
+  /// `completion_number` is the number of the end if it is "done", 0 for other
+  /// ends.
+  void OnEnd(const std::string& upstream, const TaskId& task,
+             int64_t completion_number);
+  /// A leader has acknowledged the ends up to `completion_number`.
+  void OnAcknowledged(const std::string& upstream, int64_t completion_number);
   /// Drops the ends that no leader has acknowledged: they no longer count.
   void OnLeaseExpired(const std::string& upstream) {
     unacknowledged_[upstream].clear();
@@ -71,7 +73,7 @@
     bool acknowledged = false;
   };
   /// An end "done" that no leader has acknowledged.
-  struct UnacknowledgedEnd {
+  struct UnacknowledgedCompletion {
     TaskId task;
     bool started_again = false;
   };
@@ -84,7 +86,8 @@
   std::vector<std::string> findings_;
   std::map<JobId, JobRecord> jobs_;
   std::map<TaskId, TaskStatus> tasks_;
-  std::map<std::string, std::map<int64_t, UnacknowledgedEnd>> unacknowledged_;
+  std::map<std::string, std::map<int64_t, UnacknowledgedCompletion>>
+      unacknowledged_;
 };
 
 }  // namespace mimosarail::soak
--- a/tests/soak/entries.cc
+++ b/tests/soak/entries.cc
@@ -61,22 +61,22 @@
                                Path(".json")},
       Path(".log"));
   ++incarnation_;
-  stopped_ = stop_requested_ = killed_ = false;
+  paused_ = shutdown_requested_ = killed_ = false;
   last_fault_at_ = Clock::now();
 }
 
 void Entry::Signal(int signal) {
   process_->Signal(signal);
-  if (signal == SIGSTOP) stopped_ = true;
-  if (signal == SIGCONT) stopped_ = false;
+  if (signal == SIGSTOP) paused_ = true;
+  if (signal == SIGCONT) paused_ = false;
   if (signal == SIGKILL) killed_ = true;
-  if (signal == SIGTERM) stop_requested_ = true;
+  if (signal == SIGTERM) shutdown_requested_ = true;
   if (signal != SIGTERM) last_fault_at_ = Clock::now();
 }
 
 std::string Entry::UnexpectedExit() {
   const int code = process_->Wait();
-  if (killed_ || (stop_requested_ && code == 0)) return {};
+  if (killed_ || (shutdown_requested_ && code == 0)) return {};
   return name() + " ended unexpectedly, exit code " + std::to_string(code);
 }
 
@@ -99,7 +99,7 @@
 void ProcessFaultInjector::End() {
   ending_ = true;
   for (auto& entry : entries_) {
-    if (entry->stopped()) Signal(*entry, SIGCONT);
+    if (entry->paused()) Signal(*entry, SIGCONT);
   }
 }
 
@@ -160,7 +160,7 @@
     Signal(entry, SIGTERM);
     return SignalLater(entry, SIGKILL, kShutdownTimeout);
   }
-  if (entry.stopped()) return;
+  if (entry.paused()) return;
   Signal(entry, SIGSTOP);
   SignalLater(entry, SIGCONT, random_.Between(kMinPause, kMaxPause));
 }
--- a/tests/soak/entries.h
+++ b/tests/soak/entries.h
@@ -39,7 +39,7 @@
   void Signal(int signal);
   bool alive() { return process_->Alive(); }
   /// The process runs, is not paused, and was not asked to end.
-  bool healthy() { return alive() && !stopped_ && !stop_requested_; }
+  bool healthy() { return alive() && !paused_ && !shutdown_requested_; }
   /// Describes the last exit of the process if it was not requested; empty
   /// otherwise. Waits for the exit.
   std::string UnexpectedExit();
@@ -48,7 +48,7 @@
 
   const std::string& name() const { return options_.name; }
   const std::string& front() const { return options_.front; }
-  bool stopped() const { return stopped_; }
+  bool paused() const { return paused_; }
   /// When the process was last started or got a signal other than SIGTERM.
   TimePoint last_fault_at() const { return last_fault_at_; }
   int incarnation() const { return incarnation_; }
@@ -59,8 +59,8 @@
   EntryOptions options_;
   std::unique_ptr<scenarios::Process> process_;
   int incarnation_ = 0;
-  bool stopped_ = false;
-  bool stop_requested_ = false;
+  bool paused_ = false;
+  bool shutdown_requested_ = false;
   bool killed_ = false;
   TimePoint last_fault_at_{};
   std::streamoff log_read_ = 0;
--- a/tests/soak/store_server_fake.h
+++ b/tests/soak/store_server_fake.h
@@ -86,9 +86,9 @@
   CallFaultInjector& faults() { return faults_; }
 
  private:
-  /// Delays the first two appends of a writer's epoch, the second one most: the
-  /// writer then regards the store as slow, and its third append overtakes the
-  /// second.
+  /// Additional delay of a call. The first two appends of a writer's epoch are
+  /// delayed, the second one most: the writer then regards the store as slow,
+  /// and its third append overtakes the second.
   Millis ExtraDelay(const Target& target);
   void HandleRequest(const http::Request& request, http::Responder respond);
   void Read(const Target& target, TimePoint limit,
--- a/tests/standins/instance_list_fake.h
+++ b/tests/standins/instance_list_fake.h
@@ -9,7 +9,8 @@
 
 namespace mimosarail::standins {
 
-/// The platform's instance list, which publishes changes with a lag.
+/// Stand-in for the platform's instance list; Fetch() shows a change only after
+/// the set lag.
 class InstanceListFake {
  public:
   InstanceListFake(Executor& executor,
@@ -32,8 +33,8 @@
   std::map<std::string, wire::ListedInstance> instances_;
 };
 
-/// Parses the description of a cell: {"entries": [...], "upstreams": [...]};
-/// see examples/*.cell.json.
+/// Parses the list of a cluster's entries and upstreams: {"entries": [...],
+/// "upstreams": [...]}; see examples/*.cell.json.
 std::vector<wire::ListedInstance> ParseCell(const std::string& text);
 
 }  // namespace mimosarail::standins
--- a/tests/standins/upstream_server_fake.cc
+++ b/tests/standins/upstream_server_fake.cc
@@ -119,11 +119,11 @@
                 {"term", term_},
                 {"holder", holder_}},
                NowMs());
-  if (poller_) {
+  if (pending_poll_) {
     wire::RenewReply stale;
     stale.status = wire::CallStatus::kStaleTerm;
     stale.term = term_;
-    const auto poller = std::exchange(poller_, nullptr);
+    const auto poller = std::exchange(pending_poll_, nullptr);
     poller(stale);
   }
   Send(answer, reply);
@@ -204,32 +204,34 @@
     --faults_.drop_renew_replies;
     return;
   }
-  poller_ = [this, answer](const wire::RenewReply& r) { Send(answer, r); };
-  const uint64_t poll = ++poll_;
-  poll_seen_ = call.seen;
+  pending_poll_ = [this, answer](const wire::RenewReply& r) {
+    Send(answer, r);
+  };
+  const uint64_t poll = ++last_poll_id_;
+  poll_seen_sequence_ = call.seen;
   NotifyPoller();
-  if (!poller_) return;
+  if (!pending_poll_) return;
   executor_.RunAfter(Millis(call.wait_ms), [this, poll] {
-    if (poll != poll_ || !poller_) return;
+    if (poll != last_poll_id_ || !pending_poll_) return;
     wire::RenewReply empty;
     empty.status = wire::CallStatus::kOk;
     empty.term = term_;
-    const auto poller = std::exchange(poller_, nullptr);
+    const auto poller = std::exchange(pending_poll_, nullptr);
     poller(empty);
   });
 }
 
 void UpstreamServerFake::NotifyPoller() {
-  if (!poller_ || faults_.down) return;
+  if (!pending_poll_ || faults_.down) return;
   wire::RenewReply reply;
   reply.status = wire::CallStatus::kOk;
   reply.term = term_;
   for (auto& [id, task] : tasks_) {
-    if (task.status.sequence <= poll_seen_) continue;
+    if (task.status.sequence <= poll_seen_sequence_) continue;
     reply.ended.push_back(task.status);
   }
   if (reply.ended.empty()) return;
-  const auto poller = std::exchange(poller_, nullptr);
+  const auto poller = std::exchange(pending_poll_, nullptr);
   poller(reply);
 }
 
@@ -337,7 +339,7 @@
     }
   }
   tasks_.clear();
-  poller_ = nullptr;
+  pending_poll_ = nullptr;
   // The term is kept: the same instance restarts. A replacement would have a
   // new name.
 }
--- a/tests/standins/upstream_server_fake.h
+++ b/tests/standins/upstream_server_fake.h
@@ -79,9 +79,9 @@
   std::string holder_;
   std::map<std::string, Task> tasks_;
   std::set<std::string> released_;
-  Answer<wire::RenewReply> poller_;
-  uint64_t poll_ = 0;
-  int64_t poll_seen_ = 0;
+  Answer<wire::RenewReply> pending_poll_;
+  uint64_t last_poll_id_ = 0;
+  int64_t poll_seen_sequence_ = 0;
   int64_t last_sequence_ = 0;
 };
 
