--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -85,8 +85,9 @@
         rack_outage = true;
         LoseRack();
       }
-      while (next < jobs_.size() && jobs_[next].arrival_time <= now_)
+      while (next < jobs_.size() && jobs_[next].arrival_time <= now_) {
         Arrive(next++);
+      }
       while (!ends_.empty() && ends_.top().when <= now_) End();
       Drain();
     }
@@ -192,8 +193,9 @@
     running.fails = std::any_of(running.rows.begin(), running.rows.end(),
                                 [&](RowId row) { return row < failing_; });
     running.when = now_ + (running.fails ? kFailAfter : job.run_time);
-    if (!running.fails)
+    if (!running.fails) {
       figures_.waits[job.kind].push_back(now_ - job.arrival_time);
+    }
     ends_.push(std::move(running));
   }
 
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -197,13 +197,15 @@
                          std::function<void(wire::CancelJobReply)> done) {
   if (!loaded_) return done(CancelReply(JobVerdict::kNotLeading));
   if (final_records_.count(id) > 0) return done(CancelReply(JobVerdict::kDone));
-  if (pending_submissions_.count(id) > 0)
+  if (pending_submissions_.count(id) > 0) {
     return done(CancelReply(JobVerdict::kUnknown));
+  }
   if (unreadable_jobs_.count(id) > 0) {
     return done(CancelReply(JobVerdict::kUnreadable));
   }
-  if (scheduler_.Find(id) == nullptr)
+  if (scheduler_.Find(id) == nullptr) {
     return ReplyNoSuchJob(id, std::move(done));
+  }
   Orders orders;
   scheduler_.Cancel(id, deps_.executor.Now(), orders);
   deps_.metrics.Count({.name = "jobs_cancelled"});
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -159,8 +159,9 @@
   for (const scheduling::AdviceOrder& ask : orders.advice) SendAdvice(ask);
   for (const scheduling::LostRun& run : orders.lost) LogLostRun(run);
   for (const scheduling::PermanentlyFailedTask& task :
-       orders.permanently_failed)
+       orders.permanently_failed) {
     LogPermanentlyFailed(task);
+  }
 }
 
 void Coordinator::LogPermanentlyFailed(
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -77,8 +77,9 @@
   const bool of_job = !record.key.empty() && (record.key[0] == kSpecPrefix ||
                                               record.key[0] == kProgressPrefix);
   if (!of_job) return;
-  if (const auto id = ParseJobId(record.key.substr(1)))
+  if (const auto id = ParseJobId(record.key.substr(1))) {
     unreadable_jobs_.insert(*id);
+  }
 }
 
 std::string Coordinator::DecodeRecord(const ports::KeyedRecord& record) {
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -149,8 +149,9 @@
       scheduler_.pool().Update(entry, deps_.executor.Now());
   scheduler_.pool().at(index).listed = entry.listed;
   const auto closure = inherited_closures_.find(entry.id);
-  if (closure != inherited_closures_.end())
+  if (closure != inherited_closures_.end()) {
     scheduler_.pool().at(index).closed = true;
+  }
   if (links_.count(index) > 0) return;
   if (closure != inherited_closures_.end()) {
     scheduler_.pool().at(index).suspect_runs = closure->second.runs;
@@ -186,8 +187,9 @@
   wire::UpstreamRecord record = ToRecord(it.entry);
   record.closed = true;
   std::set<JobId> jobs;
-  for (const auto& [run, allocation] : it.reservations)
+  for (const auto& [run, allocation] : it.reservations) {
     jobs.insert(run.first.job);
+  }
   for (const JobId id : jobs) record.jobs.push_back(static_cast<int64_t>(id));
   if (!it.reachable) {
     // If this leader fails before it knows whether the upstream has crashed,
@@ -344,11 +346,13 @@
     const scheduling::Upstream& it = scheduler_.pool().at(index);
     if (it.listed || !link->all_runs_ended()) continue;
     const TimePoint since = it.unresponsive_since.value_or(it.known_since);
-    if (now - since >= options_.unresponsive_upstream_timeout)
+    if (now - since >= options_.unresponsive_upstream_timeout) {
       dead.push_back(index);
+    }
   }
-  for (const UpstreamIndex index : dead)
+  for (const UpstreamIndex index : dead) {
     OnAllRunsEnded(index, UpstreamLoss::kCrashed);
+  }
 }
 
 void Coordinator::OnStartReply(const scheduling::StartOrder& order,
--- a/src/journal/journal.cc
+++ b/src/journal/journal.cc
@@ -168,8 +168,9 @@
                         int64_t end_offset) const {
   const bool answered_directly = batch.sequence == answered;
   if (answered_directly && took < options_.slow_append_threshold &&
-      batch.sequence > 1)
+      batch.sequence > 1) {
     return;
+  }
   logging::Event(logging::Level::kInfo, "journal append stored",
                  {{"table", options_.table},
                   {"epoch", std::to_string(options_.epoch)},
@@ -187,8 +188,9 @@
          in_flight_.front().sequence <= sequence) {
     last_append_duration_ = stalled_for();
     LogStored(in_flight_.front(), last_append_duration_, sequence, end_offset);
-    if (!in_flight_.front().repeated)
+    if (!in_flight_.front().repeated) {
       last_unrepeated_duration_ = last_append_duration_;
+    }
     last_stored_ = executor_.Now();
     const Batch done = std::move(in_flight_.front());
     in_flight_.pop_front();
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -97,11 +97,13 @@
   if (role_ != Role::kLeading) return false;
   // The clock does not show the time for which the machine was suspended.
   // Another entry may lead by now; the next renewal finds out.
-  if (executor_.Suspended() - confirmed_.suspended > kSuspensionTolerance)
+  if (executor_.Suspended() - confirmed_.suspended > kSuspensionTolerance) {
     return false;
+  }
   const TimePoint now = executor_.Now();
-  if (now - last_tick_ > options_.leader_lease)
+  if (now - last_tick_ > options_.leader_lease) {
     return false;  // the process was paused until now
+  }
   const bool confirmed = confirmed_.sent >= resumed_at_;
   return (confirmed && now - last_confirmation() < options_.leader_lease) ||
          HasFollowerQuorum();
@@ -179,8 +181,9 @@
     QueryNextPeer();
     return Suspect(Suspicion::kUnresponsive, "no leader known");
   }
-  if (now - last_answered_sent_ > options_.unresponsive_after)
+  if (now - last_answered_sent_ > options_.unresponsive_after) {
     SendIndirectProbes();
+  }
   const bool unresponsive =
       now - last_answered_sent_ > options_.leader_suspect_after;
   if (unresponsive) Suspect(Suspicion::kUnresponsive, "leader does not answer");
@@ -190,10 +193,12 @@
   // and refuse its callers, though other entries know the new leader.
   // Heartbeats alternate between the leader and another entry, since the leader
   // may be back.
-  if (unresponsive && std::exchange(query_peers_next_, !query_peers_next_))
+  if (unresponsive && std::exchange(query_peers_next_, !query_peers_next_)) {
     return QueryNextPeer();
-  if (now - last_leader_answer_ >= options_.heartbeat_interval)
+  }
+  if (now - last_leader_answer_ >= options_.heartbeat_interval) {
     SendHeartbeat(leader_.address);
+  }
 }
 
 void Leadership::QueryNextPeer() {
@@ -285,8 +290,9 @@
                      heartbeat_in_flight_ = false;
                      const TimePoint before = last_leader_answer_;
                      OnHeartbeatReply(address, sent, reply);
-                     if (last_leader_answer_ != before)
+                     if (last_leader_answer_ != before) {
                        last_answered_sent_ = sent;
+                     }
                    });
 }
 
--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -348,15 +348,17 @@
   const TimePoint now = deps_.executor.Now();
   for (auto& [name, host] : wave.hosts) {
     if (host.phase != HostMaintenancePhase::kRequested ||
-        host.operation_pending)
+        host.operation_pending) {
       continue;
+    }
     const bool may_take_effect =
         host.unanswered && now <= *host.unanswered + options_.max_order_delay;
     // An order that was never sent still counts towards max_unavailable, but
     // only while the host is up, so that it can still be sent.
     const HostState state = ViewOf(name, host).state;
-    if (may_take_effect || (!host.unanswered && state == HostState::kUp))
+    if (may_take_effect || (!host.unanswered && state == HostState::kUp)) {
       continue;
+    }
     logging::Event(
         Level::kWarning, "order without effect",
         {{"wave", Text(wave.request.wave)},
--- a/src/requests/requests.cc
+++ b/src/requests/requests.cc
@@ -200,8 +200,9 @@
   bool holder_lost = false;
   for (TaskRecord& task : record.tasks) {
     if (task.phase != TaskPhase::kHeld) continue;
-    if (c_.members.IsCurrentProcess(task.holder, task.holder_incarnation))
+    if (c_.members.IsCurrentProcess(task.holder, task.holder_incarnation)) {
       continue;
+    }
     MarkUnresolved(record, task);
     holder_lost = true;
   }
--- a/src/scheduling/crashes.cc
+++ b/src/scheduling/crashes.cc
@@ -107,8 +107,9 @@
   for (const auto& [run, early] : runs) {
     const auto& [id, attempt] = run;
     JobRecord* record = FindJobRecord(id.job);
-    if (record == nullptr || !record->job.Has(id) || record->job.final())
+    if (record == nullptr || !record->job.Has(id) || record->job.final()) {
       continue;
+    }
     const Task& task = record->job.task(id);
     if (task.phase == TaskPhase::kDone) continue;
     if (!record->job.CountCrash(id, attempt, early)) continue;
--- a/src/scheduling/evicting.cc
+++ b/src/scheduling/evicting.cc
@@ -40,8 +40,9 @@
     const Job& job = found->second->job;
     const EvictionMode mode = EvictionModeOf(job.step(run.first.step));
     // A task that is being stopped counts until its end is listed.
-    if (mode == EvictionMode::kLongRunningLimited && !job.final())
+    if (mode == EvictionMode::kLongRunningLimited && !job.final()) {
       ++out.budgeted_tasks;
+    }
     const bool stays = mode == EvictionMode::kRunToCompletion;
     const Millis left =
         stays ? TimeLeft(reservation.expected_end, now) : Millis(0);
--- a/src/scheduling/placing.cc
+++ b/src/scheduling/placing.cc
@@ -122,8 +122,9 @@
   const wire::StepSpec& step = record.job.step(id.step);
   const bool advised = record.job.queue().advised;
   const auto consider = [&](UpstreamIndex upstream) {
-    if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step))
+    if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step)) {
       return;
+    }
     if (pool_.InQuarantineOfAnother(upstream, record.job.id(), now)) return;
     const Amount free =
         CapacityFor(step, upstream, pool_.at(upstream).free, now, reserved);
@@ -181,8 +182,9 @@
     if (PlaceGang(record, id, now, reserved, orders)) return true;
   } else {
     PlaceTasks(record, id, now, reserved, orders);
-    if (record.job.step_counts(id.occurrence, id.step).waiting == 0)
+    if (record.job.step_counts(id.occurrence, id.step).waiting == 0) {
       return true;
+    }
   }
   const wire::StepSpec& step = record.job.step(id.step);
   const bool may_wait = gang && TakeReservationBudget(step);
@@ -213,8 +215,9 @@
     // Use the rack that fits the most tasks first, so that the gang normally
     // spans racks only if no single rack can take it.
     std::map<std::string, int32_t> free_by_rack;
-    for (const auto& c : found)
+    for (const auto& c : found) {
       free_by_rack[pool_.at(c.upstream).entry.rack] += c.fit;
+    }
     std::stable_sort(found.begin(), found.end(),
                      [&](const auto& a, const auto& b) {
                        return free_by_rack[pool_.at(a.upstream).entry.rack] >
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -372,11 +372,13 @@
 void Scheduler::DemoteMissed(TimePoint now) {
   std::vector<QueueKey> missed;
   for (const QueueKey& key : queue_) {
-    if (key.rank > ToMs(now) || key.timeliness == Timeliness::kWorthless)
+    if (key.rank > ToMs(now) || key.timeliness == Timeliness::kWorthless) {
       continue;
+    }
     const Job& job = jobs_.at(key.id.job)->job;
-    if (!job.step(key.id.step).long_running && !job.timed())
+    if (!job.step(key.id.step).long_running && !job.timed()) {
       missed.push_back(key);
+    }
   }
   for (const QueueKey& key : missed) {
     const JobRecord& record = *jobs_.at(key.id.job);
--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -446,12 +446,14 @@
 /// refusal to another leader.
 BOOST_AUTO_TEST_CASE(ReturningUpstreamDoesNotDeposeLeader) {
   SlowCell cell;
-  for (const auto& id : cell.upstreams().ids())
+  for (const auto& id : cell.upstreams().ids()) {
     cell.faults(id).drop_start_replies = 1;
+  }
   const std::string at = cell.StartLongJob(12);
   BOOST_REQUIRE(!at.empty());
-  for (const auto& id : cell.upstreams().ids())
+  for (const auto& id : cell.upstreams().ids()) {
     cell.faults(id).drop_start_replies = 0;
+  }
   cell.RunFor(Millis(2000));
   cell.Cancel(cell.Follower(), 12);
   cell.RunFor(Millis(2000));
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -415,8 +415,9 @@
     if (std::exchange(*answered, true)) return;
     done(Result<Reply>(Errc::kTimeout, "no answer"));
   });
-  if (cell_.isolated_.count(name) > 0 || cell_.isolated_.count(self_) > 0)
+  if (cell_.isolated_.count(name) > 0 || cell_.isolated_.count(self_) > 0) {
     return;
+  }
   if (cell_.partition_.count(name) != cell_.partition_.count(self_)) return;
   auto* process = found->second.get();
   const Millis way =
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -119,8 +119,9 @@
   }
   if (on_crash_) on_crash_(id);
   clock_.At(clock_.now() + replacement_delay_, [this, id] {
-    if (!replacement_at_new_address_)
+    if (!replacement_at_new_address_) {
       upstreams_[id].state = UpstreamState::kReplaced;
+    }
     if (on_replacement_) on_replacement_(id);
   });
 }
@@ -160,10 +161,12 @@
     const std::string& id) const {
   const auto found = upstreams_.find(id);
   if (found == upstreams_.end()) return std::nullopt;
-  if (found->second.state == UpstreamState::kReplaced)
+  if (found->second.state == UpstreamState::kReplaced) {
     return CallVerdict::kReplaced;
-  if (found->second.state == UpstreamState::kCrashed)
+  }
+  if (found->second.state == UpstreamState::kCrashed) {
     return CallVerdict::kNotSent;
+  }
   return std::nullopt;
 }
 
@@ -318,8 +321,9 @@
                 const auto& running = upstreams_[id].running;
                 const auto found = running.find(task);
                 if (found == running.end() || found->second.id != run) return;
-                if (!found->second.working)
+                if (!found->second.working) {
                   End(id, task, run, EndKind::kGangIncomplete);
+                }
               });
   }
   reply.verdict = CallVerdict::kDone;
@@ -416,8 +420,9 @@
     }
     // Ends before the expiry that no leader has acknowledged no longer count.
     upstream.last_end_before_expiry = upstream.last_end;
-    for (const auto& [task, run] : all)
+    for (const auto& [task, run] : all) {
       End(id, task, run, EndKind::kLeaseExpired);
+    }
   });
 }
 
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -157,8 +157,9 @@
   };
   for (const Row& row : rows) {
     WaveView view = ThreeHosts();
-    for (HostView& host : view.hosts)
+    for (HostView& host : view.hosts) {
       host.phase = HostMaintenancePhase::kCompleted;
+    }
     view.hosts[1].phase = row.phase;
     view.hosts[1].state = row.state;
     view.hosts[1].listed = row.listed;
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -33,8 +33,9 @@
             std::function<void()> arrive, bool may_duplicate) {
     if (Chance(lost_per_mille)) return;
     Deliver(from, to, executor, arrive);
-    if (may_duplicate && Chance(duplicated_per_mille))
+    if (may_duplicate && Chance(duplicated_per_mille)) {
       Deliver(from, to, executor, arrive);
+    }
   }
 
   /// Makes one call: sends the request and waits for the reply until the
--- a/tests/soak/consistency_checker.cc
+++ b/tests/soak/consistency_checker.cc
@@ -56,8 +56,9 @@
   // No task fails in this test, so any other final state is wrong.
   if (state != "complete") return add_finding("no task failed");
   for (int32_t step = 0; step < std::ssize(job.tasks); ++step) {
-    if (!IsStepDone(id, step))
+    if (!IsStepDone(id, step)) {
       add_finding("step " + std::to_string(step) + " is not done");
+    }
   }
 }
 
--- a/tests/soak/entries.cc
+++ b/tests/soak/entries.cc
@@ -140,8 +140,9 @@
                          KillAll();
                        } else {
                          InjectFault();
-                         if (random_.Percent(kSecondFaultPercent))
+                         if (random_.Percent(kSecondFaultPercent)) {
                            InjectFault();
+                         }
                        }
                        ScheduleNextFault();
                      });
@@ -176,8 +177,9 @@
 void ProcessFaultInjector::SignalLater(Entry& entry, int signal, Millis delay) {
   executor_.RunAfter(delay,
                      [this, &entry, signal, incarnation = entry.incarnation()] {
-                       if (entry.incarnation() == incarnation)
+                       if (entry.incarnation() == incarnation) {
                          Signal(entry, signal);
+                       }
                      });
 }
 
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -65,11 +65,13 @@
     const auto injects = [this](size_t share) {
       return !stopped_ && random_.Percent(share);
     };
-    if (injects(options_.refused_percent))
+    if (injects(options_.refused_percent)) {
       return Answer(delay, respond, {.status = 503});
+    }
     const bool delayed = injects(options_.delayed_percent);
-    if (delayed)
+    if (delayed) {
       delay += random_.Between(Millis(0), options_.max_execution_delay);
+    }
     http::Responder reply = [this, reply_delay = Latency(),
                              respond](http::Response response) {
       Answer(reply_delay, respond, std::move(response));
--- a/tests/standins/upstream_server_fake.cc
+++ b/tests/standins/upstream_server_fake.cc
@@ -303,8 +303,9 @@
     std::string answer = MakeAnswer(task.status.spec);
     task.status.answer_length = static_cast<int64_t>(answer.size());
     task.status.answer_digest = Digest(answer);
-    if (answer.size() <= kMaxInlineAnswerBytes)
+    if (answer.size() <= kMaxInlineAnswerBytes) {
       task.status.answer = std::move(answer);
+    }
   }
   // A paused instance detects the expiry only when it resumes, but the task did
   // not run after its lease.
