--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -17,7 +17,7 @@
 constexpr int kMaxRefusedConnections = 2;
 constexpr Millis kTick{50};
 /// Pause between two queries for the current leader. A takeover after a
-/// resignation takes some 30 ms; this is two ticks.
+/// resignation takes some 30 ms; the pause is two ticks long.
 constexpr Millis kPeerQueryInterval{100};
 /// Interval at which other followers are asked whether the leader answers them,
 /// and the number asked at a time. Asking all of 40 entries would take 6,000
@@ -122,8 +122,10 @@
   // present. A heartbeat counts if the store has answered since the pause, or
   // if it was received too late to have been queued.
   const bool confirmed = confirmed_.sent >= resumed_at_;
-  // An entry can be left out of the count only while the store answers: a
-  // partitioned entry may have taken over, however old its last heartbeat is.
+  // An entry is left out of the count only if its last heartbeat (without one,
+  // the start of this leadership) was already older than member_expiry when the
+  // store last confirmed the lease. Without that confirmation, an entry may be
+  // partitioned and have taken over, however old its last heartbeat is.
   const TimePoint counted_from = last_confirmation() - options_.member_expiry;
   size_t entries = 1;
   size_t following = 1;
@@ -305,8 +307,10 @@
     }
     return;
   }
-  // An answer to a heartbeat that was sent before the leader was known may have
-  // been given before that entry led, and been overtaken by its announcement.
+  // An entry may have answered a heartbeat before it became the leader, and its
+  // announcement may have arrived before that answer. A refused connection or
+  // an answer that denies leadership therefore counts against the leader only
+  // if its heartbeat was sent since this entry began to follow the leader.
   const bool of_leader = address == leader_.address && sent >= following_since_;
   if (!reply.ok()) {
     if (!of_leader) return;
@@ -326,8 +330,9 @@
     Follow(answer.term, answer.leader, answer.loading);
   }
   if (!answer.leading) {
-    // The leader record can be read before the answer to the claim has reached
-    // the leader itself.
+    // This entry may have read the new leader's record before the store's
+    // answer to the claim reached the new leader. Until then, that entry does
+    // not know that it leads.
     const bool may_not_know =
         answer.term < term_ &&
         executor_.Now() - following_since_ <= kStoreTimeout;
--- a/src/leadership/member_list.h
+++ b/src/leadership/member_list.h
@@ -57,7 +57,8 @@
   /// Removes members that only earlier leaders reported. Precondition: the
   /// leader knows all entries that send it heartbeats, and has reported them.
   void RemoveFromEarlierTerms();
-  /// Replaces all members, for a former leader that knows the others itself.
+  /// Replaces all members. Called when this entry gives up leadership: it knows
+  /// the other entries from their heartbeats.
   void Assign(const std::vector<wire::Member>& members);
 
   /// Number of the newest change received from the current leader.
--- a/tests/malformed_records_test.cc
+++ b/tests/malformed_records_test.cc
@@ -51,10 +51,10 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// An external writer repeatedly puts unreadable entries into the upstream list
-/// while jobs run. The jobs continue, the upstreams named by these entries are
-/// not called, and each entry is reported once, although the list is read four
-/// times a second and the entries are written anew.
+/// An external writer repeatedly puts unreadable records into the upstream list
+/// while jobs run. The jobs continue, the upstreams named by these records are
+/// not called, and each record is reported once, although the list is read four
+/// times a second and one of the records is written again for each job.
 BOOST_AUTO_TEST_CASE(MalformedListEntriesDoNotAffectOthers) {
   JobCell cell({});
   cell.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
@@ -103,9 +103,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The same while the leader is lost: the next leader finds the address of the
-/// upstream in the registry of upstreams and the task on the upstream, and a
-/// cancel reaches the task.
+/// The list entry of an upstream that runs a task becomes malformed, and then
+/// all entry instances restart. The new leader takes the upstream's address
+/// from the registry of upstreams and learns from the upstream that the task
+/// runs; a cancel reaches the task.
 BOOST_AUTO_TEST_CASE(NewLeaderFindsUpstreamWithMalformedListEntry) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
@@ -189,10 +190,11 @@
 }
 
 /// All entries lose power, and when they restart, the leader record is
-/// unreadable or names an invalid leader. A leader that started again from the
-/// first term was fenced once for each earlier term, or no entry claimed
-/// leadership at all. The next leader's term must be above all earlier terms at
-/// once, and the job must continue.
+/// unreadable or names an invalid leader. If the next leader started again from
+/// the first term, it would be fenced once for each earlier term. If the record
+/// were not tolerated, no entry would claim leadership at all. The next
+/// leader's term must be above all earlier terms at once, and the job must
+/// continue.
 BOOST_AUTO_TEST_CASE(ElectionSucceedsDespiteMalformedLeaderRecord) {
   const auto record = [](int64_t term, const std::string& address) {
     wire::AnnounceCall out;
--- a/tests/soak/upstream_server_fake.cc
+++ b/tests/soak/upstream_server_fake.cc
@@ -15,7 +15,8 @@
 constexpr int64_t kMaxLeaseMs = 6000;
 constexpr int64_t kMaxWaitMs = 2000;
 constexpr Millis kLeaseCheckInterval{50};
-/// Interval at which a waiting renewal checks for ends.
+/// Interval at which a lease renewal that waits for an answer checks whether a
+/// task has ended.
 constexpr Millis kEndsPollInterval{10};
 constexpr size_t kMaxEndsPerReply = 500;
 constexpr int kReportedPercent = 50;
