--- a/src/callers/http_api.cc
+++ b/src/callers/http_api.cc
@@ -199,7 +199,7 @@
       }
     }
     const std::string key = spec->id;
-    const auto submitted = CallControl<requests::Submitted>(
+    const auto submitted = CallControl<requests::SubmitResult>(
         [this, spec = std::move(*spec)](auto done) {
           instance.requests().Submit(spec, std::move(done));
         });
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -53,14 +53,14 @@
   for (const auto& view : instance.requests().Views(kMaxListedRequests)) {
     out.push_back({{"id", view.id},
                    {"state", requests::PhaseName(view.phase)},
-                   {"why", view.why},
+                   {"why", view.status_message},
                    {"rule", view.rule},
                    {"revision", view.revision},
                    {"team", view.team},
                    {"work", view.work},
                    {"attempts", view.attempts},
                    {"waited_ms", view.waited_ms},
-                   {"holders", view.holders}});
+                   {"holders", view.task_states}});
   }
   return {{"instance", instance.members().options().name}, {"requests", out}};
 }
--- a/src/execution/execution.cc
+++ b/src/execution/execution.cc
@@ -13,7 +13,7 @@
 
 constexpr int kIndexDigits = 6;
 
-std::string Padded(int32_t index) {
+std::string ZeroPadded(int32_t index) {
   std::string digits = std::to_string(index);
   return std::string(
              kIndexDigits - std::min<size_t>(kIndexDigits, digits.size()),
@@ -21,7 +21,7 @@
          digits;
 }
 
-TaskEnd::type EndOf(wire::TaskState::type state) {
+TaskEnd::type ToTaskEnd(wire::TaskState::type state) {
   switch (state) {
     case wire::TaskState::kFinished:
       return TaskEnd::kDone;
@@ -41,7 +41,7 @@
 
 std::string TaskId(const std::string& request_id, int32_t attempt,
                    int32_t index) {
-  return request_id + "/" + std::to_string(attempt) + "/" + Padded(index);
+  return request_id + "/" + std::to_string(attempt) + "/" + ZeroPadded(index);
 }
 
 placement::PlacementRequest MakePlacementRequest(
@@ -57,23 +57,24 @@
           .urgent = context.treatment.priority == 0};
 }
 
-Execution::Execution(Executor& executor, requests::PeerPort& peers,
-                     ExecutionOptions options, RouteTo route,
-                     std::function<bool(const wire::ReportCall&)> report_here,
-                     std::function<void()> capacity_changed)
+Execution::Execution(
+    Executor& executor, requests::PeerPort& peers, ExecutionOptions options,
+    FindOwner find_owner,
+    std::function<bool(const wire::ReportCall&)> report_locally,
+    std::function<void()> capacity_changed)
     : executor_(executor),
       peers_(peers),
       options_(options),
-      route_(std::move(route)),
-      report_here_(std::move(report_here)),
+      find_owner_(std::move(find_owner)),
+      report_locally_(std::move(report_locally)),
       capacity_changed_(std::move(capacity_changed)),
       policy_(placement::MakeScoredPolicy(options.seed)) {}
 
 void Execution::Start() {
-  RunEvery(executor_, options_.report_retry, [this] { Sweep(); });
+  RunEvery(executor_, options_.report_retry, [this] { RetryReports(); });
 }
 
-bool Execution::Fenced(const std::string& request_id, int32_t attempt) const {
+bool Execution::IsFenced(const std::string& request_id, int32_t attempt) const {
   const auto found = fences_.find(request_id);
   return found != fences_.end() && attempt < found->second.below;
 }
@@ -86,10 +87,10 @@
 wire::PlaceReply Execution::Place(const wire::PlaceCall& call) {
   const wire::RequestSpec& spec = call.context.spec;
   wire::PlaceReply reply;
-  // The owner, or an entry that reclaims the request, has received the answer
-  // that this attempt is not here and never will be. A delayed call must not
-  // start it now.
-  if (Fenced(spec.id, call.attempt)) {
+  // This entry has answered the owner, or an entry that reclaims the request,
+  // that it does not have this attempt and will not accept it. A delayed call
+  // must not start it now.
+  if (IsFenced(spec.id, call.attempt)) {
     reply.status = wire::PlaceStatus::kFenced;
     return reply;
   }
@@ -195,19 +196,19 @@
 }
 
 bool Execution::Preempt(const wire::PlaceCall& call) {
-  // Selects the least urgent repeatable tasks of one upstream whose resources,
-  // together with the free capacity there, suffice for one task of the call.
-  // The upstream with the fewest such tasks is used.
+  // For each upstream, selects the tasks with the least urgent priority whose
+  // resources, together with the free capacity there, suffice for one task of
+  // the call. Uses the upstream where the fewest tasks have to stop.
   const placement::PlacementRequest ask =
       MakePlacementRequest(call.context, 1, executor_.Now());
   std::map<std::string, std::vector<const ManagedTask*>> by_upstream;
   for (const auto& [id, managed] : tasks_) {
-    const bool may =
+    const bool preemptible =
         !managed.ended && !managed.stopping &&
         managed.context.spec.repeatable &&
         managed.context.spec.kind == wire::WorkKind::kBatch &&
         managed.context.treatment.priority > call.context.treatment.priority;
-    if (may) by_upstream[managed.upstream].push_back(&managed);
+    if (preemptible) by_upstream[managed.upstream].push_back(&managed);
   }
   std::vector<std::string> best;
   std::string best_upstream;
@@ -262,12 +263,12 @@
   managed.ended = false;
   managed.serial = ++last_serial_;
   rpc::DecodeInto(task.context, managed.context);
-  return !Fenced(task.request_id, task.attempt) && !managed.stopping;
+  return !IsFenced(task.request_id, task.attempt) && !managed.stopping;
 }
 
 void Execution::OnEnded(const std::string& upstream,
                         const wire::TaskStatus& status) {
-  End(upstream, status.spec, EndOf(status.state), "", &status);
+  End(upstream, status.spec, ToTaskEnd(status.state), "", &status);
 }
 
 void Execution::OnNotStarted(const std::string& upstream,
@@ -300,7 +301,7 @@
   ManagedTask& managed = tasks_[task.task_id];
   if (managed.ended && managed.report.result == TaskEnd::kDone) return;
   if (managed.task.task_id.empty()) {
-    // A result found in the inventory of a newly attached upstream.
+    // The result was found in the inventory of a newly attached upstream.
     managed.task = task;
     managed.task.payload.clear();
     rpc::DecodeInto(task.context, managed.context);
@@ -318,7 +319,7 @@
   report.reason = reason;
   report.upstream = upstream;
   report.began = began;
-  managed.kept_upstream = status != nullptr;
+  managed.upstream_stores_result = status != nullptr;
   report.owner_incarnation = managed.context.owner_incarnation;
   if (status != nullptr) {
     report.answer = status->answer;
@@ -331,16 +332,16 @@
 void Execution::Report(const std::string& task_id) {
   ManagedTask* managed = FindTask(task_id);
   if (managed == nullptr || !managed->ended || managed->reporting) return;
-  const OwnerRoute route =
-      route_(managed->context.owner, managed->context.owner_incarnation);
-  if (route.self) {
+  const OwnerLocation owner =
+      find_owner_(managed->context.owner, managed->context.owner_incarnation);
+  if (owner.is_self) {
     const uint64_t serial = managed->serial;
-    return OnReported(task_id, serial, report_here_(managed->report));
+    return OnReported(task_id, serial, report_locally_(managed->report));
   }
-  if (!route.alive) return;
+  if (!owner.alive) return;
   managed->reporting = true;
   ++reports_;
-  peers_.Report(route.address, managed->report,
+  peers_.Report(owner.address, managed->report,
                 [this, task_id, serial = managed->serial](
                     const Result<wire::ReportReply>& reply) {
                   ManagedTask* reported = FindTask(task_id);
@@ -353,17 +354,18 @@
 }
 
 void Execution::OnReported(const std::string& task_id, uint64_t serial,
-                           bool taken) {
+                           bool received) {
   const ManagedTask* managed = FindTask(task_id);
-  // The state may have changed while the report was in flight: on an upstream
-  // that moved to another controller and back, the task is running again.
-  if (!taken || managed == nullptr || managed->serial != serial) return;
+  // The state may have changed while the report was in flight. For example, the
+  // task is running again if its upstream moved to another controller and back.
+  if (!received || managed == nullptr || managed->serial != serial) return;
   Forget(task_id);
 }
 
-/// Discards the task and releases its result at the upstream. Not before the
-/// owner has the result: until then only the upstream's inventory survives a
-/// crash of this entry.
+/// Discards the task and releases its result at the upstream. Must not be
+/// called before the owner has the result, unless the result is older than
+/// end_retention: only the inventory of the upstream survives a crash of this
+/// entry.
 void Execution::Forget(const std::string& task_id) {
   const auto found = tasks_.find(task_id);
   if (found == tasks_.end()) return;
@@ -371,21 +373,24 @@
   // A task whose lease expiry was only assumed, or whose upstream moved to
   // another controller, may still run there. Releasing it would discard its
   // later result before that is reported.
-  if (session != nullptr && found->second.kept_upstream) {
+  if (session != nullptr && found->second.upstream_stores_result) {
     session->Release(task_id);
   }
   tasks_.erase(found);
 }
 
-void Execution::Sweep() {
+/// Reports each result again that its owner has not received. Discards results
+/// and fences that are older than end_retention.
+void Execution::RetryReports() {
   const TimePoint now = executor_.Now();
-  std::vector<std::string> old;
+  std::vector<std::string> expired;
   std::vector<std::string> due;
   for (const auto& [id, managed] : tasks_) {
     if (!managed.ended) continue;
-    (now - managed.ended_at > options_.end_retention ? old : due).push_back(id);
+    (now - managed.ended_at > options_.end_retention ? expired : due)
+        .push_back(id);
   }
-  for (const std::string& id : old) Forget(id);
+  for (const std::string& id : expired) Forget(id);
   for (const std::string& id : due) Report(id);
   std::erase_if(fences_, [&](const auto& entry) {
     return now - entry.second.set_at > options_.end_retention;
--- a/src/execution/execution.h
+++ b/src/execution/execution.h
@@ -15,15 +15,16 @@
 namespace mimosarail::execution {
 
 struct ExecutionOptions {
+  /// Interval between reports of a result that its owner has not received.
   Millis report_retry{500};
-  /// How long a result is kept for an owner that is dead.
+  /// How long a result is kept if its owner does not receive it.
   Millis end_retention{600000};
   uint64_t seed = 1;
 };
 
 /// Liveness and address of the owner of an attempt.
-struct OwnerRoute {
-  bool self = false;
+struct OwnerLocation {
+  bool is_self = false;
   bool alive = false;
   std::string address;
 };
@@ -33,18 +34,21 @@
 /// owner until the owner has received it. Control thread only.
 class Execution final : public control::SessionListener {
  public:
-  using RouteTo =
-      std::function<OwnerRoute(const std::string& owner, int64_t incarnation)>;
-  /// `report_here` receives reports of attempts that this entry owns itself and
-  /// returns whether it knows them. `capacity_changed` is called often and must
-  /// be cheap.
+  using FindOwner = std::function<OwnerLocation(const std::string& owner,
+                                                int64_t incarnation)>;
+  /// `find_owner` returns the location of an owner. `report_locally` receives
+  /// the reports of attempts that this entry owns itself and returns whether it
+  /// knows the request. `capacity_changed` is called often and must be cheap.
   Execution(Executor& executor, requests::PeerPort& peers,
-            ExecutionOptions options, RouteTo route,
-            std::function<bool(const wire::ReportCall&)> report_here,
+            ExecutionOptions options, FindOwner find_owner,
+            std::function<bool(const wire::ReportCall&)> report_locally,
             std::function<void()> capacity_changed);
 
-  /// Must be called once, before anything else.
-  void Bind(control::Controller& controller) { controller_ = &controller; }
+  /// Sets the controller of the upstreams of this entry. Must be called once,
+  /// before anything else.
+  void SetController(control::Controller& controller) {
+    controller_ = &controller;
+  }
   void Start();
 
   /// Starts all tasks of an attempt, or none. A repeated call for tasks that
@@ -56,8 +60,8 @@
   /// Stops all tasks of the request; returns whether there were any.
   bool Stop(const std::string& request_id);
 
-  /// Stops running tasks of lower priority to release capacity for one task of
-  /// the call. Returns true if tasks were asked to stop.
+  /// Stops running repeatable tasks of lower priority to release capacity for
+  /// one task of the call. Returns true if tasks were asked to stop.
   bool Preempt(const wire::PlaceCall& call);
 
   size_t task_count() const { return tasks_.size(); }
@@ -85,51 +89,54 @@
     wire::TaskSpec task;
     std::string upstream;
     bool ended = false;
+    /// A stop has been requested.
     bool stopping = false;
+    /// A report to the owner is in flight.
     bool reporting = false;
     /// The upstream stores this result until it is released.
-    bool kept_upstream = false;
+    bool upstream_stores_result = false;
     wire::ReportCall report;
-    uint64_t serial = 0;  ///< Of the report; changes with every new state.
+    uint64_t serial = 0;  ///< Changes with every new state.
     TimePoint ended_at{};
   };
   struct Fence {
-    int32_t below = 0;
+    int32_t below = 0;  ///< Attempts with a lower number are refused.
     TimePoint set_at{};
   };
 
-  bool Fenced(const std::string& request_id, int32_t attempt) const;
+  bool IsFenced(const std::string& request_id, int32_t attempt) const;
   void StartOn(const wire::PlaceCall& call,
                const std::vector<placement::RowId>& rows);
   void End(const std::string& upstream, const wire::TaskSpec& task,
            wire::TaskEnd::type end, const std::string& reason,
            const wire::TaskStatus* status, bool began = false);
   void Report(const std::string& task_id);
-  void OnReported(const std::string& task_id, uint64_t serial, bool taken);
+  void OnReported(const std::string& task_id, uint64_t serial, bool received);
   void Forget(const std::string& task_id);
-  void Sweep();
+  void RetryReports();
   ManagedTask* FindTask(const std::string& task_id);
 
   Executor& executor_;
   requests::PeerPort& peers_;
   ExecutionOptions options_;
-  RouteTo route_;
-  std::function<bool(const wire::ReportCall&)> report_here_;
+  FindOwner find_owner_;
+  std::function<bool(const wire::ReportCall&)> report_locally_;
   std::function<void()> capacity_changed_;
   control::Controller* controller_ = nullptr;
   std::unique_ptr<placement::Policy> policy_;
   std::map<std::string, ManagedTask> tasks_;  ///< By task id.
-  std::map<std::string, Fence> fences_;
+  std::map<std::string, Fence> fences_;       ///< By request id.
   uint64_t last_serial_ = 0;
   int64_t starts_ = 0;
   int64_t reports_ = 0;
 };
 
-/// Identifies one task of one attempt; also its idempotency key upstream.
+/// Returns the id of one task of one attempt, which is also its idempotency key
+/// at the upstream.
 std::string TaskId(const std::string& request_id, int32_t attempt,
                    int32_t index);
 
-/// Returns the placement query of an attempt. The context must outlive it.
+/// Returns the placement request of an attempt. The context must outlive it.
 placement::PlacementRequest MakePlacementRequest(
     const wire::AttemptContext& context, int32_t tasks, TimePoint now);
 
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -33,15 +33,15 @@
           .end_retention = options_.requests.outcome_window,
           .seed = options_.seed},
       [this](const std::string& owner, int64_t incarnation) {
-        return RouteTo(owner, incarnation);
+        return FindOwner(owner, incarnation);
       },
       [this](const wire::ReportCall& report) {
         return requests_->OnReport(report);
       },
-      [this] { requests_->RequestDrain(); });
+      [this] { requests_->SchedulePlacementPass(); });
   controller_ = std::make_unique<control::Controller>(
       ports_.executor, ports_.upstreams, *execution_, options_.session);
-  execution_->Bind(*controller_);
+  execution_->SetController(*controller_);
   config_ = std::make_unique<configlog::ConfigFollower>(
       ports_.executor, ports_.log, ports_.config_source, options_.config,
       [this] {
@@ -51,7 +51,7 @@
         }
         return out;
       },
-      [this] { requests_->RequestDrain(); });
+      [this] { requests_->SchedulePlacementPass(); });
   ledger_ = std::make_unique<requests::IntentLedger>(
       ports_.executor, ports_.log, options_.intents);
   requests_ = std::make_unique<requests::Requests>(
@@ -65,7 +65,7 @@
           .rules = [this] { return config_->fold().rules(); },
           .revision = [this] { return config_->fold().revision(); },
           .accepting = [this] { return ready(); },
-          .on_ended = [this](const requests::Ended& e) { OnEnded(e); },
+          .on_ended = [this](const requests::EndedRequest& e) { OnEnded(e); },
           .on_first_start =
               [this](const requests::Record& r) { OnFirstStart(r); }},
       options_.requests);
@@ -192,15 +192,15 @@
       members_->InMinority());
 }
 
-execution::OwnerRoute Instance::RouteTo(const std::string& owner,
-                                        int64_t incarnation) {
-  execution::OwnerRoute route;
-  route.alive = members_->IsCurrentProcess(owner, incarnation);
-  route.self = owner == options_.membership.name && route.alive;
+execution::OwnerLocation Instance::FindOwner(const std::string& owner,
+                                             int64_t incarnation) {
+  execution::OwnerLocation location;
+  location.alive = members_->IsCurrentProcess(owner, incarnation);
+  location.is_self = owner == options_.membership.name && location.alive;
   if (const membership::Peer* peer = members_->Find(owner)) {
-    route.address = peer->address;
+    location.address = peer->address;
   }
-  return route;
+  return location;
 }
 
 // ---- Calls from peers
@@ -249,7 +249,7 @@
 
 void Instance::OnSubmit(const wire::SubmitCall& call,
                         std::function<void(wire::SubmitReply)> done) {
-  requests_->Submit(call.spec, [done](const requests::Submitted& submitted) {
+  requests_->Submit(call.spec, [done](const requests::SubmitResult& submitted) {
     wire::SubmitReply reply;
     reply.taken = submitted.accepted;
     reply.refusal = submitted.outcome.reason;
@@ -277,7 +277,7 @@
       static_cast<double>(record.waited.count()));
 }
 
-void Instance::OnEnded(const requests::Ended& ended) {
+void Instance::OnEnded(const requests::EndedRequest& ended) {
   const requests::Record& record = ended.record;
   ports_.metrics.Count(
       {.name = "requests_total",
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -84,10 +84,11 @@
   void Reassign();
   void UpdatePhase();
   void OnMembershipChanged();
-  void OnEnded(const requests::Ended& ended);
+  void OnEnded(const requests::EndedRequest& ended);
   void OnFirstStart(const requests::Record& record);
   void CheckShutdown();
-  execution::OwnerRoute RouteTo(const std::string& owner, int64_t incarnation);
+  execution::OwnerLocation FindOwner(const std::string& owner,
+                                     int64_t incarnation);
 
   InstancePorts ports_;
   InstanceOptions options_;
--- a/src/instance/lookup.cc
+++ b/src/instance/lookup.cc
@@ -50,7 +50,9 @@
     result.owner = members_.options().name;
     if (const requests::Record* record = requests_.Find(id)) {
       result.why = std::string(requests::PhaseName(record->phase));
-      if (!record->why.empty()) result.why += ": " + record->why;
+      if (!record->status_message.empty()) {
+        result.why += ": " + record->status_message;
+      }
     }
     answer(std::move(result));
   });
--- a/src/requests/intent_ledger.cc
+++ b/src/requests/intent_ledger.cc
@@ -8,12 +8,12 @@
 namespace {
 
 /// Appends that may be sent in a row without waiting for the group commit.
-constexpr double kBurst = 20;
+constexpr double kMaxBurst = 20;
 
 }  // namespace
 
-void IntentFold::Consume(int64_t first_retained, int64_t offset,
-                         const std::vector<wire::Intent>& intents) {
+void IntentIndex::Add(int64_t first_retained, int64_t offset,
+                      const std::vector<wire::Intent>& intents) {
   Trim(first_retained);
   for (const wire::Intent& intent : intents) {
     const auto found = winners_.find(intent.request_id);
@@ -27,7 +27,7 @@
   }
 }
 
-void IntentFold::Trim(int64_t first_retained) {
+void IntentIndex::Trim(int64_t first_retained) {
   while (!by_offset_.empty() && by_offset_.front().first < first_retained) {
     const auto& [offset, id] = by_offset_.front();
     const auto found = winners_.find(id);
@@ -38,7 +38,7 @@
   }
 }
 
-const wire::Intent* IntentFold::Find(const std::string& request_id) const {
+const wire::Intent* IntentIndex::Find(const std::string& request_id) const {
   const auto found = winners_.find(request_id);
   return found == winners_.end() ? nullptr : &found->second.intent;
 }
@@ -53,50 +53,50 @@
               [this](const wire::ReadReply& reply) { Consume(reply); }) {}
 
 void IntentLedger::Consume(const wire::ReadReply& reply) {
-  fold_.Trim(reply.first_retained);
+  index_.Trim(reply.first_retained);
   for (const wire::LogRecord& record : reply.records) {
     const auto batch = rpc::Decode<wire::IntentBatch>(record.data);
     if (!batch.ok()) continue;
-    fold_.Consume(reply.first_retained, record.offset, batch.value().intents);
+    index_.Add(reply.first_retained, record.offset, batch.value().intents);
     if (!observer_) continue;
     for (const wire::Intent& intent : batch.value().intents) {
-      const wire::Intent* winner = fold_.Find(intent.request_id);
+      const wire::Intent* winner = index_.Find(intent.request_id);
       if (winner != nullptr) observer_(*winner);
     }
   }
-  Resolve();
+  CompleteClaims();
 }
 
-void IntentLedger::Claim(const wire::Intent& intent, Claimed done) {
-  const wire::Intent* known = fold_.Find(intent.request_id);
+void IntentLedger::Claim(const wire::Intent& intent, ClaimCallback done) {
+  const wire::Intent* known = index_.Find(intent.request_id);
   if (known != nullptr && known->epoch >= intent.epoch) return done(*known);
   PendingClaim& pending = pending_claims_[intent.request_id];
-  const bool fresh = pending.done.empty();
+  const bool first = pending.done.empty();
   pending.done.push_back(std::move(done));
-  if (!fresh) return;
+  if (!first) return;
   pending.intent = intent;
   pending.until = executor_.Now() + options_.claim_wait;
   to_append_.push_back(intent.request_id);
-  FlushSoon();
+  ScheduleFlush();
   executor_.RunAfter(options_.claim_wait,
                      [this, id = intent.request_id, epoch = intent.epoch] {
-                       Expire(id, epoch);
+                       ExpireClaim(id, epoch);
                      });
 }
 
 /// Sends intents immediately while appends are rare. Under load, one append
 /// carries all intents of a group-commit interval, so that the append rate of
 /// all entries together stays below the limit of the log.
-void IntentLedger::FlushSoon() {
+void IntentLedger::ScheduleFlush() {
   if (flush_pending_) return;
   flush_pending_ = true;
   const TimePoint now = executor_.Now();
   const std::chrono::duration<double> since = now - last_flush_;
-  const std::chrono::duration<double> step = options_.group_commit;
-  tokens_ = std::min(kBurst, tokens_ + since / step);
+  const std::chrono::duration<double> interval = options_.group_commit;
+  tokens_ = std::min(kMaxBurst, tokens_ + since / interval);
   last_flush_ = now;
   tokens_ -= 1;
-  const auto delay = std::chrono::duration_cast<Millis>(-tokens_ * step);
+  const auto delay = std::chrono::duration_cast<Millis>(-tokens_ * interval);
   executor_.RunAfter(std::max(Millis(0), delay), [this] { Flush(); });
 }
 
@@ -117,38 +117,38 @@
   ++appends_;
   log_.Append(call, [this, ids](const Result<wire::AppendReply>& reply) {
     if (reply.ok()) return;
-    // The append may have taken effect. A second copy of an own intent has no
-    // effect, since the copy with the lower offset belongs to this entry too.
+    // The append may have taken effect. A repeated intent has no effect then,
+    // since the copy with the lower offset is also of this entry.
     for (const std::string& id : ids) {
       if (pending_claims_.contains(id)) to_append_.push_back(id);
     }
-    if (!to_append_.empty()) FlushSoon();
+    if (!to_append_.empty()) ScheduleFlush();
   });
 }
 
-void IntentLedger::Resolve() {
+void IntentLedger::CompleteClaims() {
   for (auto it = pending_claims_.begin(); it != pending_claims_.end();) {
-    const wire::Intent* winner = fold_.Find(it->first);
+    const wire::Intent* winner = index_.Find(it->first);
     if (winner == nullptr || winner->epoch < it->second.intent.epoch) {
       ++it;
       continue;
     }
     const wire::Intent found = *winner;
-    const std::vector<Claimed> done = std::move(it->second.done);
+    const std::vector<ClaimCallback> done = std::move(it->second.done);
     it = pending_claims_.erase(it);
-    for (const Claimed& callback : done) callback(found);
+    for (const ClaimCallback& callback : done) callback(found);
   }
 }
 
-void IntentLedger::Expire(const std::string& request_id, int32_t epoch) {
+void IntentLedger::ExpireClaim(const std::string& request_id, int32_t epoch) {
   const auto found = pending_claims_.find(request_id);
   if (found == pending_claims_.end() || found->second.intent.epoch != epoch) {
     return;
   }
   if (executor_.Now() < found->second.until) return;
-  const std::vector<Claimed> done = std::move(found->second.done);
+  const std::vector<ClaimCallback> done = std::move(found->second.done);
   pending_claims_.erase(found);
-  for (const Claimed& callback : done) callback(std::nullopt);
+  for (const ClaimCallback& callback : done) callback(std::nullopt);
 }
 
 }  // namespace mimosarail::requests
--- a/src/requests/intent_ledger.h
+++ b/src/requests/intent_ledger.h
@@ -16,15 +16,18 @@
 
 inline constexpr char kIntentStream[] = "intents";
 
-/// Determines which entry may start a keyed request: the entry with the first
-/// intent of an epoch by log offset. Not thread-safe.
-class IntentFold {
+/// The winning intents by request id. The entry whose intent has the lowest log
+/// offset in an epoch wins that epoch and may start the request. Not
+/// thread-safe.
+class IntentIndex {
  public:
-  void Consume(int64_t first_retained, int64_t offset,
-               const std::vector<wire::Intent>& intents);
+  /// Adds the intents of the log record at `offset`.
+  void Add(int64_t first_retained, int64_t offset,
+           const std::vector<wire::Intent>& intents);
   /// Discards intents that the log has trimmed: their key is no longer
   /// deduplicated.
   void Trim(int64_t first_retained);
+  /// Returns the winner of the latest epoch, or null.
   const wire::Intent* Find(const std::string& request_id) const;
   size_t size() const { return winners_.size(); }
 
@@ -38,18 +41,18 @@
 };
 
 struct IntentLedgerOptions {
-  Millis read_wait{1000};
-  Millis group_commit{25};
-  Millis claim_wait{1500};
+  Millis read_wait{1000};   ///< Long-poll wait of a read of the log.
+  Millis group_commit{25};  ///< Interval of the appends under load.
+  Millis claim_wait{1500};  ///< Time limit of a claim.
 };
 
-/// Claims keyed requests through the log and groups claims into one append.
+/// Claims keyed requests through the log; groups claims into one append.
 /// Control thread only. The executor and the log must outlive it.
 class IntentLedger {
  public:
-  /// Receives the winner of the epoch as read back from the log, or nothing if
-  /// it was not confirmed in time.
-  using Claimed = std::function<void(std::optional<wire::Intent>)>;
+  /// Receives the winner of the epoch as read back from the log, or nullopt if
+  /// the log did not show a winner in time.
+  using ClaimCallback = std::function<void(std::optional<wire::Intent>)>;
 
   IntentLedger(Executor& executor, ports::LogPort& log,
                IntentLedgerOptions options);
@@ -60,37 +63,38 @@
     observer_ = std::move(observer);
   }
   /// Appends the intent and calls `done` once the winner of its epoch is known.
-  void Claim(const wire::Intent& intent, Claimed done);
+  void Claim(const wire::Intent& intent, ClaimCallback done);
   const wire::Intent* Find(const std::string& request_id) const {
-    return fold_.Find(request_id);
+    return index_.Find(request_id);
   }
-  /// Whether everything that the log contained at the start has been read.
+  /// Whether all records that the log contained at the start have been read.
   bool ready() const { return reader_.ever_caught_up(); }
+  /// Whether the last read of the log was answered.
   bool up() const { return reader_.up(); }
   int64_t appends() const { return appends_; }
   int64_t reads() const { return reader_.reads(); }
-  size_t size() const { return fold_.size(); }
+  size_t size() const { return index_.size(); }
 
  private:
   struct PendingClaim {
     wire::Intent intent;
     TimePoint until;
-    std::vector<Claimed> done;
+    std::vector<ClaimCallback> done;
   };
 
   void Consume(const wire::ReadReply& reply);
-  void FlushSoon();
+  void ScheduleFlush();
   void Flush();
-  void Resolve();
-  void Expire(const std::string& request_id, int32_t epoch);
+  void CompleteClaims();
+  void ExpireClaim(const std::string& request_id, int32_t epoch);
 
   Executor& executor_;
   ports::LogPort& log_;
   IntentLedgerOptions options_;
-  IntentFold fold_;
+  IntentIndex index_;
   ports::StreamReader reader_;
   std::unordered_map<std::string, PendingClaim> pending_claims_;
-  std::vector<std::string> to_append_;
+  std::vector<std::string> to_append_;  ///< Request ids of unsent intents.
   std::function<void(const wire::Intent&)> observer_;
   bool flush_pending_ = false;
   TimePoint last_flush_{};
--- a/src/requests/peer_capacity.cc
+++ b/src/requests/peer_capacity.cc
@@ -7,20 +7,22 @@
 using placement::Amount;
 using placement::Dimension;
 
-PeerCapacity::Sent& PeerCapacity::SentTo(const membership::Peer& peer) {
-  Sent& sent = sent_[peer.name];
+PeerCapacity::SentSinceHeartbeat& PeerCapacity::SentTo(
+    const membership::Peer& peer) {
+  SentSinceHeartbeat& sent = sent_[peer.name];
   if (sent.sequence != peer.last.sequence) {
-    sent = Sent{.sequence = peer.last.sequence};
+    sent = SentSinceHeartbeat{.sequence = peer.last.sequence};
   }
   return sent;
 }
 
 bool PeerCapacity::MeetsConstraints(
-    const std::string& peer, const placement::PlacementRequest& ask) const {
-  const bool free_choice =
-      (ask.failure_domains == nullptr || ask.failure_domains->empty()) &&
-      (ask.racks == nullptr || ask.racks->empty());
-  if (free_choice) return true;
+    const std::string& peer, const placement::PlacementRequest& request) const {
+  const bool unconstrained =
+      (request.failure_domains == nullptr ||
+       request.failure_domains->empty()) &&
+      (request.racks == nullptr || request.racks->empty());
+  if (unconstrained) return true;
   return std::any_of(controller_.listed().begin(), controller_.listed().end(),
                      [&](const auto& entry) {
                        const wire::ListedInstance& listed = entry.second;
@@ -28,29 +30,29 @@
                            .name = listed.rack,
                            .failure_domain = listed.failure_domain};
                        return controller_.ControllerOf(listed.rack) == peer &&
-                              placement::Allows(ask, rack);
+                              placement::Allows(request, rack);
                      });
 }
 
 const membership::Peer* PeerCapacity::Choose(
-    const placement::PlacementRequest& ask) {
+    const placement::PlacementRequest& request) {
   const membership::Peer* best = nullptr;
   int32_t best_free = 0;
   for (const membership::Peer* peer : members_.Controllers()) {
     if (peer->state != membership::PeerState::kAlive) continue;
-    Sent& sent = SentTo(*peer);
+    SentSinceHeartbeat& sent = SentTo(*peer);
     const Amount largest = placement::ToAmount(peer->last.free_largest, 1);
-    if (!ask.size.FitsIn(largest)) continue;
+    if (!request.size.FitsIn(largest)) continue;
     Amount total =
         placement::ToAmount(peer->last.free_total, peer->last.free_slots);
     total -= sent.amount;
     Amount wanted;
-    for (int32_t i = 0; i < ask.tasks; ++i) wanted += ask.size;
+    for (int32_t i = 0; i < request.tasks; ++i) wanted += request.size;
     if (!wanted.FitsIn(total)) continue;
     const bool refused =
         std::any_of(sent.refused.begin(), sent.refused.end(),
                     [&](const Amount& size) { return size.FitsIn(wanted); });
-    if (refused || !MeetsConstraints(peer->name, ask)) continue;
+    if (refused || !MeetsConstraints(peer->name, request)) continue;
     const int32_t free = total[Dimension::kCores];
     if (best == nullptr || free > best_free) {
       best = peer;
@@ -61,14 +63,16 @@
 }
 
 void PeerCapacity::NoteSent(const std::string& peer,
-                            const placement::PlacementRequest& ask) {
-  for (int32_t i = 0; i < ask.tasks; ++i) sent_[peer].amount += ask.size;
+                            const placement::PlacementRequest& request) {
+  for (int32_t i = 0; i < request.tasks; ++i) {
+    sent_[peer].amount += request.size;
+  }
 }
 
 void PeerCapacity::NoteRefused(const std::string& peer,
-                               const placement::PlacementRequest& ask) {
+                               const placement::PlacementRequest& request) {
   Amount wanted;
-  for (int32_t i = 0; i < ask.tasks; ++i) wanted += ask.size;
+  for (int32_t i = 0; i < request.tasks; ++i) wanted += request.size;
   sent_[peer].refused.push_back(wanted);
 }
 
--- a/src/requests/peer_capacity.h
+++ b/src/requests/peer_capacity.h
@@ -20,29 +20,30 @@
                const control::Controller& controller)
       : members_(members), controller_(controller) {}
 
-  /// Returns the peer with the most free cores that is expected to accept the
-  /// request, or null.
-  const membership::Peer* Choose(const placement::PlacementRequest& ask);
+  /// Returns the peer with the most free cores among those expected to accept
+  /// the request, or null.
+  const membership::Peer* Choose(const placement::PlacementRequest& request);
   void NoteSent(const std::string& peer,
-                const placement::PlacementRequest& ask);
-  /// The peer had no free capacity. Requests of this size or larger are not
-  /// sent to it before its next heartbeat.
+                const placement::PlacementRequest& request);
+  /// The peer refused the request for lack of free capacity. Requests of this
+  /// size or larger are not sent to it before its next heartbeat.
   void NoteRefused(const std::string& peer,
-                   const placement::PlacementRequest& ask);
+                   const placement::PlacementRequest& request);
 
  private:
-  struct Sent {
-    int64_t sequence = 0;
+  /// Requests sent to a peer since its latest heartbeat.
+  struct SentSinceHeartbeat {
+    int64_t sequence = 0;  ///< Number of that heartbeat.
     placement::Amount amount;
     std::vector<placement::Amount> refused;
   };
-  Sent& SentTo(const membership::Peer& peer);
+  SentSinceHeartbeat& SentTo(const membership::Peer& peer);
   bool MeetsConstraints(const std::string& peer,
-                        const placement::PlacementRequest& ask) const;
+                        const placement::PlacementRequest& request) const;
 
   const membership::Membership& members_;
   const control::Controller& controller_;
-  std::map<std::string, Sent> sent_;
+  std::map<std::string, SentSinceHeartbeat> sent_;
 };
 
 }  // namespace mimosarail::requests
--- a/src/requests/record.h
+++ b/src/requests/record.h
@@ -26,22 +26,23 @@
 
 enum class TaskPhase {
   kNone,       ///< Not sent to a controller.
-  kRequested,  ///< Sent to a controller; no reply yet.
-  kHeld,       ///< Its holder, a controller, has accepted it.
-  kResolving,  ///< Its holder is unresponsive, dead, or has lost it.
+  kSent,       ///< Sent to a controller; no reply yet.
+  kAccepted,   ///< Accepted by its controller.
+  kResolving,  ///< Its controller is unresponsive, dead, or has lost it.
   kEnded,
 };
 
 /// One task of the current attempt.
 struct TaskRecord {
   TaskPhase phase = TaskPhase::kNone;
-  std::string holder;
-  int64_t holder_incarnation = 0;
+  std::string controller;  ///< Entry that the task was sent to.
+  int64_t controller_incarnation = 0;
+  /// The controller assumes that the lease has expired.
   bool lease_expiry_assumed = false;
   /// The upstream has confirmed the start, according to the controller.
   bool began = false;
-  /// Answers of this round and of earlier rounds predate the current state of
-  /// the task and are ignored.
+  /// Answers of this resolving round and of earlier ones predate the current
+  /// state of the task and are ignored.
   int stale_round = 0;
   wire::ReportCall report;
 };
@@ -51,44 +52,46 @@
 /// One request at its owner.
 struct Record {
   wire::RequestSpec spec;
-  std::string digest;  ///< Of the submitted content.
+  std::string digest;  ///< Digest of the submitted content.
   wire::Treatment treatment;
   Phase phase = Phase::kWaiting;
-  uint64_t serial = 0;
-  int32_t epoch = 1;
-  int32_t attempt = 0;
-  int32_t attempts = 0;
+  uint64_t serial = 0;           ///< Identifies the request in the queue.
+  int32_t epoch = 1;             ///< Epoch of the claim of its key.
+  int32_t attempt = 0;           ///< Number of the current or next attempt.
+  int32_t started_attempts = 0;  ///< Attempts accepted by their controllers.
   int32_t retries_left = 0;
-  int32_t losses = 0;
+  int32_t lost_attempts = 0;  ///< Neither done nor failed: lost or preempted.
   bool cancelled = false;
-  TimePoint submitted{};
-  TimePoint placed{};
-  TimePoint expires{};
-  Millis waited{0};
+  TimePoint submitted_at{};
+  TimePoint placed_at{};
+  TimePoint expires_at{};  ///< Wait limit or deadline while not running.
+  Millis waited{0};        ///< From the submission to the first start.
   bool started_once = false;
   std::string former_owner;
   int64_t former_incarnation = 0;
-  bool foreign = false;          ///< Another entry owns or owned the key.
-  bool ran = false;              ///< An attempt has started or may have.
+  bool owned_by_other_entry = false;  ///< Another entry owns or owned the key.
+  bool may_have_started = false;      ///< An attempt has started or may have.
   bool counted_waiting = false;  ///< Counted in the team's waiting requests.
   bool counted_running = false;  ///< Counted in the team's cores.
-  std::optional<int64_t> queue_key;
-  std::string why;
+  std::optional<int64_t> queue_key;  ///< Keeps its place in the queue.
+  std::string status_message;        ///< Why it is in this phase; may be empty.
   std::vector<TaskRecord> tasks;
   /// Number of upstreams lost while they ran a task of it, by task index.
   std::map<int32_t, int32_t> crashes;
   wire::Outcome outcome;
-  TimePoint ended{};
-  std::vector<OutcomeCallback> waiters;
+  TimePoint ended_at{};
+  std::vector<OutcomeCallback> waiters;  ///< Called once it has ended.
 
   // State of resolving the current attempt, or the attempts of a former owner.
   bool resolving = false;
-  int resolve_loop = 0;
+  /// Incremented with each start of resolving. Rounds scheduled by an earlier
+  /// start are ignored.
+  int resolve_generation = 0;
   int resolve_round = 0;  ///< Never reset.
-  /// Last round before the current resolving began.
+  /// Value of resolve_round when the current resolving began.
   int resolve_base_round = 0;
   TimePoint resolve_since{};
-  bool fenced_everywhere = false;
+  bool fenced_everywhere = false;  ///< All live entries have set the fence.
   TimePoint fenced_since{};
 };
 
--- a/src/requests/requests.cc
+++ b/src/requests/requests.cc
@@ -21,13 +21,13 @@
 
 constexpr EnumTable kTaskPhaseNames{std::array{
     EnumName{TaskPhase::kNone, "not asked"},
-    EnumName{TaskPhase::kRequested, "asked"},
-    EnumName{TaskPhase::kHeld, "held"},
+    EnumName{TaskPhase::kSent, "asked"},
+    EnumName{TaskPhase::kAccepted, "held"},
     EnumName{TaskPhase::kResolving, "settling"},
     EnumName{TaskPhase::kEnded, "ended"},
 }};
 
-constexpr Millis kTick{100};
+constexpr Millis kTickInterval{100};
 
 }  // namespace
 
@@ -51,17 +51,17 @@
 }
 
 Requests::Requests(RequestsContext context, RequestsOptions options)
-    : c_(std::move(context)),
+    : context_(std::move(context)),
       options_(std::move(options)),
-      peer_capacity_(c_.members, c_.controller),
+      peer_capacity_(context_.members, context_.controller),
       random_(options_.seed),
-      rate_since_(c_.executor.Now()) {}
+      rate_since_(context_.executor.Now()) {}
 
 void Requests::Start() {
-  c_.ledger.SetObserver(
+  context_.ledger.SetObserver(
       [this](const wire::Intent& intent) { OnIntent(intent); });
-  RunEvery(c_.executor, kTick, [this] { Tick(); });
-  RunEvery(c_.executor, kCheckInterval, [this] {
+  RunEvery(context_.executor, kTickInterval, [this] { Tick(); });
+  RunEvery(context_.executor, kCheckInterval, [this] {
     for (auto& [id, record] : records_) {
       if (record.phase == Phase::kRunning) CheckRunning(record);
     }
@@ -87,11 +87,11 @@
   Finish(record, std::move(outcome));
 }
 
-/// Reports "not run" only for a request that never started and that no other
-/// entry may have started.
+/// Reports "not run" for a request that never started and that no other entry
+/// may have started, else "unknown".
 void Requests::EndUnstarted(Record& record, const std::string& reason,
                             int64_t retry_after_ms) {
-  const bool certain = !record.ran && !record.foreign;
+  const bool certain = !record.may_have_started && !record.owned_by_other_entry;
   End(record, certain ? wire::Verdict::kNotRun : wire::Verdict::kUnknown,
       reason, retry_after_ms);
 }
@@ -99,7 +99,7 @@
 void Requests::EndDone(Record& record) {
   wire::Outcome outcome;
   outcome.verdict = wire::Verdict::kDone;
-  const auto rules = c_.rules();
+  const auto rules = context_.rules();
   for (const TaskRecord& task : record.tasks) {
     outcome.answer += task.report.answer;
     outcome.ran_ms = std::max(outcome.ran_ms, task.report.ran_ms);
@@ -113,27 +113,28 @@
 
 void Requests::Finish(Record& record, wire::Outcome outcome) {
   queue_.Remove(record.serial);
-  CountWaiting(record, false);
-  CountRunning(record, false);
+  SetCountedWaiting(record, false);
+  SetCountedRunning(record, false);
   if (outcome.rule.empty()) {
     outcome.rule = record.treatment.rule;
     outcome.revision = record.treatment.revision;
     outcome.waited_ms = record.waited.count();
-    outcome.attempts = record.attempts;
+    outcome.attempts = record.started_attempts;
   }
   record.phase = Phase::kEnded;
   record.resolving = false;
-  record.why = "";
+  record.status_message = "";
   record.outcome = std::move(outcome);
-  record.ended = c_.executor.Now();
+  record.ended_at = context_.executor.Now();
   record.tasks.clear();
   record.spec.payload.clear();
   SetExpiry(record, TimePoint::max());
-  Retain(record);
+  RetainOutcome(record);
   // The owner counts the request and its cost. An entry that forwards the
   // owner's answer must not count it again.
-  if (!record.foreign) {
-    c_.on_ended({.record = record, .now_unix_ms = c_.executor.UnixMillis()});
+  if (!record.owned_by_other_entry) {
+    context_.on_ended(
+        {.record = record, .now_unix_ms = context_.executor.UnixMillis()});
   }
   const std::vector<OutcomeCallback> waiters = std::move(record.waiters);
   record.waiters.clear();
@@ -141,20 +142,20 @@
   for (const OutcomeCallback& waiter : waiters) waiter(copy);
 }
 
-void Requests::Retain(Record& record) {
+void Requests::RetainOutcome(Record& record) {
   answer_bytes_ += static_cast<int64_t>(record.outcome.answer.size());
   by_serial_.erase(record.serial);
-  ended_.emplace_back(record.ended, record.spec.id);
+  retained_outcomes_.emplace_back(record.ended_at, record.spec.id);
 }
 
 void Requests::SetExpiry(Record& record, TimePoint when) {
-  expiries_.erase({record.expires, record.spec.id});
-  record.expires = when;
+  expiries_.erase({record.expires_at, record.spec.id});
+  record.expires_at = when;
   if (when != TimePoint::max()) expiries_.emplace(when, record.spec.id);
 }
 
 void Requests::Tick() {
-  const TimePoint now = c_.executor.Now();
+  const TimePoint now = context_.executor.Now();
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
     Record* record = FindMutable(expiries_.begin()->second);
     expiries_.erase(expiries_.begin());
@@ -164,10 +165,11 @@
     }
     // No task of the request is running. An earlier attempt may have run, so
     // "not run" is reported only if no attempt was started.
-    EndUnstarted(*record, "wait limit or deadline reached: " + record->why,
+    EndUnstarted(*record,
+                 "wait limit or deadline reached: " + record->status_message,
                  RetryAfterMs());
   }
-  ExpireOld();
+  DiscardExpiredOutcomes();
   const auto span = std::chrono::duration_cast<Millis>(now - rate_since_);
   if (span >= kCheckInterval) {
     const double rate = static_cast<double>(rate_starts_) * 1000.0 /
@@ -176,18 +178,18 @@
     rate_since_ = now;
     rate_starts_ = 0;
   }
-  if (queue_.size() > 0) RequestDrain();
+  if (queue_.size() > 0) SchedulePlacementPass();
 }
 
-void Requests::ExpireOld() {
-  const TimePoint now = c_.executor.Now();
-  while (!ended_.empty() &&
-         now - ended_.front().first > options_.outcome_window) {
-    const auto [at, id] = ended_.front();
-    ended_.pop_front();
+void Requests::DiscardExpiredOutcomes() {
+  const TimePoint now = context_.executor.Now();
+  while (!retained_outcomes_.empty() &&
+         now - retained_outcomes_.front().first > options_.outcome_window) {
+    const auto [at, id] = retained_outcomes_.front();
+    retained_outcomes_.pop_front();
     const auto found = records_.find(id);
     if (found == records_.end() || found->second.phase != Phase::kEnded ||
-        found->second.ended != at) {
+        found->second.ended_at != at) {
       continue;
     }
     answer_bytes_ -= static_cast<int64_t>(found->second.outcome.answer.size());
@@ -197,23 +199,24 @@
 
 void Requests::CheckRunning(Record& record) {
   if (record.cancelled) SendStop(record);
-  bool holder_lost = false;
+  bool controller_lost = false;
   for (TaskRecord& task : record.tasks) {
-    if (task.phase != TaskPhase::kHeld) continue;
-    if (c_.members.IsCurrentProcess(task.holder, task.holder_incarnation)) {
+    if (task.phase != TaskPhase::kAccepted) continue;
+    if (context_.members.IsCurrentProcess(task.controller,
+                                          task.controller_incarnation)) {
       continue;
     }
     MarkUnresolved(record, task);
-    holder_lost = true;
+    controller_lost = true;
   }
-  if (holder_lost) StartResolving(record);
+  if (controller_lost) StartResolving(record);
 }
 
 void Requests::OnMembershipChanged() {
   for (auto& [id, record] : records_) {
     if (record.phase == Phase::kRunning) CheckRunning(record);
   }
-  RequestDrain();
+  SchedulePlacementPass();
 }
 
 /// While this process was paused, other entries may have declared it dead,
@@ -238,7 +241,7 @@
   for (const std::string& id : Select([](const Record& record) {
          return record.phase != Phase::kRunning;
        })) {
-    EndUnstarted(records_[id], reason, kMinRetryMs);
+    EndUnstarted(records_[id], reason, kMinRetryAfterMs);
   }
 }
 
@@ -262,7 +265,8 @@
     case Phase::kWaiting:
     case Phase::kBackoff:
       End(*record, wire::Verdict::kCancelled,
-          !record->ran ? "before it started: not run" : "between two attempts");
+          !record->may_have_started ? "before it started: not run"
+                                    : "between two attempts");
       return true;
     case Phase::kClaiming:
     case Phase::kReclaiming:
@@ -289,21 +293,21 @@
   RequestView view{.id = record.spec.id,
                    .owner = options_.self,
                    .phase = record.phase,
-                   .why = record.why,
+                   .status_message = record.status_message,
                    .rule = record.treatment.rule,
                    .revision = record.treatment.revision,
                    .team = record.spec.team,
                    .work = record.spec.work,
-                   .attempts = record.attempts,
+                   .attempts = record.started_attempts,
                    .waited_ms = record.waited.count()};
   if (!record.started_once) {
-    view.waited_ms =
-        std::chrono::duration_cast<Millis>(c_.executor.Now() - record.submitted)
-            .count();
+    view.waited_ms = std::chrono::duration_cast<Millis>(
+                         context_.executor.Now() - record.submitted_at)
+                         .count();
   }
   for (const TaskRecord& task : record.tasks) {
-    view.holders.push_back(std::string(kTaskPhaseNames.Name(task.phase)) +
-                           " at " + task.holder);
+    view.task_states.push_back(std::string(kTaskPhaseNames.Name(task.phase)) +
+                               " at " + task.controller);
   }
   return view;
 }
@@ -321,13 +325,13 @@
 void Requests::DescribeTo(const wire::FindCall& call,
                           wire::FindReply& reply) const {
   const Record* record = Find(call.request_id);
-  // This entry follows another owner or its own claim is pending. Its answer
-  // must not be mistaken for that of the owner.
+  // This entry forwards the request to another owner, or its own claim is
+  // pending. Its answer must not be mistaken for that of the owner.
   if (record == nullptr || record->phase == Phase::kClaiming ||
       record->phase == Phase::kReclaiming) {
     return;
   }
-  reply.why = record->why;
+  reply.why = record->status_message;
   reply.owner = wire::OwnerState::kWaiting;
   if (record->phase == Phase::kRunning) {
     reply.owner = wire::OwnerState::kRunning;
@@ -346,7 +350,7 @@
 
 std::map<std::string, wire::TeamUse> Requests::TeamUse() const {
   std::map<std::string, wire::TeamUse> out;
-  for (const auto& [team, use] : own_use_) {
+  for (const auto& [team, use] : own_team_use_) {
     if (use.waiting == 0 && use.millicores == 0) continue;
     out[team] = use;
     out[team].team = team;
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -29,10 +29,14 @@
 struct RequestsOptions {
   std::string self;
   int64_t incarnation = 0;
+  /// How long the outcome of an ended request can be queried.
   Millis outcome_window{600000};
+  /// Limits on the stored requests and on the answers of the ended ones.
   size_t max_requests = 20000;
   int64_t max_answer_bytes = 8 << 20;
+  /// Duration of the lease of a task at its upstream.
   Millis lease{8000};
+  /// Longest time after which a sent call may still arrive.
   Millis max_delay{2000};
   /// The receiver refuses a placement call that is older than this.
   Millis place_validity{3000};
@@ -41,14 +45,14 @@
 };
 
 /// An ended request, as passed to metrics and cost accounting.
-struct Ended {
+struct EndedRequest {
   const Record& record;
   int64_t now_unix_ms = 0;
 };
 
-/// Answer to a submission: either `accepted`, with the outcome to be
-/// queried under `id`, or the outcome itself.
-struct Submitted {
+/// Result of a submission. If it was accepted, the outcome is to be queried
+/// under `id`. Otherwise `outcome` says why it was refused or not run.
+struct SubmitResult {
   bool accepted = false;
   std::string id;
   wire::Outcome outcome;
@@ -59,14 +63,14 @@
   std::string id;
   std::string owner;
   Phase phase = Phase::kEnded;
-  std::string why;
+  std::string status_message;  ///< Why it is in this phase; may be empty.
   std::string rule;
   int64_t revision = 0;
   std::string team;
   std::string work;
   int32_t attempts = 0;
   int64_t waited_ms = 0;
-  std::vector<std::string> holders;
+  std::vector<std::string> task_states;  ///< Phase and controller by task.
 };
 
 /// The other components of the entry that Requests uses.
@@ -79,9 +83,11 @@
   IntentLedger& ledger;
   /// Returns the current rules, or null; the returned pointer keeps them alive.
   std::function<std::shared_ptr<const rules::RuleSet>()> rules;
+  /// Returns the configuration revision of the current rules.
   std::function<int64_t()> revision;
+  /// Whether this entry accepts new requests.
   std::function<bool()> accepting;
-  std::function<void(const Ended&)> on_ended;
+  std::function<void(const EndedRequest&)> on_ended;
   std::function<void(const Record&)> on_first_start;
 };
 
@@ -95,7 +101,7 @@
   void Start();
 
   /// `spec.id` must be a valid key if `spec.keyed`, else empty.
-  void Submit(wire::RequestSpec spec, std::function<void(Submitted)> done);
+  void Submit(wire::RequestSpec spec, std::function<void(SubmitResult)> done);
   /// Runs `done` when the request has ended, immediately if it already has.
   /// Returns false if the request is unknown here.
   bool Await(const std::string& id, OutcomeCallback done);
@@ -117,8 +123,8 @@
   /// Peers were added or removed, or changed their state.
   void OnMembershipChanged();
   /// Schedules a placement pass, for example after capacity was released.
-  void RequestDrain();
-  /// Ends every request that is not placed at a controller.
+  void SchedulePlacementPass();
+  /// Ends every request that is not placed at controllers.
   void AbandonWaiting(const std::string& reason);
   /// This process was paused long enough for other entries to have reclaimed
   /// its keys.
@@ -133,30 +139,30 @@
 
  private:
   Record* FindMutable(const std::string& id);
-  Submitted NotRun(const std::string& reason, int64_t retry_after_ms) const;
-  std::optional<Submitted> CheckAdmission(const wire::RequestSpec& spec,
-                                          const wire::Treatment& treatment,
-                                          const rules::RuleSet& rules);
+  SubmitResult NotRun(const std::string& reason, int64_t retry_after_ms) const;
+  std::optional<SubmitResult> CheckAdmission(const wire::RequestSpec& spec,
+                                             const wire::Treatment& treatment,
+                                             const rules::RuleSet& rules);
   std::string InfeasibleReason(const wire::RequestSpec& spec);
-  std::string FindInfeasible(const wire::RequestSpec& spec) const;
+  std::string FindInfeasibleReason(const wire::RequestSpec& spec) const;
   int64_t TeamWaiting(const std::string& team) const;
   int64_t TeamMillicores(const std::string& team) const;
 
   void Claim(const std::string& id);
   void OnClaimed(const std::string& id, std::optional<wire::Intent> winner);
-  void FollowOwner(const std::string& id, const wire::Intent& winner);
+  void ForwardToOwner(const std::string& id, const wire::Intent& winner);
   void OnForwarded(const std::string& id, const wire::Intent& winner,
                    const Result<wire::SubmitReply>& reply);
   void PollOwner(const std::string& id, const std::string& address);
   void Reclaim(Record& record, const wire::Intent& previous);
 
   void OnIntent(const wire::Intent& intent);
-  void ClaimNextEpoch(Record& record, const std::string& why);
-  void CountWaiting(Record& record, bool on);
-  void CountRunning(Record& record, bool on);
+  void ClaimNextEpoch(Record& record, const std::string& status_message);
+  void SetCountedWaiting(Record& record, bool counted);
+  void SetCountedRunning(Record& record, bool counted);
 
   void Enqueue(Record& record);
-  void Drain();
+  void RunPlacementPass();
   placement::Visit TryPlace(Record& record, bool use_reserve);
   bool PlaceHere(Record& record, const wire::PlaceCall& call);
   bool PlaceAtPeer(Record& record, const wire::PlaceCall& call,
@@ -165,8 +171,8 @@
                     const std::string& peer,
                     const placement::PlacementRequest& ask,
                     const Result<wire::PlaceReply>& reply);
-  wire::PlaceCall MakeCall(const Record& record, bool use_reserve) const;
-  void MarkRunning(Record& record, const std::string& holder,
+  wire::PlaceCall MakePlaceCall(const Record& record, bool use_reserve) const;
+  void MarkRunning(Record& record, const std::string& controller,
                    int64_t incarnation, TaskPhase phase);
   void NoteStarted(Record& record);
 
@@ -182,7 +188,7 @@
 
   void MarkUnresolved(Record& record, TaskRecord& task);
   void StartResolving(Record& record);
-  void RunResolveRound(const std::string& id, int loop);
+  void RunResolveRound(const std::string& id, int generation);
   void QueryEntries(const std::string& id, int32_t fence_below);
   void EvaluateAnswers(const std::string& id, int32_t fence_below,
                        const std::map<std::string, wire::FindReply>& answers);
@@ -201,32 +207,35 @@
   void Finish(Record& record, wire::Outcome outcome);
   void SetExpiry(Record& record, TimePoint when);
   void Tick();
-  void ExpireOld();
-  void Retain(Record& record);
+  void DiscardExpiredOutcomes();
+  void RetainOutcome(Record& record);
   void CheckRunning(Record& record);
 
-  RequestsContext c_;
+  RequestsContext context_;
   RequestsOptions options_;
   std::unordered_map<std::string, Record> records_;
+  /// Ids of the unfinished requests by Record::serial.
   std::unordered_map<uint64_t, std::string> by_serial_;
+  /// Ids of the requests with a wait limit or deadline, ordered by its time.
   std::set<std::pair<TimePoint, std::string>> expiries_;
-  std::deque<std::pair<TimePoint, std::string>> ended_;
+  /// Ids of the ended requests in the order in which they ended.
+  std::deque<std::pair<TimePoint, std::string>> retained_outcomes_;
   placement::WaitQueue queue_;
-  placement::StarvationGuard guard_;
-  RetryBudget budget_;
+  placement::StarvationGuard starvation_guard_;
+  RetryBudget retry_budget_;
   PeerCapacity peer_capacity_;
   std::mt19937_64 random_;
-  std::map<std::string, wire::TeamUse> own_use_;
-  /// Results of FindInfeasible() by shape, for one version of the list.
-  std::unordered_map<uint64_t, std::string> infeasible_;
-  int64_t infeasible_version_ = -1;
+  std::map<std::string, wire::TeamUse> own_team_use_;
+  /// Results of FindInfeasibleReason() by shape, for one version of the list.
+  std::unordered_map<uint64_t, std::string> infeasible_reasons_;
+  int64_t infeasible_list_version_ = -1;
   uint64_t next_serial_ = 0;
   int64_t next_id_ = 0;
-  int64_t answer_bytes_ = 0;
-  bool drain_pending_ = false;
-  double start_rate_ = 1.0;
+  int64_t answer_bytes_ = 0;  ///< Total size of the retained answers.
+  bool placement_pass_pending_ = false;
+  double start_rate_ = 1.0;  ///< Starts per second, smoothed.
   TimePoint rate_since_{};
-  int64_t rate_starts_ = 0;
+  int64_t rate_starts_ = 0;  ///< Starts since rate_since_.
 };
 
 /// Hash of size and placement constraints: equal for requests that fit on the
--- a/src/requests/requests_admission.cc
+++ b/src/requests/requests_admission.cc
@@ -13,28 +13,28 @@
 
 }  // namespace
 
-Submitted Requests::NotRun(const std::string& reason,
-                           int64_t retry_after_ms) const {
-  Submitted out;
+SubmitResult Requests::NotRun(const std::string& reason,
+                              int64_t retry_after_ms) const {
+  SubmitResult out;
   out.outcome.verdict = wire::Verdict::kNotRun;
   out.outcome.reason = reason;
   out.outcome.retry_after_ms = retry_after_ms;
-  out.outcome.revision = c_.revision();
+  out.outcome.revision = context_.revision();
   return out;
 }
 
 int64_t Requests::RetryAfterMs() const {
   const double seconds =
       static_cast<double>(queue_.size()) / std::max(start_rate_, 0.1);
-  return std::clamp(static_cast<int64_t>(seconds * 1000), kMinRetryMs,
-                    kMaxRetryMs);
+  return std::clamp(static_cast<int64_t>(seconds * 1000), kMinRetryAfterMs,
+                    kMaxRetryAfterMs);
 }
 
 int64_t Requests::TeamWaiting(const std::string& team) const {
   int64_t waiting = 0;
-  const auto own = own_use_.find(team);
-  if (own != own_use_.end()) waiting = own->second.waiting;
-  for (const auto& [name, peer] : c_.members.peers()) {
+  const auto own = own_team_use_.find(team);
+  if (own != own_team_use_.end()) waiting = own->second.waiting;
+  for (const auto& [name, peer] : context_.members.peers()) {
     if (peer.state == membership::PeerState::kDead) continue;
     for (const wire::TeamUse& use : peer.last.teams) {
       if (use.team == team) waiting += use.waiting;
@@ -45,9 +45,9 @@
 
 int64_t Requests::TeamMillicores(const std::string& team) const {
   int64_t millicores = 0;
-  const auto own = own_use_.find(team);
-  if (own != own_use_.end()) millicores = own->second.millicores;
-  for (const auto& [name, peer] : c_.members.peers()) {
+  const auto own = own_team_use_.find(team);
+  if (own != own_team_use_.end()) millicores = own->second.millicores;
+  for (const auto& [name, peer] : context_.members.peers()) {
     if (peer.state == membership::PeerState::kDead) continue;
     for (const wire::TeamUse& use : peer.last.teams) {
       if (use.team == team) millicores += use.millicores;
@@ -59,18 +59,19 @@
 /// A request that does not fit on any listed upstream, even an empty one, is
 /// refused instead of queued.
 std::string Requests::InfeasibleReason(const wire::RequestSpec& spec) {
-  if (c_.controller.list_version() != infeasible_version_ ||
-      infeasible_.size() > kMaxCachedShapes) {
-    infeasible_version_ = c_.controller.list_version();
-    infeasible_.clear();
+  if (context_.controller.list_version() != infeasible_list_version_ ||
+      infeasible_reasons_.size() > kMaxCachedShapes) {
+    infeasible_list_version_ = context_.controller.list_version();
+    infeasible_reasons_.clear();
   }
-  const auto [found, fresh] = infeasible_.try_emplace(ShapeOf(spec));
-  if (fresh) found->second = FindInfeasible(spec);
+  const auto [found, fresh] = infeasible_reasons_.try_emplace(ShapeOf(spec));
+  if (fresh) found->second = FindInfeasibleReason(spec);
   return found->second;
 }
 
-std::string Requests::FindInfeasible(const wire::RequestSpec& spec) const {
-  const auto& listed = c_.controller.listed();
+std::string Requests::FindInfeasibleReason(
+    const wire::RequestSpec& spec) const {
+  const auto& listed = context_.controller.listed();
   if (listed.empty()) return "";
   placement::Room whole;
   for (const auto& [name, upstream] : listed) {
@@ -83,8 +84,8 @@
   }
   wire::AttemptContext context;
   context.spec = spec;
-  const placement::PlacementRequest ask =
-      execution::MakePlacementRequest(context, spec.tasks, c_.executor.Now());
+  const placement::PlacementRequest ask = execution::MakePlacementRequest(
+      context, spec.tasks, context_.executor.Now());
   const auto policy = placement::MakeFirstFitPolicy();
   if (!policy->Place(whole, ask).empty()) return "";
   return "the request does not fit on the listed upstreams, even if they were "
@@ -92,18 +93,18 @@
          placement::ExplainNoCapacity(whole, ask);
 }
 
-std::optional<Submitted> Requests::CheckAdmission(
+std::optional<SubmitResult> Requests::CheckAdmission(
     const wire::RequestSpec& spec, const wire::Treatment& treatment,
     const rules::RuleSet& rules) {
   if (!treatment.refusal.empty()) {
-    Submitted refused;
+    SubmitResult refused;
     refused.outcome.verdict = wire::Verdict::kRefused;
     refused.outcome.reason = treatment.refusal;
     return refused;
   }
   const std::string infeasible = InfeasibleReason(spec);
   if (!infeasible.empty()) {
-    Submitted refused;
+    SubmitResult refused;
     refused.outcome.verdict = wire::Verdict::kRefused;
     refused.outcome.reason = infeasible;
     return refused;
@@ -127,7 +128,7 @@
   if (limit != nullptr && limit->millicores &&
       static_cast<int64_t>(spec.size.millicores) * spec.tasks >
           *limit->millicores) {
-    Submitted refused;
+    SubmitResult refused;
     refused.outcome.verdict = wire::Verdict::kRefused;
     refused.outcome.reason = "larger than the team's total quota of cores";
     return refused;
@@ -136,7 +137,7 @@
 }
 
 void Requests::Submit(wire::RequestSpec spec,
-                      std::function<void(Submitted)> done) {
+                      std::function<void(SubmitResult)> done) {
   const std::string digest = ContentDigest(spec);
   if (!spec.keyed) {
     spec.id = options_.self + "-" + std::to_string(options_.incarnation) + "-" +
@@ -144,7 +145,7 @@
   }
   Record* known = FindMutable(spec.id);
   if (known != nullptr && known->digest != digest) {
-    Submitted refused{.id = spec.id};
+    SubmitResult refused{.id = spec.id};
     refused.outcome.verdict = wire::Verdict::kRefused;
     refused.outcome.reason = "the key is in use for a different request";
     return done(std::move(refused));
@@ -154,28 +155,31 @@
   if (known != nullptr && !resubmitted) {
     return done({.accepted = true, .id = spec.id});
   }
-  const auto rules = c_.rules();
+  const auto rules = context_.rules();
   if (!rules) {
-    return done(NotRun("no configuration has been received yet", kMinRetryMs));
+    return done(
+        NotRun("no configuration has been received yet", kMinRetryAfterMs));
   }
-  if (!c_.accepting()) {
-    return done(NotRun("this instance is not accepting requests", kMinRetryMs));
+  if (!context_.accepting()) {
+    return done(
+        NotRun("this instance is not accepting requests", kMinRetryAfterMs));
   }
-  if (spec.keyed && !c_.ledger.ready()) {
-    return done(NotRun("the log has not been read yet", kMinRetryMs));
+  if (spec.keyed && !context_.ledger.ready()) {
+    return done(NotRun("the log has not been read yet", kMinRetryAfterMs));
   }
   if (records_.size() >= options_.max_requests ||
       answer_bytes_ >= options_.max_answer_bytes) {
     return done(
         NotRun("this instance stores too many requests", RetryAfterMs()));
   }
-  const int32_t minute =
-      static_cast<int32_t>(c_.executor.UnixMillis() / 60000 % kMinutesPerDay);
-  const rules::RuleInput facts{.spec = &spec,
-                               .waiting = static_cast<int64_t>(queue_.size()),
-                               .minute_of_day = minute};
-  wire::Treatment treatment = rules->Decide(facts).then;
-  treatment.revision = c_.revision();
+  const int32_t minute = static_cast<int32_t>(context_.executor.UnixMillis() /
+                                              60000 % kMinutesPerDay);
+  const rules::RuleInput rule_input{
+      .spec = &spec,
+      .waiting = static_cast<int64_t>(queue_.size()),
+      .minute_of_day = minute};
+  wire::Treatment treatment = rules->Decide(rule_input).then;
+  treatment.revision = context_.revision();
   if (auto refused = CheckAdmission(spec, treatment, *rules)) {
     refused->id = spec.id;
     refused->outcome.rule = treatment.rule;
@@ -190,16 +194,16 @@
   record.digest = digest;
   record.treatment = treatment;
   record.serial = ++next_serial_;
-  record.submitted = c_.executor.Now();
+  record.submitted_at = context_.executor.Now();
   record.retries_left = treatment.retries;
   record.epoch = epoch;
   record.attempt = std::max(next_attempt, epoch * kAttemptsPerEpoch);
   by_serial_[record.serial] = record.spec.id;
   const std::string id = record.spec.id;
   if (record.spec.keyed) {
-    SetExpiry(record, record.submitted + Millis(treatment.wait_limit_ms));
+    SetExpiry(record, record.submitted_at + Millis(treatment.wait_limit_ms));
     record.phase = Phase::kClaiming;
-    record.why = "the claim of its key in the log is pending";
+    record.status_message = "the claim of its key in the log is pending";
     done({.accepted = true, .id = id});
     return Claim(id);
   }
--- a/src/requests/requests_attempts.cc
+++ b/src/requests/requests_attempts.cc
@@ -1,4 +1,4 @@
-// Requests: task results, retries and failure.
+// Requests: task results, retries and failures.
 
 #include <algorithm>
 
@@ -11,8 +11,10 @@
 
 constexpr Millis kInitialBackoff{200};
 constexpr Millis kMaxBackoff{30000};
+/// Delay of the next attempt if no task of the attempt was started.
 constexpr Millis kNotStartedDelay{50};
-constexpr int32_t kMaxLosses = 10;
+/// Lost or preempted attempts that are repeated without using a retry.
+constexpr int32_t kMaxLostAttempts = 10;
 /// Number of lost upstreams after which a task is considered their cause. Each
 /// lost upstream also ends the tasks of other requests that ran on it.
 constexpr int32_t kMaxCrashes = 3;
@@ -35,8 +37,7 @@
   if (task.phase == TaskPhase::kEnded) return;
   if (report.result == wire::TaskEnd::kMoved ||
       report.result == wire::TaskEnd::kLapseAssumed) {
-    // This is not a final result: all entries must be asked where the task is
-    // now.
+    // Not a final result: all entries must be queried for the task.
     MarkUnresolved(record, task);
     task.began |= report.began;
     task.lease_expiry_assumed |= report.result == wire::TaskEnd::kLapseAssumed;
@@ -55,33 +56,34 @@
 }
 
 void Requests::SendStop(Record& record) {
-  std::set<std::string> holders;
+  std::set<std::string> controllers;
   for (const TaskRecord& task : record.tasks) {
-    if (task.phase == TaskPhase::kHeld) holders.insert(task.holder);
+    if (task.phase == TaskPhase::kAccepted) controllers.insert(task.controller);
   }
-  for (const std::string& holder : holders) {
-    if (holder == options_.self) {
-      c_.execution.Stop(record.spec.id);
+  for (const std::string& controller : controllers) {
+    if (controller == options_.self) {
+      context_.execution.Stop(record.spec.id);
       continue;
     }
-    const membership::Peer* peer = c_.members.Find(holder);
+    const membership::Peer* peer = context_.members.Find(controller);
     if (peer == nullptr) continue;
     wire::CancelCall call;
     call.request_id = record.spec.id;
     call.attempt = record.attempt;
-    c_.peers.Cancel(peer->address, call, [](const Result<wire::CancelReply>&) {
-      // CheckRunning() repeats the call until the tasks have ended.
-    });
+    // The reply is ignored: CheckRunning() repeats the call until the tasks
+    // have ended.
+    context_.peers.Cancel(peer->address, call,
+                          [](const Result<wire::CancelReply>&) {});
   }
 }
 
 void Requests::EvaluateAttempt(Record& record) {
-  const bool all = std::all_of(
+  const bool all_ended = std::all_of(
       record.tasks.begin(), record.tasks.end(),
       [](const TaskRecord& t) { return t.phase == TaskPhase::kEnded; });
-  if (!all) return;
+  if (!all_ended) return;
   record.resolving = false;
-  CountRunning(record, false);
+  SetCountedRunning(record, false);
   const bool done = std::all_of(
       record.tasks.begin(), record.tasks.end(), [](const TaskRecord& t) {
         return t.report.result == wire::TaskEnd::kDone;
@@ -91,12 +93,12 @@
 }
 
 bool Requests::CrashesUpstreams(Record& record) {
-  bool many = false;
+  bool is_cause = false;
   for (size_t i = 0; i < record.tasks.size(); ++i) {
     if (record.tasks[i].report.result != wire::TaskEnd::kLost) continue;
-    many |= ++record.crashes[static_cast<int32_t>(i)] >= kMaxCrashes;
+    is_cause |= ++record.crashes[static_cast<int32_t>(i)] >= kMaxCrashes;
   }
-  return many;
+  return is_cause;
 }
 
 void Requests::RetryOrEnd(Record& record) {
@@ -110,7 +112,7 @@
       reason = task.report.upstream + ": " + task.report.reason;
     }
   }
-  record.ran |= ran;
+  record.may_have_started |= ran;
   if (record.cancelled) {
     return End(
         record, wire::Verdict::kCancelled,
@@ -128,24 +130,25 @@
                "the cause (" +
                    reason + ")");
   }
-  if (!failed && ++record.losses <= kMaxLosses) {
-    // Lost with its upstream or preempted: not a failure of the request.
+  if (!failed && ++record.lost_attempts <= kMaxLostAttempts) {
+    // The attempt was lost with its upstream or preempted, which is not a
+    // failure of the request.
     return NextAttempt(record, kInitialBackoff);
   }
   if (record.retries_left <= 0) {
     return End(record, wire::Verdict::kUnknown,
                "it failed and its retries are exhausted (" + reason + ")");
   }
-  if (!budget_.Take(record.treatment.rule)) {
+  if (!retry_budget_.TryConsume(record.treatment.rule)) {
     return End(record, wire::Verdict::kUnknown,
                "it failed and the retry budget of its rule is exhausted (" +
                    reason + ")",
                RetryAfterMs());
   }
   --record.retries_left;
-  const int used = record.treatment.retries - record.retries_left;
-  const Millis delay =
-      std::min(kMaxBackoff, kInitialBackoff * (1 << std::min(used, 10)));
+  const int used_retries = record.treatment.retries - record.retries_left;
+  const Millis delay = std::min(
+      kMaxBackoff, kInitialBackoff * (1 << std::min(used_retries, 10)));
   NextAttempt(record, delay / 2 + Millis(static_cast<int64_t>(
                                       random_() %
                                       static_cast<uint64_t>(delay.count()))));
@@ -154,8 +157,8 @@
 void Requests::NextAttempt(Record& record, Millis delay) {
   ++record.attempt;
   record.phase = Phase::kBackoff;
-  record.why = "waiting for its next attempt";
-  c_.executor.RunAfter(
+  record.status_message = "waiting for its next attempt";
+  context_.executor.RunAfter(
       delay, [this, id = record.spec.id, attempt = record.attempt] {
         Record* waiting = FindMutable(id);
         if (waiting == nullptr || waiting->phase != Phase::kBackoff) return;
--- a/src/requests/requests_keys.cc
+++ b/src/requests/requests_keys.cc
@@ -1,4 +1,4 @@
-// Requests: claiming a key, following its owner, reclaiming it.
+// Requests: claiming a key, forwarding to its owner, and reclaiming it.
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
   intent.owner = options_.self;
   intent.owner_incarnation = options_.incarnation;
   intent.spec_digest = record->digest;
-  c_.ledger.Claim(intent, [this, id](std::optional<wire::Intent> winner) {
+  context_.ledger.Claim(intent, [this, id](std::optional<wire::Intent> winner) {
     OnClaimed(id, std::move(winner));
   });
 }
@@ -26,40 +26,43 @@
   Record* record = FindMutable(id);
   if (record == nullptr || record->phase != Phase::kClaiming) return;
   if (!winner) {
-    // The intent of this entry may still reach the log. It is then harmless:
-    // this entry owns a key whose request it has not started.
+    // The intent of this entry may still reach the log. That is harmless: this
+    // entry then owns a key whose request it has not started.
     return EndUnstarted(*record,
                         "the log did not confirm the claim of its key in time",
-                        kMinRetryMs * 2);
+                        kMinRetryAfterMs * 2);
   }
   if (winner->spec_digest != record->digest) {
     return End(*record, wire::Verdict::kRefused,
                "the key is in use for a different request");
   }
-  const bool ours = winner->owner == options_.self &&
-                    winner->owner_incarnation == options_.incarnation;
-  if (!ours) return FollowOwner(id, *winner);
+  const bool won = winner->owner == options_.self &&
+                   winner->owner_incarnation == options_.incarnation;
+  if (!won) return ForwardToOwner(id, *winner);
   record->epoch = winner->epoch;
   record->attempt =
       std::max(record->attempt, winner->epoch * kAttemptsPerEpoch);
   Enqueue(*record);
 }
 
-void Requests::FollowOwner(const std::string& id, const wire::Intent& winner) {
+void Requests::ForwardToOwner(const std::string& id,
+                              const wire::Intent& winner) {
   Record* record = FindMutable(id);
   if (record == nullptr) return;
-  if (!c_.members.IsCurrentProcess(winner.owner, winner.owner_incarnation)) {
+  if (!context_.members.IsCurrentProcess(winner.owner,
+                                         winner.owner_incarnation)) {
     return Reclaim(*record, winner);
   }
-  record->foreign = true;
-  const membership::Peer* owner = c_.members.Find(winner.owner);
-  record->why = "owned by " + winner.owner;
+  record->owned_by_other_entry = true;
+  const membership::Peer* owner = context_.members.Find(winner.owner);
+  record->status_message = "owned by " + winner.owner;
   wire::SubmitCall call;
   call.spec = record->spec;
-  c_.peers.Submit(owner->address, call,
-                  [this, id, winner](const Result<wire::SubmitReply>& reply) {
-                    OnForwarded(id, winner, reply);
-                  });
+  context_.peers.Submit(
+      owner->address, call,
+      [this, id, winner](const Result<wire::SubmitReply>& reply) {
+        OnForwarded(id, winner, reply);
+      });
 }
 
 void Requests::OnForwarded(const std::string& id, const wire::Intent& winner,
@@ -71,10 +74,10 @@
                winner.owner + ": " + reply.value().refusal,
                reply.value().retry_after_ms);
   }
-  const membership::Peer* owner = c_.members.Find(winner.owner);
+  const membership::Peer* owner = context_.members.Find(winner.owner);
   if (!reply.ok() || owner == nullptr) {
-    c_.executor.RunAfter(kCheckInterval,
-                         [this, id, winner] { FollowOwner(id, winner); });
+    context_.executor.RunAfter(
+        kCheckInterval, [this, id, winner] { ForwardToOwner(id, winner); });
     return;
   }
   PollOwner(id, owner->address);
@@ -85,7 +88,7 @@
   wire::FindCall call;
   call.request_id = id;
   call.wait_ms = kCheckInterval.count();
-  c_.peers.Find(
+  context_.peers.Find(
       address, call, [this, id, address](const Result<wire::FindReply>& reply) {
         Record* record = FindMutable(id);
         if (record == nullptr || record->phase != Phase::kClaiming) return;
@@ -93,13 +96,13 @@
           return Finish(*record, reply.value().outcome);
         }
         if (reply.ok() && reply.value().owner != wire::OwnerState::kAbsent) {
-          record->why = reply.value().why;
+          record->status_message = reply.value().why;
           return PollOwner(id, address);
         }
         // The owner is unreachable or was restarted. The claim in the log names
         // the incarnation whose liveness decides what follows.
-        c_.executor.RunAfter(kCheckInterval, [this, id] {
-          const wire::Intent* winner = c_.ledger.Find(id);
+        context_.executor.RunAfter(kCheckInterval, [this, id] {
+          const wire::Intent* winner = context_.ledger.Find(id);
           if (winner != nullptr) OnClaimed(id, *winner);
         });
       });
@@ -109,12 +112,12 @@
 /// the upstreams, so the key is claimed again only after its attempts have
 /// been resolved.
 void Requests::Reclaim(Record& record, const wire::Intent& previous) {
-  record.foreign = true;
+  record.owned_by_other_entry = true;
   record.phase = Phase::kReclaiming;
   record.epoch = previous.epoch + 1;
   record.former_owner = previous.owner;
   record.former_incarnation = previous.owner_incarnation;
-  record.why = "its former owner is dead";
+  record.status_message = "its former owner is dead";
   StartResolving(record);
 }
 
@@ -129,28 +132,30 @@
   ClaimNextEpoch(*record, "its key was claimed by another entry");
 }
 
-void Requests::ClaimNextEpoch(Record& record, const std::string& why) {
+void Requests::ClaimNextEpoch(Record& record,
+                              const std::string& status_message) {
   queue_.Remove(record.serial);
-  CountWaiting(record, false);
+  SetCountedWaiting(record, false);
   record.phase = Phase::kClaiming;
-  record.why = why;
+  record.status_message = status_message;
   ++record.epoch;
   record.attempt = std::max(record.attempt, record.epoch * kAttemptsPerEpoch);
   Claim(record.spec.id);
 }
 
-void Requests::CountWaiting(Record& record, bool on) {
-  if (record.counted_waiting == on) return;
-  record.counted_waiting = on;
-  own_use_[record.spec.team].waiting += on ? 1 : -1;
+void Requests::SetCountedWaiting(Record& record, bool counted) {
+  if (record.counted_waiting == counted) return;
+  record.counted_waiting = counted;
+  own_team_use_[record.spec.team].waiting += counted ? 1 : -1;
 }
 
-void Requests::CountRunning(Record& record, bool on) {
-  if (record.counted_running == on) return;
-  record.counted_running = on;
+void Requests::SetCountedRunning(Record& record, bool counted) {
+  if (record.counted_running == counted) return;
+  record.counted_running = counted;
   const int64_t millicores =
       static_cast<int64_t>(record.spec.size.millicores) * record.spec.tasks;
-  own_use_[record.spec.team].millicores += on ? millicores : -millicores;
+  own_team_use_[record.spec.team].millicores +=
+      counted ? millicores : -millicores;
 }
 
 }  // namespace mimosarail::requests
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -9,27 +9,29 @@
 namespace mimosarail::requests {
 namespace {
 
+/// Size of a task from which its request counts as large. See QueueItem::large.
 constexpr int32_t kLargeMillicores = 8000;
 
 }  // namespace
 
 void Requests::Enqueue(Record& record) {
   record.phase = Phase::kWaiting;
-  record.foreign = false;
-  record.why = "in the queue";
+  record.owned_by_other_entry = false;
+  record.status_message = "in the queue";
   record.tasks.assign(static_cast<size_t>(record.spec.tasks), TaskRecord{});
-  const TimePoint from =
-      record.attempts == 0 ? record.submitted : c_.executor.Now();
+  const TimePoint from = record.started_attempts == 0 ? record.submitted_at
+                                                      : context_.executor.Now();
   TimePoint limit = from + Millis(record.treatment.wait_limit_ms);
   if (record.spec.deadline_ms > 0) {
-    limit = std::min(limit, record.submitted + Millis(record.spec.deadline_ms));
+    limit =
+        std::min(limit, record.submitted_at + Millis(record.spec.deadline_ms));
   }
   SetExpiry(record, limit);
   record.queue_key = queue_.Push(
       {.id = record.serial,
        .priority = record.treatment.priority,
        .team = record.spec.team,
-       .since = record.submitted,
+       .since = record.submitted_at,
        .core_seconds = static_cast<double>(record.spec.size.millicores) *
                        static_cast<double>(record.spec.run_ms) *
                        record.spec.tasks / 1e6,
@@ -41,41 +43,46 @@
                 record.spec.size.millicores >= kLargeMillicores,
        .declared = Millis(record.spec.run_ms)},
       record.queue_key);
-  CountWaiting(record, true);
-  RequestDrain();
+  SetCountedWaiting(record, true);
+  SchedulePlacementPass();
 }
 
-void Requests::RequestDrain() {
-  if (drain_pending_) return;
-  drain_pending_ = true;
-  c_.executor.Post([this] {
-    drain_pending_ = false;
-    Drain();
+void Requests::SchedulePlacementPass() {
+  if (placement_pass_pending_) return;
+  placement_pass_pending_ = true;
+  context_.executor.Post([this] {
+    placement_pass_pending_ = false;
+    RunPlacementPass();
   });
 }
 
-void Requests::Drain() {
-  guard_.BeginPass(c_.executor.Now());
-  queue_.VisitInOrder(c_.executor.Now(), [&](const placement::QueueItem& item) {
-    Record* record = FindMutable(by_serial_[item.id]);
-    MR_EXPECT(record != nullptr && record->phase == Phase::kWaiting,
-              return placement::Visit::kPlaced);
-    if (!guard_.MayStart(item)) {
-      record->why =
-          "capacity is reserved for a large request that has waited long";
-      return placement::Visit::kSkipped;
-    }
-    const placement::Visit visit =
-        TryPlace(*record, guard_.IsReservedFor(item.id));
-    if (visit == placement::Visit::kBlocked) guard_.NoteBlocked(item);
-    if (visit == placement::Visit::kPlaced) CountWaiting(*record, false);
-    return visit;
-  });
-  guard_.EndPass();
+void Requests::RunPlacementPass() {
+  starvation_guard_.BeginPass(context_.executor.Now());
+  queue_.VisitInOrder(
+      context_.executor.Now(), [&](const placement::QueueItem& item) {
+        Record* record = FindMutable(by_serial_[item.id]);
+        MR_EXPECT(record != nullptr && record->phase == Phase::kWaiting,
+                  return placement::Visit::kPlaced);
+        if (!starvation_guard_.MayStart(item)) {
+          record->status_message =
+              "capacity is reserved for a large request that has waited long";
+          return placement::Visit::kSkipped;
+        }
+        const placement::Visit visit =
+            TryPlace(*record, starvation_guard_.IsReservedFor(item.id));
+        if (visit == placement::Visit::kBlocked) {
+          starvation_guard_.NoteBlocked(item);
+        }
+        if (visit == placement::Visit::kPlaced) {
+          SetCountedWaiting(*record, false);
+        }
+        return visit;
+      });
+  starvation_guard_.EndPass();
 }
 
-wire::PlaceCall Requests::MakeCall(const Record& record,
-                                   bool use_reserve) const {
+wire::PlaceCall Requests::MakePlaceCall(const Record& record,
+                                        bool use_reserve) const {
   wire::PlaceCall call;
   call.context.spec = record.spec;
   call.context.treatment = record.treatment;
@@ -88,90 +95,90 @@
 }
 
 placement::Visit Requests::TryPlace(Record& record, bool use_reserve) {
-  const auto rules = c_.rules();
+  const auto rules = context_.rules();
   const rules::TeamLimit* limit =
       rules ? rules->LimitOf(record.spec.team) : nullptr;
   const int64_t wanted =
       static_cast<int64_t>(record.spec.size.millicores) * record.spec.tasks;
   if (limit != nullptr && limit->millicores &&
       TeamMillicores(record.spec.team) + wanted > *limit->millicores) {
-    record.why =
+    record.status_message =
         "team " + record.spec.team + " has exhausted its quota of cores";
     return placement::Visit::kSkipped;
   }
-  const wire::PlaceCall call = MakeCall(record, use_reserve);
-  const placement::PlacementRequest ask = execution::MakePlacementRequest(
-      call.context, record.spec.tasks, c_.executor.Now());
+  const wire::PlaceCall call = MakePlaceCall(record, use_reserve);
+  const placement::PlacementRequest request = execution::MakePlacementRequest(
+      call.context, record.spec.tasks, context_.executor.Now());
   if (PlaceHere(record, call)) return placement::Visit::kPlaced;
-  if (PlaceAtPeer(record, call, ask)) return placement::Visit::kPlaced;
-  if (record.treatment.preempt) c_.execution.Preempt(call);
+  if (PlaceAtPeer(record, call, request)) return placement::Visit::kPlaced;
+  if (record.treatment.preempt) context_.execution.Preempt(call);
   return placement::Visit::kBlocked;
 }
 
 bool Requests::PlaceHere(Record& record, const wire::PlaceCall& call) {
   // The record must be marked as running before the call, since the call may
   // already deliver the first reports of its tasks.
-  MarkRunning(record, options_.self, options_.incarnation, TaskPhase::kHeld);
-  const wire::PlaceReply reply = c_.execution.Place(call);
+  MarkRunning(record, options_.self, options_.incarnation,
+              TaskPhase::kAccepted);
+  const wire::PlaceReply reply = context_.execution.Place(call);
   if (reply.status == wire::PlaceStatus::kAccepted) {
     NoteStarted(record);
     return true;
   }
-  CountRunning(record, false);
+  SetCountedRunning(record, false);
   record.phase = Phase::kWaiting;
-  record.why = reply.status == wire::PlaceStatus::kFenced
-                   ? "another entry is reclaiming it"
-                   : reply.detail;
+  record.status_message = reply.status == wire::PlaceStatus::kFenced
+                              ? "another entry is reclaiming it"
+                              : reply.detail;
   record.tasks.assign(static_cast<size_t>(record.spec.tasks), TaskRecord{});
   return false;
 }
 
 bool Requests::PlaceAtPeer(Record& record, const wire::PlaceCall& call,
-                           const placement::PlacementRequest& ask) {
-  const membership::Peer* peer = peer_capacity_.Choose(ask);
+                           const placement::PlacementRequest& request) {
+  const membership::Peer* peer = peer_capacity_.Choose(request);
   if (peer == nullptr) return false;
   wire::PlaceCall sent = call;
   sent.heartbeat_seen = peer->last.sequence;
-  MarkRunning(record, peer->name, peer->last.incarnation,
-              TaskPhase::kRequested);
-  peer_capacity_.NoteSent(peer->name, ask);
-  c_.peers.Place(
+  MarkRunning(record, peer->name, peer->last.incarnation, TaskPhase::kSent);
+  peer_capacity_.NoteSent(peer->name, request);
+  context_.peers.Place(
       peer->address, sent,
       [this, id = record.spec.id, attempt = record.attempt, name = peer->name,
-       ask](const Result<wire::PlaceReply>& reply) {
-        OnPlaceReply(id, attempt, name, ask, reply);
+       request](const Result<wire::PlaceReply>& reply) {
+        OnPlaceReply(id, attempt, name, request, reply);
       });
   return true;
 }
 
-void Requests::MarkRunning(Record& record, const std::string& holder,
+void Requests::MarkRunning(Record& record, const std::string& controller,
                            int64_t incarnation, TaskPhase phase) {
   record.phase = Phase::kRunning;
-  record.placed = c_.executor.Now();
+  record.placed_at = context_.executor.Now();
   record.resolving = false;
   record.fenced_everywhere = false;
-  record.tasks.assign(
-      static_cast<size_t>(record.spec.tasks),
-      TaskRecord{
-          .phase = phase, .holder = holder, .holder_incarnation = incarnation});
-  CountRunning(record, true);
+  record.tasks.assign(static_cast<size_t>(record.spec.tasks),
+                      TaskRecord{.phase = phase,
+                                 .controller = controller,
+                                 .controller_incarnation = incarnation});
+  SetCountedRunning(record, true);
 }
 
 void Requests::NoteStarted(Record& record) {
-  ++record.attempts;
+  ++record.started_attempts;
   ++rate_starts_;
-  budget_.NoteStart(record.treatment.rule);
+  retry_budget_.NoteStart(record.treatment.rule);
   SetExpiry(record, TimePoint::max());
   if (record.started_once) return;
   record.started_once = true;
-  record.waited =
-      std::chrono::duration_cast<Millis>(c_.executor.Now() - record.submitted);
-  c_.on_first_start(record);
+  record.waited = std::chrono::duration_cast<Millis>(context_.executor.Now() -
+                                                     record.submitted_at);
+  context_.on_first_start(record);
 }
 
 void Requests::OnPlaceReply(const std::string& id, int32_t attempt,
                             const std::string& peer,
-                            const placement::PlacementRequest& ask,
+                            const placement::PlacementRequest& request,
                             const Result<wire::PlaceReply>& reply) {
   Record* record = FindMutable(id);
   if (record == nullptr || record->attempt != attempt ||
@@ -183,7 +190,7 @@
   if (!reply.ok() && !never_sent) return StartResolving(*record);
   if (reply.ok() && reply.value().status == wire::PlaceStatus::kAccepted) {
     for (TaskRecord& task : record->tasks) {
-      if (task.phase == TaskPhase::kRequested) task.phase = TaskPhase::kHeld;
+      if (task.phase == TaskPhase::kSent) task.phase = TaskPhase::kAccepted;
     }
     return NoteStarted(*record);
   }
@@ -193,8 +200,9 @@
                "outcome");
   }
   peer_capacity_.NoteRefused(
-      peer, placement::PlacementRequest{.size = ask.size, .tasks = ask.tasks});
-  CountRunning(*record, false);
+      peer, placement::PlacementRequest{.size = request.size,
+                                        .tasks = request.tasks});
+  SetCountedRunning(*record, false);
   if (record->cancelled) {
     return End(*record, wire::Verdict::kCancelled,
                "before it started: not run");
--- a/src/requests/resolution.cc
+++ b/src/requests/resolution.cc
@@ -52,7 +52,7 @@
       return out;
     }
     out.result = ResolutionResult::kRunning;
-    out.holder = entry;
+    out.controller = entry;
   }
   if (out.result == ResolutionResult::kRunning) return out;
   // Without the fence, an entry that has just answered that it does not have
--- a/src/requests/resolution.h
+++ b/src/requests/resolution.h
@@ -43,7 +43,7 @@
 
 struct Resolution {
   ResolutionResult result = ResolutionResult::kWait;
-  std::string holder;
+  std::string controller;  ///< Of a running task: the entry that controls it.
   wire::ReportCall report;
 };
 
--- a/src/requests/retry_budget.h
+++ b/src/requests/retry_budget.h
@@ -15,7 +15,7 @@
     tokens = std::min(kMaxTokens, tokens + kTokensPerStart);
   }
   /// Consumes one retry; returns false if the budget is exhausted.
-  bool Take(const std::string& rule) {
+  bool TryConsume(const std::string& rule) {
     double& tokens = Tokens(rule);
     if (tokens < 1) return false;
     tokens -= 1;
--- a/src/requests/task_summary.h
+++ b/src/requests/task_summary.h
@@ -11,9 +11,9 @@
 /// What the controllers report about the tasks of a request whose owner is
 /// dead.
 struct TaskSummary {
-  bool any = false;
-  bool running = false;
-  int32_t tasks = 1;
+  bool any = false;      ///< Some controller knows a task of the request.
+  bool running = false;  ///< Some task is running.
+  int32_t tasks = 1;     ///< Number of tasks of the request.
   /// Results by task index. A complete answer takes precedence over any other
   /// result of the same task.
   std::map<int32_t, wire::ReportCall> results;
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -207,7 +207,7 @@
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
     budget.NoteStart("rule");
-    if (budget.Take("rule")) ++retries;
+    if (budget.TryConsume("rule")) ++retries;
   }
   BOOST_TEST(retries <= 210);
   BOOST_TEST(retries >= 190);
--- a/tests/request_fault_injection_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -1,5 +1,6 @@
 // Seeded fault schedules over complete entry instances, with a manual clock.
-// MIMOSARAIL_SEED runs one seed; MIMOSARAIL_SEEDS sets the number of seeds.
+// MIMOSARAIL_SEED runs one seed; MIMOSARAIL_SEEDS sets the number of seeds;
+// MIMOSARAIL_TRACE names a request whose events are printed.
 
 #define BOOST_TEST_MODULE request_fault_injection
 #include <boost/test/unit_test.hpp>
@@ -14,7 +15,7 @@
 
 constexpr Millis kStep{200};
 constexpr int kFaultySteps = 150;
-constexpr Millis kHealLimit{240000};
+constexpr Millis kRecoveryLimit{240000};
 
 /// Runs random requests and faults against one cell, then ends all faults and
 /// checks the invariants.
@@ -34,7 +35,7 @@
       ResumeDue();
       cell_.Run(kStep);
     }
-    Heal();
+    EndFaults();
     return Check();
   }
 
@@ -64,14 +65,14 @@
     if (cell_.node(entry).executor->dead()) return;
     Record("submit " + spec.id + " at entry " + std::to_string(entry));
     submissions_.push_back({spec, cell_.Submit(entry, spec)});
-    at_.push_back(entry);
+    submission_entries_.push_back(entry);
   }
 
   std::string RandomUpstream() {
     return Cell::UpstreamName(Random(3), Random(2));
   }
 
-  std::string RandomParty() {
+  std::string RandomEndpoint() {
     switch (Random(4)) {
       case 0:
         return "log";
@@ -102,7 +103,7 @@
         break;
       case 4: {
         const std::string a = Cell::EntryName(entry);
-        const std::string b = RandomParty();
+        const std::string b = RandomEndpoint();
         cell_.network().BlockLink(a, b);
         if (Random(2) == 0) cell_.network().BlockLink(b, a);
         break;
@@ -160,7 +161,7 @@
     }
   }
 
-  void Heal() {
+  void EndFaults() {
     cell_.network().HealAll();
     cell_.network().lost_per_mille = 0;
     cell_.network().duplicated_per_mille = 0;
@@ -175,11 +176,11 @@
       cell_.upstream(name).faults() = {};
       cell_.upstream_executor(name).Resume();
     }
-    cell_.RunUntil([this] { return cell_.AllAttached() && Idle(); },
-                   kHealLimit);
+    cell_.RunUntil([this] { return cell_.AllAttached() && IsIdle(); },
+                   kRecoveryLimit);
   }
 
-  bool Idle() {
+  bool IsIdle() {
     for (int i = 0; i < 3; ++i) {
       instance::Instance& instance = *cell_.node(i).instance;
       const int64_t revision = instance.config().fold().revision();
@@ -199,7 +200,9 @@
     capacity.millicores = 4000;
     capacity.memory_mb = 8000;
     capacity.connections = 16;
-    if (const char* traced = std::getenv("MIMOSARAIL_TRACE")) Trace(traced);
+    if (const char* request_id = std::getenv("MIMOSARAIL_TRACE")) {
+      Trace(request_id);
+    }
     auto violations =
         CheckInvariants(cell_.history().events(), submissions_, capacity, 4);
     for (const std::string& name : cell_.revision_regressions) {
@@ -212,20 +215,23 @@
     return violations;
   }
 
-  /// Prints the upstream events of one request, all attaches and the faults.
+  /// Prints the upstream events of one request, all attaches, and the
+  /// submissions and faults of the schedule.
   void Trace(const std::string& id) {
     for (const auto& event : cell_.history().events()) {
       if (event["event"] == "attach" || event.value("request", "") == id) {
         std::printf("%s\n", event.dump().c_str());
       }
     }
-    for (const std::string& line : events_) std::printf("%s\n", line.c_str());
+    for (const std::string& line : recorded_actions_) {
+      std::printf("%s\n", line.c_str());
+    }
   }
 
   void Record(const std::string& line) {
     const auto now = std::chrono::duration_cast<Millis>(
         cell_.clock().now().time_since_epoch());
-    events_.push_back(std::to_string(now.count()) + " " + line);
+    recorded_actions_.push_back(std::to_string(now.count()) + " " + line);
   }
 
   void CheckNode(Node& node, std::vector<std::string>& violations) {
@@ -236,10 +242,11 @@
       violations.push_back(node.name + " has a different configuration");
     }
     for (const auto& view : node.instance->requests().Views(5)) {
-      violations.push_back(view.id + " never ended at " + node.name + ": " +
-                           std::string(requests::PhaseName(view.phase)) + ", " +
-                           view.why + " " +
-                           (view.holders.empty() ? "" : view.holders.back()));
+      violations.push_back(
+          view.id + " never ended at " + node.name + ": " +
+          std::string(requests::PhaseName(view.phase)) + ", " +
+          view.status_message + " " +
+          (view.task_states.empty() ? "" : view.task_states.back()));
     }
     const placement::Room& room = node.instance->controller().room();
     if (room.total_free() != room.total_capacity()) {
@@ -260,11 +267,11 @@
   int step_ = 0;
   std::vector<int> paused_until_;
   std::vector<Submission> submissions_;
-  std::vector<int> at_;
-  std::vector<std::string> events_;
+  std::vector<int> submission_entries_;
+  std::vector<std::string> recorded_actions_;
 };
 
-int64_t FromEnvironment(const char* name, int64_t fallback) {
+int64_t IntegerFromEnvironment(const char* name, int64_t fallback) {
   const char* value = std::getenv(name);
   return value == nullptr ? fallback : std::atoll(value);
 }
@@ -278,10 +285,10 @@
 
 }  // namespace
 
-// Each of these seeds has exposed a fault: requests that stayed in the running
-// state at their owner for ever, results released before they were reported, a
-// start queued unread in a paused upstream, keys reclaimed from owners that
-// were only partitioned.
+// Each of these seeds has exposed one of these faults: a request stays in the
+// running state at its owner for ever, a result is released before it is
+// reported, a start call waits unread at a paused upstream, a key is reclaimed
+// from an owner that is only partitioned.
 BOOST_AUTO_TEST_CASE(regression_seeds_pass) {
   for (const uint64_t seed :
        {5U,   11U,   22U,   28U,   30U,   33U,   37U,   40U,
@@ -292,9 +299,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(invariants_hold_under_seeded_fault_schedules) {
-  const int64_t one = FromEnvironment("MIMOSARAIL_SEED", -1);
-  if (one >= 0) return RunSeed(static_cast<uint64_t>(one));
-  const int64_t count = FromEnvironment("MIMOSARAIL_SEEDS", 200);
+  const int64_t only_seed = IntegerFromEnvironment("MIMOSARAIL_SEED", -1);
+  if (only_seed >= 0) return RunSeed(static_cast<uint64_t>(only_seed));
+  const int64_t count = IntegerFromEnvironment("MIMOSARAIL_SEEDS", 200);
   for (int64_t seed = 1; seed <= count; ++seed) {
     RunSeed(static_cast<uint64_t>(seed));
   }
--- a/tests/sim/cell.cc
+++ b/tests/sim/cell.cc
@@ -341,7 +341,7 @@
   Node& at = node(entry);
   at.executor->Post([&at, submit_result, spec = std::move(spec)] {
     at.instance->requests().Submit(
-        spec, [&at, submit_result](const requests::Submitted& submitted) {
+        spec, [&at, submit_result](const requests::SubmitResult& submitted) {
           submit_result->id = submitted.id;
           if (!submitted.accepted) {
             submit_result->answered = true;
