--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -418,7 +418,7 @@
        b.Open();
        return b.session->term() == 42 && b.session->usable();
      }},
-    {"a refused start is certain and releases its capacity",
+    {"a refused start is reported as not started and releases its capacity",
      [](SessionFixture& b) {
        b.Open();
        wire::StartReply refused;
@@ -476,7 +476,7 @@
        b.clock.RunFor(Millis(6000));
        return early && b.listener.events == "lapse assumed t;moved u;";
      }},
-    {"a start that was never sent is certain",
+    {"a start that was never sent is reported as not started",
      [](SessionFixture& b) {
        b.Open();
        b.port.start = Result<wire::StartReply>(Errc::kUnavailable);
@@ -576,7 +576,7 @@
 // A keyed request is sent to two entries. The owner counts it and its cost. If
 // the entry that forwards the answer counted it too, the team would be billed
 // twice.
-BOOST_AUTO_TEST_CASE(cost_of_a_followed_key_is_counted_once) {
+BOOST_AUTO_TEST_CASE(cost_of_a_forwarded_key_is_counted_once) {
   Cell cell({.seed = 3});
   BOOST_REQUIRE(cell.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
@@ -647,7 +647,7 @@
 // An owner has resolved an attempt as never started and has started the next
 // one elsewhere. If its delayed placement call were accepted now, both attempts
 // would run.
-BOOST_AUTO_TEST_CASE(a_fenced_attempt_is_refused_for_good) {
+BOOST_AUTO_TEST_CASE(fenced_attempt_is_never_accepted) {
   Cell cell({.seed = 4});
   BOOST_REQUIRE(cell.WaitUntilReady());
   instance::Instance& entry = EntryWithMostUpstreams(cell);
@@ -664,7 +664,7 @@
 // A placement call was delayed for longer than its owner waits before it
 // resolves the attempt. The heartbeat number in the call shows its age, and it
 // must be refused.
-BOOST_AUTO_TEST_CASE(a_placement_call_that_is_too_old_is_refused) {
+BOOST_AUTO_TEST_CASE(placement_call_that_is_too_old_is_refused) {
   Cell cell({.seed = 5});
   BOOST_REQUIRE(cell.WaitUntilReady());
   instance::Instance& entry = EntryWithMostUpstreams(cell);
