--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -63,24 +63,25 @@
   out.leadership.member.name = s.name;
   out.leadership.member.address = s.peer_address;
   out.leadership.seeds = s.seeds;
-  out.leadership.heartbeat_interval = Millis(s.hello_ms);
-  out.leadership.leader_suspect_after = Millis(s.silence_ms);
+  out.leadership.heartbeat_interval = Millis(s.heartbeat_interval_ms);
+  out.leadership.leader_suspect_after = Millis(s.leader_suspect_after_ms);
   out.leadership.renew_period = Millis(s.renew_ms);
-  out.leadership.election_timeout = Millis(s.quiet_ms);
-  out.leadership.store_unreachable_after = Millis(s.store_silence_ms);
-  out.leadership.leader_lease = Millis(s.trust_ms);
+  out.leadership.election_timeout = Millis(s.election_timeout_ms);
+  out.leadership.store_unreachable_after = Millis(s.store_unreachable_after_ms);
+  out.leadership.leader_lease = Millis(s.leader_lease_ms);
   out.leadership.member.fitness = static_cast<int32_t>(s.cpu_percent);
   out.coordinator.lease = Millis(s.lease_ms);
-  out.coordinator.previous_leader_timeout = Millis(s.trust_ms);
-  out.coordinator.list_period = Millis(s.list_ms);
-  out.coordinator.maintenance_duration = Millis(s.upkeep_centis * kMsPerCenti);
+  out.coordinator.previous_leader_timeout = Millis(s.leader_lease_ms);
+  out.coordinator.list_period = Millis(s.upstream_list_period_ms);
+  out.coordinator.maintenance_duration =
+      Millis(s.maintenance_duration_centis * kMsPerCenti);
   out.coordinator.host_lists_per_s =
       static_cast<double>(s.host_lists_per_100_s) / kHundredths;
   out.coordinator.host_orders_per_s =
       static_cast<double>(s.host_orders_per_100_s) / kHundredths;
   out.coordinator.host_holder_timeout = Millis(s.holder_lease_ms);
   out.coordinator.max_jobs = static_cast<size_t>(s.max_jobs);
-  out.leader_wait_timeout = Millis(s.patience_ms);
+  out.leader_wait_timeout = Millis(s.leader_wait_timeout_ms);
   out.shutdown_reply_timeout = Millis(s.shutdown_ms) - kLastAnswerTime;
   return out;
 }
@@ -327,9 +328,9 @@
   const auto network_work = asio::make_work_guard(daemon.network_io);
   std::thread network_thread([&daemon] { daemon.network_io.run(); });
   asio::signal_set signals(daemon.control, SIGTERM, SIGINT);
-  ShutdownSequence sequence(daemon,
-                            {.unready_period = Millis(settings.unready_ms),
-                             .limit = Millis(settings.shutdown_ms)});
+  ShutdownSequence sequence(
+      daemon, {.unready_period = Millis(settings.unready_period_ms),
+               .limit = Millis(settings.shutdown_ms)});
   signals.async_wait([&](std::error_code error, int) {
     if (!error) sequence.Begin();
   });
--- a/src/libs/settings/job_settings.cc
+++ b/src/libs/settings/job_settings.cc
@@ -39,7 +39,7 @@
        "calls/s",
        "orders to hosts that their API accepts from all entry instances "
        "together"},
-      {"upkeep_s", Scaled{&S::upkeep_centis, {0, 86400}}, "s",
+      {"upkeep_s", Scaled{&S::maintenance_duration_centis, {0, 86400}}, "s",
        "how long a host is away for maintenance"},
       {"holder_lease_ms", Number{&S::holder_lease_ms, {0, 600000}}, "ms",
        "a new leader that finds hosts ordered by an earlier leader waits this "
@@ -54,29 +54,29 @@
        "quarter of a core lets others claim leadership first"},
       {"lease_ms", Number{&S::lease_ms, {1000, 60000}}, "ms",
        "how long tasks continue without contact from the leader"},
-      {"hello_ms", Number{&S::hello_ms, kMs}, "ms",
+      {"hello_ms", Number{&S::heartbeat_interval_ms, kMs}, "ms",
        "time between heartbeats to the leader"},
-      {"silence_ms", Number{&S::silence_ms, kMs}, "ms",
+      {"silence_ms", Number{&S::leader_suspect_after_ms, kMs}, "ms",
        "time without an answer after which the leader is suspected"},
       {"renew_ms", Number{&S::renew_ms, kMs}, "ms",
        "time between the leader's renewals in the store"},
-      {"quiet_ms", Number{&S::quiet_ms, kMs}, "ms",
+      {"quiet_ms", Number{&S::election_timeout_ms, kMs}, "ms",
        "a suspected leader that did not renew for this long is replaced"},
-      {"trust_ms", Number{&S::trust_ms, kMs}, "ms",
+      {"trust_ms", Number{&S::leader_lease_ms, kMs}, "ms",
        "leader lease: a leader that gets no answer from the store and none "
        "from a follower for this long gives no orders"},
-      {"store_silence_ms", Number{&S::store_silence_ms, kMs}, "ms",
+      {"store_silence_ms", Number{&S::store_unreachable_after_ms, kMs}, "ms",
        "a leader that cannot reach the store for this long is replaced"},
-      {"list_ms", Number{&S::list_ms, kMs}, "ms",
+      {"list_ms", Number{&S::upstream_list_period_ms, kMs}, "ms",
        "time between reads of the list of upstreams"},
-      {"patience_ms", Number{&S::patience_ms, kMs}, "ms",
+      {"patience_ms", Number{&S::leader_wait_timeout_ms, kMs}, "ms",
        "longest time that a caller waits for a leader"},
       {"max_connections", Number{&S::max_connections, {10, 100000}},
        "connections", "maximum number of open connections of callers"},
       {"max_jobs", Number{&S::max_jobs, {1, 10000000}}, "jobs",
        "maximum number of jobs that the leader keeps; further ones are "
        "refused"},
-      {"unready_ms", Number{&S::unready_ms, kMs}, "ms",
+      {"unready_ms", Number{&S::unready_period_ms, kMs}, "ms",
        "at shutdown: how long callers still arrive after the balancer was "
        "notified"},
       {"shutdown_ms", Number{&S::shutdown_ms, kMs}, "ms",
@@ -87,17 +87,17 @@
 
 /// Reports settings whose relation would break a safety rule of the design.
 void CheckConsistency(const JobSettings& s, json::ObjectReader& reader) {
-  if (s.silence_ms <= 2 * s.hello_ms) {
+  if (s.leader_suspect_after_ms <= 2 * s.heartbeat_interval_ms) {
     reader.Add("silence_ms", "must be above twice hello_ms");
   }
-  if (s.quiet_ms <= 2 * s.renew_ms) {
+  if (s.election_timeout_ms <= 2 * s.renew_ms) {
     reader.Add("quiet_ms",
                "must be above twice renew_ms, or a live leader is replaced");
   }
-  if (s.trust_ms <= s.renew_ms) {
+  if (s.leader_lease_ms <= s.renew_ms) {
     reader.Add("trust_ms", "must be above renew_ms");
   }
-  if (s.shutdown_ms <= s.unready_ms) {
+  if (s.shutdown_ms <= s.unready_period_ms) {
     reader.Add("shutdown_ms", "must be above unready_ms");
   }
 }
--- a/src/libs/settings/job_settings.h
+++ b/src/libs/settings/job_settings.h
@@ -23,33 +23,41 @@
   std::string hosts_address;
   /// In hundredths of a call per second.
   int64_t host_lists_per_100_s = 1000;
+  /// In hundredths of a call per second.
   int64_t host_orders_per_100_s = 1000;
   /// How long a host is away for maintenance, in hundredths of a second.
-  int64_t upkeep_centis = 200;
+  int64_t maintenance_duration_centis = 200;
+  /// A new leader that finds hosts ordered by an earlier leader waits this long
+  /// before it orders hosts itself.
   int64_t holder_lease_ms = 3000;
   std::vector<std::string> seeds;
   std::string log_level = "info";
   /// In hundredths of a core.
   int64_t cpu_percent = 100;
+  /// How long tasks continue without contact from the leader.
   int64_t lease_ms = 4000;
-  int64_t hello_ms = 200;
+  /// Time between heartbeats to the leader.
+  int64_t heartbeat_interval_ms = 200;
   /// Time without an answer after which the leader is suspected.
-  int64_t silence_ms = 700;
+  int64_t leader_suspect_after_ms = 700;
+  /// Time between the leader's renewals in the store.
   int64_t renew_ms = 200;
   /// A suspected leader that did not renew for this long is replaced.
-  int64_t quiet_ms = 450;
+  int64_t election_timeout_ms = 450;
   /// Leader lease: a leader that gets no answer from the store and none from a
   /// follower for this long gives no orders.
-  int64_t trust_ms = 2000;
-  int64_t store_silence_ms = 700;
-  int64_t list_ms = 250;
+  int64_t leader_lease_ms = 2000;
+  /// A leader that cannot reach the store for this long is replaced.
+  int64_t store_unreachable_after_ms = 700;
+  /// Time between reads of the list of upstreams.
+  int64_t upstream_list_period_ms = 250;
   /// Longest time that a caller waits for a leader.
-  int64_t patience_ms = 1300;
+  int64_t leader_wait_timeout_ms = 1300;
   int64_t max_connections = 2000;
   int64_t max_jobs = 20000;
   /// At shutdown: how long callers still arrive after the balancer was
   /// notified.
-  int64_t unready_ms = 2600;
+  int64_t unready_period_ms = 2600;
   int64_t shutdown_ms = 5200;
 };
 
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -305,7 +305,7 @@
   BOOST_REQUIRE(with.has_value());
   BOOST_TEST(with->host_lists_per_100_s == 6000);
   BOOST_TEST(with->host_orders_per_100_s == 50);
-  BOOST_TEST(with->upkeep_centis == 200);
+  BOOST_TEST(with->maintenance_duration_centis == 200);
   BOOST_TEST(!read(R"(, "hosts_address": "nowhere")").has_value());
   BOOST_TEST(!read(R"(, "host_orders_per_s": -1)").has_value());
 }
