--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -12,9 +12,9 @@
 #include "platform/job_http_server.h"
 #include "platform/store_client.h"
 #include "platform/upstream_client.h"
+#include "src/jobentry/entry_rpc_handlers.h"
 #include "src/jobentry/job_entry.h"
-#include "src/jobentry/job_peer_server.h"
-#include "src/leadership/job_peers.h"
+#include "src/leadership/rpc_entry_client.h"
 #include "src/libs/base/enum_table.h"
 #include "src/libs/logging/log.h"
 #include "src/libs/rpc/asio.h"
@@ -181,7 +181,7 @@
   platform::UpstreamClient adviser;
   platform::HostClient hosts;
   rpc::Client peer_client;
-  leadership::JobPeers peers;
+  leadership::RpcEntryClient peers;
   rpc::Server peer_server;
   jobentry::JobEntry entry;
   platform::JobHttpServer job_server;
@@ -189,7 +189,8 @@
 };
 
 bool Listen(JobDaemon& daemon, const JobSettings& s) {
-  jobentry::ServeJobPeers(daemon.peer_server, daemon.executor, daemon.entry);
+  jobentry::RegisterEntryHandlers(daemon.peer_server, daemon.executor,
+                                  daemon.entry);
   const auto report = [](const Error& error) {
     logging::Event(Level::kError, "cannot listen", {{"cause", error.message}});
     std::fprintf(stderr, "mimosaraild: %s\n", error.message.c_str());
--- a/src/jobentry/job_peer_server.cc
+++ b/src/jobentry/entry_rpc_handlers.cc
@@ -1,4 +1,4 @@
-#include "src/jobentry/job_peer_server.h"
+#include "src/jobentry/entry_rpc_handlers.h"
 
 namespace mimosarail::jobentry {
 namespace {
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-void ServeJobPeers(rpc::Server& server, Executor& executor, JobEntry& entry) {
+void RegisterEntryHandlers(rpc::Server& server, Executor& executor,
+                           JobEntry& entry) {
   using rpc::Method;
   ServeSync(server, executor, Method::kHeartbeat, entry,
             &JobEntry::OnHeartbeat);
--- a/src/jobentry/job_peer_server.h
+++ b/src/jobentry/entry_rpc_handlers.h
@@ -7,6 +7,7 @@
 
 /// Registers the handlers of other entries' calls. Must be called before
 /// Listen(); `executor` and `entry` must outlive the server.
-void ServeJobPeers(rpc::Server& server, Executor& executor, JobEntry& entry);
+void RegisterEntryHandlers(rpc::Server& server, Executor& executor,
+                           JobEntry& entry);
 
 }  // namespace mimosarail::jobentry
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -55,7 +55,7 @@
     ports::UpstreamListPort& list;
     ports::TaskPort& tasks;
     ports::AdvicePort& adviser;
-    leadership::JobPeerPort& peers;
+    leadership::EntryClientPort& peers;
     metrics::Registry& metrics;
     /// Null where hosts have no API.
     ports::HostPort* hosts = nullptr;
--- a/src/leadership/job_peer_port.h
+++ b/src/leadership/entry_client_port.h
@@ -8,11 +8,12 @@
 
 namespace mimosarail::leadership {
 
-/// Calls from one entry to another. Each callback runs exactly once, on the
+/// Sends the calls that one entry makes to another, and returns the replies. A
+/// call names its receiver by address. Each callback runs exactly once, on the
 /// control thread. Control thread only.
-class JobPeerPort {
+class EntryClientPort {
  public:
-  virtual ~JobPeerPort() = default;
+  virtual ~EntryClientPort() = default;
   virtual void Heartbeat(const std::string& address,
                          const wire::HeartbeatCall& call, Millis timeout,
                          Callback<wire::HeartbeatReply> done) = 0;
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -40,7 +40,7 @@
 }  // namespace
 
 Leadership::Leadership(Executor& executor, ports::RecordStorePort& store,
-                       JobPeerPort& peers,
+                       EntryClientPort& peers,
                        faults::MalformedRecordReporter& malformed_records,
                        LeadershipOptions options, Events events)
     : executor_(executor),
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "src/leadership/election_timeout.h"
-#include "src/leadership/job_peer_port.h"
+#include "src/leadership/entry_client_port.h"
 #include "src/leadership/leader_timeout_votes.h"
 #include "src/leadership/member_list.h"
 #include "src/libs/faults/malformed_record_reporter.h"
@@ -96,7 +96,7 @@
 
   /// All arguments passed by reference outlive this object.
   Leadership(Executor& executor, ports::RecordStorePort& store,
-             JobPeerPort& peers,
+             EntryClientPort& peers,
              faults::MalformedRecordReporter& malformed_records,
              LeadershipOptions options, Events events);
 
@@ -236,7 +236,7 @@
 
   Executor& executor_;
   ports::RecordStorePort& store_;
-  JobPeerPort& peers_;
+  EntryClientPort& peers_;
   faults::MalformedRecordReporter& malformed_records_;
   LeadershipOptions options_;
   Events events_;
--- a/src/leadership/job_peers.cc
+++ b/src/leadership/rpc_entry_client.cc
@@ -1,59 +1,61 @@
-#include "src/leadership/job_peers.h"
+#include "src/leadership/rpc_entry_client.h"
 
 #include "src/libs/rpc/method.h"
 
 namespace mimosarail::leadership {
 
-void JobPeers::Heartbeat(const std::string& address,
-                         const wire::HeartbeatCall& call, Millis timeout,
-                         Callback<wire::HeartbeatReply> done) {
+void RpcEntryClient::Heartbeat(const std::string& address,
+                               const wire::HeartbeatCall& call, Millis timeout,
+                               Callback<wire::HeartbeatReply> done) {
   rpc::CallTyped<wire::HeartbeatReply>(client_, executor_, address,
                                        rpc::Method::kHeartbeat, call, timeout,
                                        std::move(done));
 }
 
-void JobPeers::Announce(const std::string& address,
-                        const wire::AnnounceCall& call, Millis timeout,
-                        Callback<wire::AnnounceReply> done) {
+void RpcEntryClient::Announce(const std::string& address,
+                              const wire::AnnounceCall& call, Millis timeout,
+                              Callback<wire::AnnounceReply> done) {
   rpc::CallTyped<wire::AnnounceReply>(client_, executor_, address,
                                       rpc::Method::kAnnounce, call, timeout,
                                       std::move(done));
 }
 
-void JobPeers::SubmitJob(const std::string& address,
-                         const wire::SubmitJobCall& call, Millis timeout,
-                         Callback<wire::SubmitJobReply> done) {
+void RpcEntryClient::SubmitJob(const std::string& address,
+                               const wire::SubmitJobCall& call, Millis timeout,
+                               Callback<wire::SubmitJobReply> done) {
   rpc::CallTyped<wire::SubmitJobReply>(client_, executor_, address,
                                        rpc::Method::kSubmitJob, call, timeout,
                                        std::move(done));
 }
 
-void JobPeers::JobState(const std::string& address,
-                        const wire::JobStateCall& call, Millis timeout,
-                        Callback<wire::JobStateReply> done) {
+void RpcEntryClient::JobState(const std::string& address,
+                              const wire::JobStateCall& call, Millis timeout,
+                              Callback<wire::JobStateReply> done) {
   rpc::CallTyped<wire::JobStateReply>(client_, executor_, address,
                                       rpc::Method::kJobState, call, timeout,
                                       std::move(done));
 }
 
-void JobPeers::CancelJob(const std::string& address,
-                         const wire::CancelJobCall& call, Millis timeout,
-                         Callback<wire::CancelJobReply> done) {
+void RpcEntryClient::CancelJob(const std::string& address,
+                               const wire::CancelJobCall& call, Millis timeout,
+                               Callback<wire::CancelJobReply> done) {
   rpc::CallTyped<wire::CancelJobReply>(client_, executor_, address,
                                        rpc::Method::kCancelJob, call, timeout,
                                        std::move(done));
 }
 
-void JobPeers::PendingJobs(const std::string& address,
-                           const wire::PendingJobsCall& call, Millis timeout,
-                           Callback<wire::PendingJobsReply> done) {
+void RpcEntryClient::PendingJobs(const std::string& address,
+                                 const wire::PendingJobsCall& call,
+                                 Millis timeout,
+                                 Callback<wire::PendingJobsReply> done) {
   rpc::CallTyped<wire::PendingJobsReply>(client_, executor_, address,
                                          rpc::Method::kPendingJobs, call,
                                          timeout, std::move(done));
 }
 
-void JobPeers::Advise(const std::string& address, const wire::AdviseCall& call,
-                      Millis timeout, Callback<wire::AdviseReply> done) {
+void RpcEntryClient::Advise(const std::string& address,
+                            const wire::AdviseCall& call, Millis timeout,
+                            Callback<wire::AdviseReply> done) {
   rpc::CallTyped<wire::AdviseReply>(client_, executor_, address,
                                     rpc::Method::kAdvise, call, timeout,
                                     std::move(done));
--- a/src/leadership/job_peers.h
+++ b/src/leadership/rpc_entry_client.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include "src/leadership/job_peer_port.h"
+#include "src/leadership/entry_client_port.h"
 #include "src/libs/rpc/client.h"
 
 namespace mimosarail::leadership {
 
-/// JobPeerPort over framed calls. Control thread only; the client and the
-/// executor outlive it.
-class JobPeers final : public JobPeerPort {
+/// EntryClientPort over the RPC protocol between entries. Control thread only;
+/// the client and the executor outlive it.
+class RpcEntryClient final : public EntryClientPort {
  public:
-  JobPeers(rpc::Client& client, Executor& executor)
+  RpcEntryClient(rpc::Client& client, Executor& executor)
       : client_(client), executor_(executor) {}
 
   void Heartbeat(const std::string& address, const wire::HeartbeatCall& call,
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -63,7 +63,7 @@
   metrics::Registry metrics;
   StoreClientFake store;
   UpstreamClientFake tasks;
-  PeerClientFake peers;
+  EntryClientFake peers;
   HostClientFake hosts;
   std::unique_ptr<jobentry::JobEntry> entry;
 };
@@ -397,7 +397,7 @@
 }
 
 template <typename Reply>
-void PeerClientFake::Call(
+void EntryClientFake::Call(
     const std::string& address, size_t bytes, Millis timeout,
     Callback<Reply> done,
     std::function<void(jobentry::JobEntry&, std::function<void(Reply)>)>
@@ -446,52 +446,52 @@
   });
 }
 
-void PeerClientFake::Heartbeat(const std::string& address,
-                               const wire::HeartbeatCall& call, Millis timeout,
-                               Callback<wire::HeartbeatReply> done) {
+void EntryClientFake::Heartbeat(const std::string& address,
+                                const wire::HeartbeatCall& call, Millis timeout,
+                                Callback<wire::HeartbeatReply> done) {
   Call<wire::HeartbeatReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { reply(entry.OnHeartbeat(call)); });
 }
-void PeerClientFake::Announce(const std::string& address,
-                              const wire::AnnounceCall& call, Millis timeout,
-                              Callback<wire::AnnounceReply> done) {
+void EntryClientFake::Announce(const std::string& address,
+                               const wire::AnnounceCall& call, Millis timeout,
+                               Callback<wire::AnnounceReply> done) {
   Call<wire::AnnounceReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { reply(entry.OnAnnounce(call)); });
 }
-void PeerClientFake::SubmitJob(const std::string& address,
-                               const wire::SubmitJobCall& call, Millis timeout,
-                               Callback<wire::SubmitJobReply> done) {
+void EntryClientFake::SubmitJob(const std::string& address,
+                                const wire::SubmitJobCall& call, Millis timeout,
+                                Callback<wire::SubmitJobReply> done) {
   Call<wire::SubmitJobReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnSubmit(call, reply); });
 }
-void PeerClientFake::JobState(const std::string& address,
-                              const wire::JobStateCall& call, Millis timeout,
-                              Callback<wire::JobStateReply> done) {
+void EntryClientFake::JobState(const std::string& address,
+                               const wire::JobStateCall& call, Millis timeout,
+                               Callback<wire::JobStateReply> done) {
   Call<wire::JobStateReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnState(call, reply); });
 }
-void PeerClientFake::CancelJob(const std::string& address,
-                               const wire::CancelJobCall& call, Millis timeout,
-                               Callback<wire::CancelJobReply> done) {
+void EntryClientFake::CancelJob(const std::string& address,
+                                const wire::CancelJobCall& call, Millis timeout,
+                                Callback<wire::CancelJobReply> done) {
   Call<wire::CancelJobReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnCancel(call, reply); });
 }
-void PeerClientFake::PendingJobs(const std::string& address,
-                                 const wire::PendingJobsCall& call,
-                                 Millis timeout,
-                                 Callback<wire::PendingJobsReply> done) {
+void EntryClientFake::PendingJobs(const std::string& address,
+                                  const wire::PendingJobsCall& call,
+                                  Millis timeout,
+                                  Callback<wire::PendingJobsReply> done) {
   Call<wire::PendingJobsReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnPending(call, reply); });
 }
-void PeerClientFake::Advise(const std::string& address,
-                            const wire::AdviseCall& call, Millis timeout,
-                            Callback<wire::AdviseReply> done) {
+void EntryClientFake::Advise(const std::string& address,
+                             const wire::AdviseCall& call, Millis timeout,
+                             Callback<wire::AdviseReply> done) {
   Call<wire::AdviseReply>(
       address, WireBytes(call), timeout, std::move(done),
       [call](auto& entry, auto reply) { entry.OnAdvise(call, reply); });
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cell.h
@@ -21,9 +21,9 @@
 class JobCell;
 
 /// The client of one entry for the other entries of the cell.
-class PeerClientFake final : public leadership::JobPeerPort {
+class EntryClientFake final : public leadership::EntryClientPort {
  public:
-  PeerClientFake(JobCell& cell, Executor& executor, std::string self)
+  EntryClientFake(JobCell& cell, Executor& executor, std::string self)
       : cell_(cell), executor_(executor), self_(std::move(self)) {}
 
   void Heartbeat(const std::string& address, const wire::HeartbeatCall& call,
@@ -174,7 +174,7 @@
   std::vector<std::string> Violations() const;
 
  private:
-  friend class PeerClientFake;
+  friend class EntryClientFake;
   struct Process;
 
   void Start(const std::string& name);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -15,7 +15,7 @@
 constexpr Millis kUnresponsiveTime{750};
 
 /// Collects heartbeats to other entries, which the test answers itself.
-class ManualPeerPort final : public leadership::JobPeerPort {
+class ManualEntryClient final : public leadership::EntryClientPort {
  public:
   using Done = Callback<wire::HeartbeatReply>;
 
@@ -68,7 +68,7 @@
   StoreFake fake{clock};
   MachineFake machine{clock};
   StoreClientFake store{fake, executor, "self", &machine};
-  ManualPeerPort peers;
+  ManualEntryClient peers;
   metrics::Registry metrics;
   faults::MalformedRecordReporter malformed_records{metrics};
   leadership::LeadershipOptions options{.member = MemberAt("self"),
