--- a/src/cellconfig/cell_config_follower.cc
+++ b/src/cellconfig/cell_config_watcher.cc
@@ -1,4 +1,4 @@
-#include "src/cellconfig/cell_config_follower.h"
+#include "src/cellconfig/cell_config_watcher.h"
 
 #include <utility>
 
@@ -8,41 +8,41 @@
 
 using logging::Level;
 
-CellConfigFollower::CellConfigFollower(
+CellConfigWatcher::CellConfigWatcher(
     Executor& executor, ports::CellConfigPort& port,
-    faults::MalformedRecordReporter& malformed_records, FollowerOptions options,
-    std::function<void()> changed)
+    faults::MalformedRecordReporter& malformed_records,
+    CellConfigWatcherOptions options, std::function<void()> changed)
     : executor_(executor),
       port_(port),
       malformed_records_(malformed_records),
       options_(options),
       changed_(std::move(changed)) {}
 
-void CellConfigFollower::Start() { ReadNewest(); }
+void CellConfigWatcher::Start() { ReadNewest(); }
 
-void CellConfigFollower::RetryLater(void (CellConfigFollower::*next)()) {
+void CellConfigWatcher::RetryLater(void (CellConfigWatcher::*next)()) {
   executor_.RunAfter(options_.retry_delay, [this, next] { (this->*next)(); });
 }
 
-void CellConfigFollower::ReadNewest() {
+void CellConfigWatcher::ReadNewest() {
   port_.ReadNewest(options_.timeout + options_.wait,
                    [this](const Result<ports::ConfigUpdate>& update) {
                      if (!update.ok()) {
                        logging::Event(Level::kWarning, "configuration not read",
                                       {{"cause", update.error().message}});
-                       return RetryLater(&CellConfigFollower::ReadNewest);
+                       return RetryLater(&CellConfigWatcher::ReadNewest);
                      }
                      cursor_ = update.value().cursor;
                      AcceptWaves(update.value());
                      if (update.value().documents.empty()) {
-                       return RetryLater(&CellConfigFollower::ReadNewest);
+                       return RetryLater(&CellConfigWatcher::ReadNewest);
                      }
                      AcceptAll(update.value());
                      ReadChange();
                    });
 }
 
-void CellConfigFollower::ReadChange() {
+void CellConfigWatcher::ReadChange() {
   port_.ReadChange(
       cursor_, options_.wait, options_.wait + options_.timeout,
       [this](const Result<ports::ConfigUpdate>& update) {
@@ -66,12 +66,12 @@
         // Retrying from the same cursor would fail on an unreadable record
         // forever.
         const bool unreadable = update.error().code == Errc::kMalformed;
-        RetryLater(unreadable ? &CellConfigFollower::ReadNewest
-                              : &CellConfigFollower::ReadChange);
+        RetryLater(unreadable ? &CellConfigWatcher::ReadNewest
+                              : &CellConfigWatcher::ReadChange);
       });
 }
 
-void CellConfigFollower::AcceptAll(const ports::ConfigUpdate& update) {
+void CellConfigWatcher::AcceptAll(const ports::ConfigUpdate& update) {
   // A malformed document may follow a valid one that this entry has not seen
   // yet; the valid one is then in force.
   for (const std::string& document : update.documents) {
@@ -79,7 +79,7 @@
   }
 }
 
-void CellConfigFollower::AcceptWaves(const ports::ConfigUpdate& update) {
+void CellConfigWatcher::AcceptWaves(const ports::ConfigUpdate& update) {
   for (const ports::WaveRequest& wave : update.waves) {
     if (!waves_.insert_or_assign(wave.wave, wave).second) continue;
     logging::Event(Level::kInfo, "wave asked for",
@@ -90,12 +90,12 @@
   }
 }
 
-void CellConfigFollower::Offer(const std::string& document) {
+void CellConfigWatcher::Offer(const std::string& document) {
   Accept(document, "leader");
 }
 
-void CellConfigFollower::Accept(const std::string& document,
-                                const char* source) {
+void CellConfigWatcher::Accept(const std::string& document,
+                               const char* source) {
   Result<ports::CellConfig> decoded = port_.Decode(document);
   if (!decoded.ok()) {
     return malformed_records_.Report(faults::RecordSource::kConfiguration,
--- a/src/cellconfig/cell_config_follower.h
+++ b/src/cellconfig/cell_config_watcher.h
@@ -11,7 +11,7 @@
 
 namespace mimosarail::cellconfig {
 
-struct FollowerOptions {
+struct CellConfigWatcherOptions {
   /// How long one read waits for a change. A connection that has stopped
   /// responding is detected within this time plus the timeout, well before a
   /// change must be in force (2 s).
@@ -24,13 +24,14 @@
 /// older version than the known one is ignored, wherever it comes from. A
 /// document that does not decode leaves the current one in force. Control
 /// thread only.
-class CellConfigFollower {
+class CellConfigWatcher {
  public:
   /// `changed` runs after each new version. The executor, the port and the
   /// reporter outlive this object.
-  CellConfigFollower(Executor& executor, ports::CellConfigPort& port,
-                     faults::MalformedRecordReporter& malformed_records,
-                     FollowerOptions options, std::function<void()> changed);
+  CellConfigWatcher(Executor& executor, ports::CellConfigPort& port,
+                    faults::MalformedRecordReporter& malformed_records,
+                    CellConfigWatcherOptions options,
+                    std::function<void()> changed);
 
   void Start();
   /// Accepts a document that another entry passed on, if it is newer.
@@ -50,12 +51,12 @@
   void AcceptAll(const ports::ConfigUpdate& update);
   void Accept(const std::string& document, const char* source);
   void AcceptWaves(const ports::ConfigUpdate& update);
-  void RetryLater(void (CellConfigFollower::*next)());
+  void RetryLater(void (CellConfigWatcher::*next)());
 
   Executor& executor_;
   ports::CellConfigPort& port_;
   faults::MalformedRecordReporter& malformed_records_;
-  FollowerOptions options_;
+  CellConfigWatcherOptions options_;
   std::function<void()> changed_;
   ports::CellConfig config_;
   std::string document_;
--- a/src/configlog/config_follower.cc
+++ b/src/configlog/config_log_client.cc
@@ -1,4 +1,4 @@
-#include "src/configlog/config_follower.h"
+#include "src/configlog/config_log_client.h"
 
 #include "src/libs/base/digest.h"
 #include "src/libs/logging/log.h"
@@ -12,11 +12,11 @@
 
 }  // namespace
 
-ConfigFollower::ConfigFollower(Executor& executor, ports::LogPort& log,
-                               ConfigSource& source,
-                               ConfigFollowerOptions options,
-                               std::function<std::vector<std::string>()> peers,
-                               std::function<void()> changed)
+ConfigLogClient::ConfigLogClient(
+    Executor& executor, ports::LogPort& log, ConfigSource& source,
+    ConfigLogClientOptions options,
+    std::function<std::vector<std::string>()> peers,
+    std::function<void()> changed)
     : executor_(executor),
       log_(log),
       source_(source),
@@ -28,18 +28,18 @@
               [this](const wire::ReadReply& reply) { Consume(reply); }),
       checkpoint_seen_at_(executor.Now()) {}
 
-void ConfigFollower::Start() {
+void ConfigLogClient::Start() {
   reader_.Start();
   RunEvery(executor_, kPeerFetchInterval, [this] { FetchFromPeers(); });
   RunEvery(executor_, kCheckpointCheckInterval, [this] { CheckpointIfOld(); });
 }
 
-void ConfigFollower::Consume(const wire::ReadReply& reply) {
+void ConfigLogClient::Consume(const wire::ReadReply& reply) {
   fold_.Consume(reply.first_retained, reply.records);
   OnFoldChanged();
 }
 
-void ConfigFollower::OnFoldChanged() {
+void ConfigLogClient::OnFoldChanged() {
   ResolvePublishes();
   if (fold_.newest_checkpoint() != checkpoint_seen_) {
     checkpoint_seen_ = fold_.newest_checkpoint();
@@ -53,9 +53,9 @@
   changed_();
 }
 
-void ConfigFollower::Publish(const std::string& text, const std::string& author,
-                             int64_t base,
-                             std::function<void(PublishResult)> done) {
+void ConfigLogClient::Publish(const std::string& text,
+                              const std::string& author, int64_t base,
+                              std::function<void(PublishResult)> done) {
   PublishResult refused{.state = PublishState::kRefusedHere};
   refused.entry.author = author;
   refused.entry.base = base;
@@ -83,7 +83,7 @@
   executor_.RunAfter(options_.publish_wait, [this, id] { ExpirePublish(id); });
 }
 
-void ConfigFollower::AppendPublish(const std::string& id) {
+void ConfigLogClient::AppendPublish(const std::string& id) {
   const auto found = publishing_.find(id);
   if (found == publishing_.end()) return;
   wire::AppendCall call;
@@ -99,7 +99,7 @@
   });
 }
 
-void ConfigFollower::ExpirePublish(const std::string& id) {
+void ConfigLogClient::ExpirePublish(const std::string& id) {
   const auto found = publishing_.find(id);
   if (found == publishing_.end()) return;
   PublishResult result{.state = PublishState::kUnconfirmed};
@@ -110,7 +110,7 @@
   done(std::move(result));
 }
 
-void ConfigFollower::ResolvePublishes() {
+void ConfigLogClient::ResolvePublishes() {
   for (auto it = publishing_.begin(); it != publishing_.end();) {
     const AuditEntry* entry = fold_.FindAudit(it->first);
     if (entry == nullptr) {
@@ -127,7 +127,7 @@
 /// records for a limited time only: without checkpoints the configuration
 /// would expire together with its last publish, and an instance that starts
 /// later would find none.
-void ConfigFollower::CheckpointIfOld() {
+void ConfigLogClient::CheckpointIfOld() {
   if (!fold_.known() || fold_.revision() == 0 || !reader_.up()) return;
   // Without a spread all entries would append at the same moment. A delay
   // derived from the name lets the other entries read the first checkpoint and
@@ -159,7 +159,7 @@
   });
 }
 
-void ConfigFollower::FetchFromPeers() {
+void ConfigLogClient::FetchFromPeers() {
   const bool needed = !fold_.known() || !reader_.up();
   if (!needed) return;
   for (const std::string& address : peers_()) {
@@ -180,7 +180,7 @@
   }
 }
 
-wire::ConfigFetchReply ConfigFollower::Describe() const {
+wire::ConfigFetchReply ConfigLogClient::Describe() const {
   wire::ConfigFetchReply reply;
   // A revision that is in force here but is separated from the log by trimmed
   // records must not be passed on to other entries.
--- a/src/configlog/config_follower.h
+++ b/src/configlog/config_log_client.h
@@ -32,7 +32,7 @@
   AuditEntry entry;
 };
 
-struct ConfigFollowerOptions {
+struct ConfigLogClientOptions {
   std::string name;  ///< Name of this entry; makes record ids unique.
   int64_t incarnation = 0;
   Millis read_wait{1000};
@@ -44,14 +44,14 @@
 /// Keeps the configuration in force up to date: reads the log, publishes,
 /// appends checkpoints before the log's retention ends, and fetches the
 /// configuration from peers when the log is down. Control thread only.
-class ConfigFollower {
+class ConfigLogClient {
  public:
   /// `changed` runs when another revision came into force. `peers` returns the
   /// addresses of the peers to fetch from. The ports outlive it.
-  ConfigFollower(Executor& executor, ports::LogPort& log, ConfigSource& source,
-                 ConfigFollowerOptions options,
-                 std::function<std::vector<std::string>()> peers,
-                 std::function<void()> changed);
+  ConfigLogClient(Executor& executor, ports::LogPort& log, ConfigSource& source,
+                  ConfigLogClientOptions options,
+                  std::function<std::vector<std::string>()> peers,
+                  std::function<void()> changed);
 
   void Start();
   /// Appends `text` as the successor of revision `base`, and learns the
@@ -84,7 +84,7 @@
   Executor& executor_;
   ports::LogPort& log_;
   ConfigSource& source_;
-  ConfigFollowerOptions options_;
+  ConfigLogClientOptions options_;
   std::function<std::vector<std::string>()> peers_;
   std::function<void()> changed_;
   ConfigFold fold_;
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -42,7 +42,7 @@
   controller_ = std::make_unique<control::Controller>(
       ports_.executor, ports_.upstreams, *execution_, options_.session);
   execution_->Bind(*controller_);
-  config_ = std::make_unique<configlog::ConfigFollower>(
+  config_ = std::make_unique<configlog::ConfigLogClient>(
       ports_.executor, ports_.log, ports_.config_source, options_.config,
       [this] {
         std::vector<std::string> out = options_.membership.seeds;
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "src/configlog/config_follower.h"
+#include "src/configlog/config_log_client.h"
 #include "src/control/controller.h"
 #include "src/cost/cost_book.h"
 #include "src/execution/execution.h"
@@ -20,7 +20,7 @@
 struct InstanceOptions {
   membership::MembershipOptions membership;
   control::SessionOptions session;
-  configlog::ConfigFollowerOptions config;
+  configlog::ConfigLogClientOptions config;
   requests::IntentLedgerOptions intents;
   requests::RequestsOptions requests;
   Millis list_refresh{1000};
@@ -69,7 +69,7 @@
   wire::CancelReply OnCancel(const wire::CancelCall& call);
 
   requests::Requests& requests() { return *requests_; }
-  configlog::ConfigFollower& config() { return *config_; }
+  configlog::ConfigLogClient& config() { return *config_; }
   control::Controller& controller() { return *controller_; }
   execution::Execution& execution() { return *execution_; }
   membership::Membership& members() { return *members_; }
@@ -102,7 +102,7 @@
   std::unique_ptr<membership::Membership> members_;
   std::unique_ptr<execution::Execution> execution_;
   std::unique_ptr<control::Controller> controller_;
-  std::unique_ptr<configlog::ConfigFollower> config_;
+  std::unique_ptr<configlog::ConfigLogClient> config_;
   std::unique_ptr<requests::IntentLedger> ledger_;
   std::unique_ptr<requests::Requests> requests_;
   std::unique_ptr<cost::CostBook> cost_;
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "src/cellconfig/cell_config_follower.h"
+#include "src/cellconfig/cell_config_watcher.h"
 #include "src/coordinator/coordinator.h"
 #include "src/jobentry/job_service.h"
 #include "src/jobentry/waiting_calls.h"
@@ -19,7 +19,7 @@
 struct JobEntryOptions {
   leadership::LeadershipOptions leadership;
   coordinator::CoordinatorOptions coordinator;
-  cellconfig::FollowerOptions config;
+  cellconfig::CellConfigWatcherOptions config;
   /// Longest time that a call waits for a leader, unless its outcome is in
   /// doubt. A takeover takes about 1.2 s.
   Millis leader_wait_timeout{1300};
@@ -126,7 +126,7 @@
   JobEntryOptions options_;
   WaitingCalls waiting_;
   faults::MalformedRecordReporter malformed_records_;
-  cellconfig::CellConfigFollower config_;
+  cellconfig::CellConfigWatcher config_;
   leadership::Leadership leadership_;
   std::shared_ptr<coordinator::Coordinator> coordinator_;
   bool shutting_down_ = false;
--- a/src/peers/rpc_peers.h
+++ b/src/peers/rpc_peers.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "src/configlog/config_follower.h"
+#include "src/configlog/config_log_client.h"
 #include "src/libs/rpc/client.h"
 #include "src/requests/peer_port.h"
 
