--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -332,7 +332,7 @@
   journal_->Remove(kUpstreamPrefix + id);
   // The upstream may come back under its id and has then seen all tokens that
   // this link used. A link opened with an earlier token would be fenced as if
-  // another entry led, and this entry would resign.
+  // another entry led, and this entry would step down.
   next_fence_ = std::max(next_fence_, links_.at(upstream)->fence() + 1);
   links_.at(upstream)->Close();
   links_.erase(upstream);
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -208,7 +208,7 @@
   shutting_down_ = true;
   shutdown_reply_deadline_ =
       deps_.executor.Now() + options_.shutdown_reply_timeout;
-  leadership_.Resign();
+  leadership_.ResignForShutdown();
 }
 
 bool JobEntry::Ready() {
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -66,7 +66,7 @@
   ~JobEntry() override;
 
   void Start();
-  /// Makes the entry unready and resigns leadership.
+  /// Makes the entry unready and, if it leads, resigns leadership.
   void BeginShutdown();
   /// Rejects further advice calls of the leader; accepted ones are still
   /// answered.
--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -48,7 +48,7 @@
   logging::Event(
       Level::kInfo, "leader suspected",
       {{"term", Text(term_)}, {"leader", leader_.name}, {"cause", cause}});
-  const Millis delay = role_ == Role::kResigned ? Millis(0) : ClaimDelay();
+  const Millis delay = role_ == Role::kShuttingDown ? Millis(0) : ClaimDelay();
   if (delay == Millis(0)) return CheckLeaderRecord(suspicion, std::nullopt);
   executor_.RunAfter(
       delay, [this, suspicion] { CheckLeaderRecord(suspicion, std::nullopt); });
@@ -76,7 +76,7 @@
       return ElectionTimeout(options_.election_timeout_store_lost, record);
     case Suspicion::kConnectionRefused:
       return options_.election_timeout;
-    case Suspicion::kResigned:
+    case Suspicion::kNotLeading:
       break;
   }
   return Millis(0);
@@ -123,17 +123,19 @@
   // refuse each leader whose term was already used, one after the other.
   const int64_t last_term = record ? record->term : std::max(term_, end);
   if (!may_claim) return EndLeaderCheck(kLeaderCheckRetry);
-  const bool resigned = suspicion == Suspicion::kResigned;
+  const bool not_leading = suspicion == Suspicion::kNotLeading;
   const bool store_lost = suspicion == Suspicion::kStoreUnreachable;
-  // A leader that has ended or resigned was not replaced because of a short
-  // election timeout, so its term does not lengthen the next one.
-  const bool ended = resigned || suspicion == Suspicion::kConnectionRefused;
+  // A leader that no longer leads, or whose process has exited, was not
+  // replaced because of a short election timeout, so its term does not lengthen
+  // the next timeout.
+  const bool ended_by_itself =
+      not_leading || suspicion == Suspicion::kConnectionRefused;
   const int32_t unstable_terms =
-      ended ? UnstableTerms(record) : UnstableTermsAfter(record);
-  if (last_answered_sent_ > sent && !resigned && !store_lost) {
-    return EndLeaderCheck(kLeaderCheckRetry);  // the leader answered meanwhile
+      ended_by_itself ? UnstableTerms(record) : UnstableTermsAfter(record);
+  if (last_answered_sent_ > sent && !not_leading && !store_lost) {
+    return EndLeaderCheck(kLeaderCheckRetry);  // The leader answered meanwhile.
   }
-  if (resigned || (end_at_first_read && *end_at_first_read == end)) {
+  if (not_leading || (end_at_first_read && *end_at_first_read == end)) {
     return Claim(last_term + 1, end, unstable_terms);
   }
   if (end_at_first_read && LeaderIsSlow(record)) {
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -338,7 +338,7 @@
         executor_.Now() - following_since_ <= kStoreTimeout;
     if (of_leader && !may_not_know) {
       Suspect(
-          Suspicion::kResigned,
+          Suspicion::kNotLeading,
           "the entry at the leader's address reports that it does not lead");
     }
     return;
@@ -403,16 +403,16 @@
   events_.on_leadership_lost();
 }
 
-void Leadership::Resign() {
+void Leadership::ResignForShutdown() {
   if (role_ == Role::kLeading) {
-    return RelinquishLeadership(Role::kResigned, "this entry stops");
+    return Resign(Role::kShuttingDown, "this entry stops");
   }
-  role_ = Role::kResigned;
+  role_ = Role::kShuttingDown;
 }
 
-void Leadership::RelinquishLeadership(Role role, const std::string& cause) {
+void Leadership::Resign(Role next_role, const std::string& cause) {
   members_.Assign(followers());
-  role_ = role;
+  role_ = next_role;
   leader_ = {};
   next_check_at_ = executor_.Now() + kLeaderCheckAfterHandOver;
   logging::Event(Level::kInfo, "leadership resigned",
@@ -447,7 +447,7 @@
     // The other followers must know the fitter entry too, or they claim before
     // it can.
     if (now - follower.since < options_.leader_suspect_after) continue;
-    return RelinquishLeadership(Role::kFollowing, "a fitter entry is there");
+    return Resign(Role::kFollowing, "a fitter entry is there");
   }
 }
 
@@ -601,7 +601,7 @@
   if (call.resigned) {
     if (call.term == term_ && call.leader.address == leader_.address) {
       next_check_at_ = {};
-      Suspect(Suspicion::kResigned, "the leader has resigned");
+      Suspect(Suspicion::kNotLeading, "the leader has resigned");
     }
   } else {
     Follow(call.term, call.leader, call.loading);
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -101,11 +101,12 @@
              LeadershipOptions options, Events events);
 
   void Start();
-  /// Asks the other entries to take over at once and makes no more claims. This
-  /// entry keeps following the current leader, so that its callers are served
-  /// until it stops.
-  void Resign();
-  /// Gives up leadership because another entry was found to lead.
+  /// Makes no more claims for leadership and, if this entry leads, resigns.
+  /// This entry keeps following the current leader, so that its callers are
+  /// served until it stops.
+  void ResignForShutdown();
+  /// Stops leading because another entry leads or must be assumed to lead.
+  /// Nothing is announced. Does nothing if this entry does not lead.
   void StepDown(const std::string& cause);
   /// Notes that the stored state is loaded and announces to the other entries
   /// that this leader takes calls. Does nothing if this entry no longer leads.
@@ -136,7 +137,11 @@
   wire::AnnounceReply OnAnnounce(const wire::AnnounceCall& call);
 
  private:
-  enum class Role { kFollowing, kLeading, kResigned };
+  enum class Role {
+    kFollowing,     ///< Follows the leader and claims leadership if it fails.
+    kLeading,       ///< Leads.
+    kShuttingDown,  ///< Follows the leader, but no longer claims leadership.
+  };
 
   void Tick();
   /// Records a pause of this process that was longer than
@@ -182,11 +187,11 @@
     kUnresponsive,       ///< It does not answer, or no leader is known.
     kStoreUnreachable,   ///< It reports that it cannot reach the store.
     kConnectionRefused,  ///< Its address refuses connections.
-    kResigned,           ///< It reports that it does not lead.
+    kNotLeading,         ///< It has resigned or reports that it does not lead.
   };
   /// Reads the leader record in the store. Claims leadership if the record
-  /// stays unchanged for ElectionTimeoutFor(), or at once if the leader has
-  /// resigned. An entry that has itself resigned only reads.
+  /// stays unchanged for ElectionTimeoutFor(), or at once if the leader no
+  /// longer leads. An entry that is shutting down only reads.
   void Suspect(Suspicion suspicion, const std::string& cause);
   Millis ElectionTimeoutFor(
       Suspicion suspicion,
@@ -203,7 +208,9 @@
   void HandOverIfUnfit();
   /// Adds followers without recent heartbeats to the member changes as removed.
   void ReportExpiredFollowers();
-  void RelinquishLeadership(Role role, const std::string& cause);
+  /// Stops leading and asks the followers to take over at once. `next_role` is
+  /// the role of this entry after that. Precondition: this entry leads.
+  void Resign(Role next_role, const std::string& cause);
   void Claim(int64_t term, int64_t end_offset, int32_t unstable_terms);
   /// The moment at which a store call was sent. The answer confirms leadership
   /// as of this moment only: it may arrive late, when another entry leads.
--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -439,7 +439,7 @@
   BOOST_TEST(cell.StopsWithin(11, Millis(2900)));
 }
 
-/// Guards against a leader that resigns when the list entry of an upstream
+/// Guards against a leader that steps down when the list entry of an upstream
 /// expires and returns; each time, callers are refused for a second. This
 /// happens if, after the upstream's fence has been raised for a start in doubt,
 /// the leader reconnects with its first fencing token: it attributes the
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -126,16 +126,16 @@
   BOOST_TEST(self.term() == 2);
 }
 
-/// Guards against waiting for a leader that reports that it has resigned.
+/// Guards against waiting for a leader that reports that it does not lead.
 BOOST_FIXTURE_TEST_CASE(ResignationTriggersElection, Fixture) {
   Store(LeaderRecord(1, "next"));
   self.Start();
   clock.RunFor(Millis(500));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
   BOOST_REQUIRE(!peers.pending["next:1"].empty());
-  wire::HeartbeatReply resigned;
-  resigned.term = 1;
-  peers.Answer("next:1", resigned);
+  wire::HeartbeatReply not_leading;
+  not_leading.term = 1;
+  peers.Answer("next:1", not_leading);
   clock.RunFor(Millis(400));
   BOOST_TEST(self.leading());
 }
