--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -40,7 +40,8 @@
 
 void Coordinator::FailPendingCallers() {
   for (auto& [id, job] : pending_submissions_) {
-    for (auto& waiter : job.waiters) waiter(SubmitReply(JobVerdict::kUnknown));
+    for (auto& waiter : job.waiters)
+      waiter(SubmitReply(JobVerdict::kOutcomeUnknown));
   }
   pending_submissions_.clear();
 }
@@ -50,7 +51,7 @@
   const auto id = static_cast<JobId>(spec.id);
   if (!loaded_) return done(SubmitReply(JobVerdict::kNotLeading));
   if (scheduler_.Find(id) != nullptr || final_records_.count(id) > 0) {
-    return done(SubmitReply(JobVerdict::kDone));
+    return done(SubmitReply(JobVerdict::kConfirmed));
   }
   if (unreadable_jobs_.count(id) > 0) {
     return done(SubmitReply(JobVerdict::kUnreadable));
@@ -96,7 +97,7 @@
   }
   pending_submissions_[id].waiters.push_back(
       WithReplyDeadline<wire::SubmitJobReply>(
-          std::move(done), SubmitReply(JobVerdict::kUnknown)));
+          std::move(done), SubmitReply(JobVerdict::kOutcomeUnknown)));
 }
 
 template <typename Reply>
@@ -149,7 +150,7 @@
   const auto waiting = pending_submissions_.extract(id);
   if (!waiting.empty()) {
     for (auto& waiter : waiting.mapped().waiters) {
-      waiter(SubmitReply(JobVerdict::kDone));
+      waiter(SubmitReply(JobVerdict::kConfirmed));
     }
   }
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
@@ -175,7 +176,7 @@
   if (!loaded_) return answer(JobVerdict::kNotLeading, JobState::kQueued);
   const auto final = final_records_.find(id);
   if (final != final_records_.end()) {
-    return answer(JobVerdict::kDone, final->second.state);
+    return answer(JobVerdict::kConfirmed, final->second.state);
   }
   if (unreadable_jobs_.count(id) > 0) {
     return answer(JobVerdict::kUnreadable, JobState::kQueued);
@@ -185,20 +186,22 @@
     // A pending job is reported as queued: its record is not stored yet, and
     // its caller has no answer yet.
     const bool pending = pending_submissions_.count(id) > 0;
-    return answer(pending ? JobVerdict::kDone : VerdictOnUnknownJob(),
+    return answer(pending ? JobVerdict::kConfirmed : VerdictOnUnknownJob(),
                   JobState::kQueued);
   }
   // A final state is reported only once it is stored.
-  return answer(JobVerdict::kDone,
+  return answer(JobVerdict::kConfirmed,
                 job->started() ? JobState::kRunning : JobState::kQueued);
 }
 
 void Coordinator::Cancel(JobId id,
                          std::function<void(wire::CancelJobReply)> done) {
   if (!loaded_) return done(CancelReply(JobVerdict::kNotLeading));
-  if (final_records_.count(id) > 0) return done(CancelReply(JobVerdict::kDone));
+  if (final_records_.count(id) > 0) {
+    return done(CancelReply(JobVerdict::kConfirmed));
+  }
   if (pending_submissions_.count(id) > 0) {
-    return done(CancelReply(JobVerdict::kUnknown));
+    return done(CancelReply(JobVerdict::kOutcomeUnknown));
   }
   if (unreadable_jobs_.count(id) > 0) {
     return done(CancelReply(JobVerdict::kUnreadable));
@@ -211,9 +214,10 @@
   deps_.metrics.Count({.name = "jobs_cancelled"});
   ExecuteOrders(orders);
   auto once = WithReplyDeadline<wire::CancelJobReply>(
-      std::move(done), CancelReply(JobVerdict::kUnknown));
+      std::move(done), CancelReply(JobVerdict::kOutcomeUnknown));
   journal_->WhenStored([once = std::move(once)](bool stored) {
-    once(CancelReply(stored ? JobVerdict::kDone : JobVerdict::kUnknown));
+    once(CancelReply(stored ? JobVerdict::kConfirmed
+                            : JobVerdict::kOutcomeUnknown));
   });
 }
 
@@ -231,7 +235,7 @@
   // no progress record.
   journal_->Remove(ProgressKey(id));
   auto once = WithReplyDeadline<wire::CancelJobReply>(
-      std::move(done), CancelReply(JobVerdict::kUnknown));
+      std::move(done), CancelReply(JobVerdict::kOutcomeUnknown));
   journal_->WhenStored(
       [weak = weak_from_this(), id, once = std::move(once)](bool stored) {
         const auto self = weak.lock();
@@ -240,13 +244,13 @@
         const bool no_such_job =
             stored && self && !self->closed_ && !self->Knows(id);
         once(CancelReply(no_such_job ? JobVerdict::kNoSuchJob
-                                     : JobVerdict::kUnknown));
+                                     : JobVerdict::kOutcomeUnknown));
       });
 }
 
 wire::PendingJobsReply Coordinator::Pending(const std::string& queue) const {
   wire::PendingJobsReply reply;
-  reply.verdict = static_cast<int32_t>(loaded_ ? JobVerdict::kDone
+  reply.verdict = static_cast<int32_t>(loaded_ ? JobVerdict::kConfirmed
                                                : JobVerdict::kNotLeading);
   reply.pending = scheduler_.Pending(queue);
   return reply;
--- a/src/coordinator/job_verdicts.h
+++ b/src/coordinator/job_verdicts.h
@@ -9,11 +9,12 @@
 
 /// Outcome of a call about a job. The numbers are part of the wire format.
 enum class JobVerdict : int32_t {
-  kDone = 0,
+  /// What was asked for is stored, or the reply holds the data asked for.
+  kConfirmed = 0,
   /// Refused; nothing of the job is stored and nothing will run.
   kRefused = 1,
   /// The outcome is unknown; repeating the same call resolves it.
-  kUnknown = 2,
+  kOutcomeUnknown = 2,
   /// No such job.
   kNoSuchJob = 3,
   /// The called entry is not the leader, or has not loaded the jobs yet.
@@ -26,9 +27,9 @@
 };
 
 inline constexpr EnumTable kJobVerdictNames{std::array{
-    EnumName{JobVerdict::kDone, "done"},
+    EnumName{JobVerdict::kConfirmed, "done"},
     EnumName{JobVerdict::kRefused, "refused"},
-    EnumName{JobVerdict::kUnknown, "unknown"},
+    EnumName{JobVerdict::kOutcomeUnknown, "unknown"},
     EnumName{JobVerdict::kNoSuchJob, "no such job"},
     EnumName{JobVerdict::kNotLeading, "not leading"},
     EnumName{JobVerdict::kStoreUnavailable, "store away"},
@@ -36,10 +37,10 @@
 }};
 
 /// Returns the verdict of a reply. Numbers that this version does not know map
-/// to kUnknown.
+/// to kOutcomeUnknown.
 constexpr JobVerdict ToJobVerdict(int32_t number) {
   const auto verdict = static_cast<JobVerdict>(number);
-  return kJobVerdictNames.Has(verdict) ? verdict : JobVerdict::kUnknown;
+  return kJobVerdictNames.Has(verdict) ? verdict : JobVerdict::kOutcomeUnknown;
 }
 
 }  // namespace mimosarail::coordinator
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -36,7 +36,7 @@
 wire::AdviseReply ToReply(const Result<ports::Advice>& advice) {
   wire::AdviseReply reply;
   if (!advice.ok()) {
-    reply.verdict = static_cast<int32_t>(JobVerdict::kUnknown);
+    reply.verdict = static_cast<int32_t>(JobVerdict::kOutcomeUnknown);
     return reply;
   }
   reply.valid_ms = advice.value().valid.count();
@@ -69,7 +69,7 @@
                                     kMaxRetryAfter)};
 }
 JobAnswer ToAnswer(const wire::JobStateReply& reply) {
-  if (!IsJobState(reply.state)) return {.verdict = JobVerdict::kUnknown};
+  if (!IsJobState(reply.state)) return {.verdict = JobVerdict::kOutcomeUnknown};
   return {.verdict = ToJobVerdict(reply.verdict),
           .state = static_cast<JobState>(reply.state)};
 }
@@ -253,7 +253,7 @@
                     {"last_try", call->last_try},
                     {"stopping", shutting_down_ ? "yes" : "no"},
                     {"doubtful", call->in_doubt ? "yes" : "no"}});
-    return call->done({.verdict = call->in_doubt ? JobVerdict::kUnknown
+    return call->done({.verdict = call->in_doubt ? JobVerdict::kOutcomeUnknown
                                                  : JobVerdict::kRefused,
                        .retry_after = kRetryAfter});
   }
@@ -285,14 +285,14 @@
     }
     // The leader has lost leadership or its store meanwhile. Repeating the call
     // resolves its outcome, at this leader or the next.
-    if (out.verdict == JobVerdict::kUnknown) {
+    if (out.verdict == JobVerdict::kOutcomeUnknown) {
       call->in_doubt = true;
       return retry();
     }
     // A refusal of this try does not undo an earlier one that may have taken
     // effect.
     if (out.verdict == JobVerdict::kRefused && call->in_doubt) {
-      out.verdict = JobVerdict::kUnknown;
+      out.verdict = JobVerdict::kOutcomeUnknown;
     }
     call->done(out);
   };
@@ -376,7 +376,7 @@
 void JobEntry::State(JobId id, Millis caller_timeout, JobDone done) {
   const auto known = final_states_.find(id);
   if (known != final_states_.end()) {
-    return done({.verdict = JobVerdict::kDone, .state = known->second});
+    return done({.verdict = JobVerdict::kConfirmed, .state = known->second});
   }
   wire::JobStateCall message;
   message.id = static_cast<int64_t>(id);
@@ -392,7 +392,7 @@
     deps_.peers.JobState(address, message, timeout, std::move(reply));
   };
   call->done = [this, id, done = std::move(done)](const JobAnswer& answer) {
-    if (answer.verdict == JobVerdict::kDone && IsFinal(answer.state)) {
+    if (answer.verdict == JobVerdict::kConfirmed && IsFinal(answer.state)) {
       RememberFinalState(id, answer.state);
     }
     done(answer);
--- a/src/jobentry/job_service.h
+++ b/src/jobentry/job_service.h
@@ -23,7 +23,7 @@
 };
 
 struct JobAnswer {
-  coordinator::JobVerdict verdict = coordinator::JobVerdict::kUnknown;
+  coordinator::JobVerdict verdict = coordinator::JobVerdict::kOutcomeUnknown;
   JobState state = JobState::kQueued;
   int64_t pending = 0;
   /// With kRefused: the pause before the caller should retry.
--- a/src/tool/job_commands.cc
+++ b/src/tool/job_commands.cc
@@ -56,7 +56,7 @@
 
 ExitCode CodeOf(JobVerdict verdict) {
   switch (verdict) {
-    case JobVerdict::kDone:
+    case JobVerdict::kConfirmed:
       return ExitCode::kOk;
     case JobVerdict::kRefused:
     case JobVerdict::kStoreUnavailable:
@@ -100,7 +100,7 @@
   if (!reply.ok()) return Unreachable(leader, reply.error());
   const auto verdict = static_cast<JobVerdict>(reply.value().verdict);
   std::string line(coordinator::kJobVerdictNames.Name(verdict));
-  if (verdict == JobVerdict::kDone && describe != nullptr) {
+  if (verdict == JobVerdict::kConfirmed && describe != nullptr) {
     line += ", " + describe(reply.value());
   }
   std::puts(line.c_str());
--- a/tests/job_durability_test.cc
+++ b/tests/job_durability_test.cc
@@ -91,8 +91,9 @@
 void CheckNoneReportedUnknown(const JobCell& cell) {
   std::map<JobId, TimePoint> accepted_at;
   for (const CallerCall& call : cell.calls()) {
-    const bool done = call.answers > 0 && call.verdict == JobVerdict::kDone;
-    if (call.kind != CallKind::kSubmit || !done) continue;
+    const bool confirmed =
+        call.answers > 0 && call.verdict == JobVerdict::kConfirmed;
+    if (call.kind != CallKind::kSubmit || !confirmed) continue;
     const auto [at, fresh] = accepted_at.emplace(call.job, call.ended);
     if (!fresh) at->second = std::min(at->second, call.ended);
   }
@@ -131,7 +132,7 @@
   return answers_by_entry->size() == jobs.size() * cell.names().size() &&
          std::all_of(answers_by_entry->begin(), answers_by_entry->end(),
                      [](const auto& row) {
-                       return row.second.verdict == JobVerdict::kDone &&
+                       return row.second.verdict == JobVerdict::kConfirmed &&
                               IsFinal(row.second.state);
                      });
 }
@@ -148,11 +149,11 @@
                           "no answer on " << what);
       if (answer == answers_by_entry->end()) continue;
       const JobVerdict verdict = answer->second.verdict;
-      BOOST_CHECK_MESSAGE(verdict == JobVerdict::kDone,
+      BOOST_CHECK_MESSAGE(verdict == JobVerdict::kConfirmed,
                           "accepted but unknown ("
                               << coordinator::kJobVerdictNames.Name(verdict)
                               << "): " << what);
-      if (verdict != JobVerdict::kDone) continue;
+      if (verdict != JobVerdict::kConfirmed) continue;
       BOOST_CHECK_MESSAGE(IsFinal(answer->second.state),
                           "accepted but never finished: " << what);
       const bool wrong = answer->second.state != JobState::kComplete &&
@@ -313,7 +314,7 @@
     const bool timed_out =
         call.answers == 0 && Now() - call.sent > kCallerTimeout;
     const bool unknown =
-        call.answers > 0 && call.verdict == JobVerdict::kUnknown;
+        call.answers > 0 && call.verdict == JobVerdict::kOutcomeUnknown;
     if (call.connection_lost || unknown || timed_out) {
       job.retry_at = Now() + Millis(Pick(300));
     } else if (call.answers > 0) {
@@ -323,12 +324,12 @@
 
   void HandleVerdict(SubmittedJob& job, JobVerdict verdict) {
     job.resolved = true;
-    const bool done = verdict == JobVerdict::kDone;
-    if (done) CheckStored(cell_, static_cast<JobId>(job.spec.id));
+    const bool confirmed = verdict == JobVerdict::kConfirmed;
+    if (confirmed) CheckStored(cell_, static_cast<JobId>(job.spec.id));
     // The caller repeats an accepted job seconds after the answer, or retries a
     // refused one.
-    if (done && Chance(10)) job.retry_at = Now() + Millis(Pick(5000));
-    if (done || Chance(40)) return;
+    if (confirmed && Chance(10)) job.retry_at = Now() + Millis(Pick(5000));
+    if (confirmed || Chance(40)) return;
     job.resolved = false;
     job.retry_at = Now() + Millis(300 + Pick(1500));
   }
@@ -776,7 +777,7 @@
   cell.RunFor(kStartupTime);
   const JobVerdict verdict = cell.calls().back().verdict;
   BOOST_TEST(
-      (verdict == JobVerdict::kDone || verdict == JobVerdict::kNoSuchJob));
+      (verdict == JobVerdict::kConfirmed || verdict == JobVerdict::kNoSuchJob));
   const int starts = cell.upstreams().Starts({kJob, 0, 0, 0});
   cell.Kill(first);
   CheckInvariants(cell);
--- a/tests/job_fault_injection_test.cc
+++ b/tests/job_fault_injection_test.cc
@@ -426,7 +426,7 @@
   cell.RunFor(Millis(4000));
   BOOST_REQUIRE_EQUAL(verdicts.size(), 2U);
   for (const auto verdict : verdicts) {
-    BOOST_TEST((verdict == coordinator::JobVerdict::kDone));
+    BOOST_TEST((verdict == coordinator::JobVerdict::kConfirmed));
   }
   BOOST_TEST(cell.Violations().empty());
 }
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -262,14 +262,14 @@
   ++submits_[id];
   auto* target = process->entry.get();
   process->executor.Post([this, target, spec, id, call] {
-    target->Submit(spec, kCallTimeout,
-                   [this, id, call](jobentry::JobAnswer answer) {
-                     RecordAnswer(call, answer.verdict);
-                     answers_[id].push_back(answer.verdict);
-                     if (answer.verdict == coordinator::JobVerdict::kDone) {
-                       accepted_.insert(id);
-                     }
-                   });
+    target->Submit(
+        spec, kCallTimeout, [this, id, call](jobentry::JobAnswer answer) {
+          RecordAnswer(call, answer.verdict);
+          answers_[id].push_back(answer.verdict);
+          if (answer.verdict == coordinator::JobVerdict::kConfirmed) {
+            accepted_.insert(id);
+          }
+        });
   });
 }
 
@@ -308,7 +308,7 @@
         id, kCallTimeout, [this, id, call](jobentry::JobAnswer answer) {
           RecordAnswer(call, answer.verdict);
           ++cancel_answers_[id];
-          if (answer.verdict == coordinator::JobVerdict::kDone) {
+          if (answer.verdict == coordinator::JobVerdict::kConfirmed) {
             cancelled_.insert(id);
           }
           // A caller that gets "no such job" for an accepted job assumes that
@@ -316,7 +316,7 @@
           const bool ended =
               answer.verdict == coordinator::JobVerdict::kNoSuchJob &&
               accepted_.count(id) > 0;
-          if (ended || answer.verdict == coordinator::JobVerdict::kDone) {
+          if (ended || answer.verdict == coordinator::JobVerdict::kConfirmed) {
             upstreams_.NoteCancelled(id);
           }
         });
@@ -343,7 +343,7 @@
     process->executor.Post([query, target, id] {
       target->State(id, Millis(500), [query](jobentry::JobAnswer answer) {
         query->answered = true;
-        if (answer.verdict == coordinator::JobVerdict::kDone) {
+        if (answer.verdict == coordinator::JobVerdict::kConfirmed) {
           query->state = answer.state;
         }
       });
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cell.h
@@ -93,7 +93,7 @@
   int answers = 0;
   /// When the call was answered or its connection was lost.
   TimePoint ended{};
-  coordinator::JobVerdict verdict = coordinator::JobVerdict::kUnknown;
+  coordinator::JobVerdict verdict = coordinator::JobVerdict::kOutcomeUnknown;
 };
 
 /// Complete entry instances over fakes of the platform and a manual clock.
--- a/tests/malformed_records_test.cc
+++ b/tests/malformed_records_test.cc
@@ -402,9 +402,10 @@
   cell.RunFor(Millis(2000));
   BOOST_TEST(cell.Leader() == leader);
   BOOST_TEST(entry.leadership().term() == term);
+  BOOST_TEST((coordinator::ToJobVerdict(99) ==
+              coordinator::JobVerdict::kOutcomeUnknown));
   BOOST_TEST(
-      (coordinator::ToJobVerdict(99) == coordinator::JobVerdict::kUnknown));
-  BOOST_TEST((coordinator::ToJobVerdict(0) == coordinator::JobVerdict::kDone));
+      (coordinator::ToJobVerdict(0) == coordinator::JobVerdict::kConfirmed));
 }
 
 }  // namespace mimosarail::jobsim
