--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -40,8 +40,9 @@
 
 void Coordinator::FailPendingCallers() {
   for (auto& [id, job] : pending_submissions_) {
-    for (auto& waiter : job.waiters)
+    for (auto& waiter : job.waiters) {
       waiter(SubmitReply(JobVerdict::kOutcomeUnknown));
+    }
   }
   pending_submissions_.clear();
 }
