--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -15,7 +15,7 @@
 constexpr int64_t kMaxText = 1000000;
 constexpr int64_t kMaxMs = 7LL * 24 * 3600 * 1000;
 constexpr int64_t kMsPerSecond = 1000;
-constexpr int64_t kNanos = 1000000000;
+constexpr int64_t kNanosPerUnit = 1000000000;
 constexpr int32_t kMaxPriority = 9;
 constexpr int32_t kMinutesPerHour = 60;
 constexpr int32_t kMinutesPerDay = 24 * kMinutesPerHour;
@@ -89,7 +89,7 @@
                      kMaxMs / 1000, kMsPerSecond);
   ReadOptional(reader, "min_waiting", when.min_waiting, {0, 1000000});
   ReadOptionalScaled(reader, "min_cost", when.min_cost_nanos, 1000000000,
-                     kNanos);
+                     kNanosPerUnit);
   ReadMinute(reader, "from", when.from_minute);
   ReadMinute(reader, "to", when.to_minute);
   if (when.from_minute.has_value() != when.to_minute.has_value()) {
@@ -258,11 +258,12 @@
   if (const Json* prices = reader.Object("prices")) {
     ObjectReader price_reader(*parsed, *prices, "prices", findings);
     price_reader.ReadScaled("core_second", out.prices_.core_second, {0, 1000},
-                            kNanos);
+                            kNanosPerUnit);
     price_reader.ReadScaled("gb_second", out.prices_.gb_second, {0, 1000},
-                            kNanos);
+                            kNanosPerUnit);
     price_reader.ReadScaled("accelerator_second",
-                            out.prices_.accelerator_second, {0, 1000}, kNanos);
+                            out.prices_.accelerator_second, {0, 1000},
+                            kNanosPerUnit);
     price_reader.Finish();
   }
   const Json* rules = reader.Array("rules");
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -21,8 +21,8 @@
 /// again with the last fault.
 constexpr Millis kStopBound{900};
 constexpr int kMaxAttempts = 2;
-/// Maximum number of ends listed in one reply.
-constexpr size_t kMaxEndsPerReply = 500;
+/// Maximum number of finished runs listed in one reply.
+constexpr size_t kMaxFinishedPerReply = 500;
 /// A task that was running on this many upstreams when they crashed may be
 /// started only kMaxStartsAfterCrashes more times.
 constexpr int kCrashLimit = 3;
@@ -485,10 +485,10 @@
     reply.running.push_back(
         {.task = task, .attempt = run.attempt, .percent = percent});
   }
-  const size_t listed = std::min(upstream.ended.size(), kMaxEndsPerReply);
+  const size_t listed = std::min(upstream.ended.size(), kMaxFinishedPerReply);
   reply.ended.assign(upstream.ended.begin(),
                      upstream.ended.begin() + static_cast<ptrdiff_t>(listed));
-  reply.more_ends = listed == kMaxEndsPerReply;
+  reply.more_ends = listed == kMaxFinishedPerReply;
   return reply;
 }
 
--- a/tests/malformed_records_test.cc
+++ b/tests/malformed_records_test.cc
@@ -15,6 +15,11 @@
 constexpr const char* kJobTable = "jobs";
 constexpr const char* kLeaderTable = "leaders";
 constexpr const char* kLeaderKey = "leader";
+/// First letters of the keys in the job table, by the kind of record.
+constexpr char kSpecPrefix = 's';
+constexpr char kProgressPrefix = 'p';
+constexpr char kUpstreamPrefix = 'u';
+constexpr char kUnknownKindPrefix = 'x';
 const std::string kMalformedBytes = "\xff\xfe\x01";
 
 /// Whether the leader's counter of malformed records of this kind has this
@@ -250,14 +255,16 @@
   wire::ProgressRecord unknown_task;
   unknown_task.tasks.emplace_back().task = 5;
   struct Row {
-    char kind;
+    char key_prefix;
     std::string value;
   };
   for (const Row& row :
-       {Row{'s', kMalformedBytes}, Row{'s', rpc::Encode(empty)},
-        Row{'s', rpc::Encode(other)}, Row{'s', rpc::Encode(huge)},
-        Row{'p', kMalformedBytes}, Row{'p', rpc::Encode(unknown_state)},
-        Row{'p', rpc::Encode(unknown_task)}}) {
+       {Row{kSpecPrefix, kMalformedBytes}, Row{kSpecPrefix, rpc::Encode(empty)},
+        Row{kSpecPrefix, rpc::Encode(other)},
+        Row{kSpecPrefix, rpc::Encode(huge)},
+        Row{kProgressPrefix, kMalformedBytes},
+        Row{kProgressPrefix, rpc::Encode(unknown_state)},
+        Row{kProgressPrefix, rpc::Encode(unknown_task)}}) {
     JobCell cell({});
     cell.RunFor(Millis(2000));
     for (const JobId id : {bad_id, good_id}) {
@@ -267,13 +274,14 @@
     cell.RunFor(Millis(300));
     BOOST_TEST(cell.accepted(bad_id));
     KillAll(cell);
-    const std::string key = row.kind + JobIdText(bad_id);
+    const std::string key = row.key_prefix + JobIdText(bad_id);
     cell.store().Put(kJobTable, key, row.value);
     RestartAll(cell);
     cell.RunFor(Millis(3000));
     cell.Submit("entry-2", OneStepJob(bad_id, 1, 1000));
     cell.Cancel("entry-3", bad_id);
-    BOOST_TEST_CONTEXT(row.kind << " of " << row.value.size() << " bytes") {
+    BOOST_TEST_CONTEXT(row.key_prefix << " of " << row.value.size()
+                                      << " bytes") {
       BOOST_TEST(cell.RunUntilFinal(good_id, Millis(9000)));
       cell.RunFor(Millis(5000));
       BOOST_TEST(cell.upstreams().DoneRuns({good_id, 0, 0, 0}) == 1);
@@ -309,7 +317,7 @@
   BOOST_TEST(cell.upstreams().starts() == 3);
   KillAll(cell);
   cell.RunFor(Millis(1000));
-  const std::string key = "s" + JobIdText(1);
+  const std::string key = kSpecPrefix + JobIdText(1);
   const std::string record = cell.store().Records(kJobTable).at(key);
   cell.store().Put(kJobTable, key, kMalformedBytes);
   RestartAll(cell);
@@ -337,9 +345,9 @@
   cell.Submit("entry-1", OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(300));
   KillAll(cell);
-  const std::string key = "x" + JobIdText(1);
+  const std::string key = kUnknownKindPrefix + JobIdText(1);
   cell.store().Put(kJobTable, key, kMalformedBytes);
-  cell.store().Put(kJobTable, "s", kMalformedBytes);
+  cell.store().Put(kJobTable, std::string(1, kSpecPrefix), kMalformedBytes);
   RestartAll(cell);
   BOOST_TEST(cell.RunUntilFinal(1, Millis(9000)));
   BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
@@ -352,7 +360,7 @@
 /// upstream is unreachable, and its list entry has expired. A new leader that
 /// relied on the rest of the registry would start the task a second time while
 /// its lease is still valid on that upstream.
-BOOST_AUTO_TEST_CASE(NewLeaderWaitsOutLeasesOnMalformedRosterRecord) {
+BOOST_AUTO_TEST_CASE(NewLeaderWaitsOutLeasesOnMalformedRegistryRecord) {
   JobCell cell({.upstreams = 2});
   cell.RunFor(Millis(2000));
   cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
@@ -363,7 +371,7 @@
   KillAll(cell);
   cell.upstreams().faults(where).unreachable = true;
   cell.store().Put(kUpstreamTable, where, "");
-  cell.store().Put(kJobTable, "u" + where, kMalformedBytes);
+  cell.store().Put(kJobTable, kUpstreamPrefix + where, kMalformedBytes);
   RestartAll(cell);
   cell.RunFor(Millis(9000));
   BOOST_TEST(cell.upstreams().starts() == 2);
--- a/tests/soak/upstream_server_fake.cc
+++ b/tests/soak/upstream_server_fake.cc
@@ -17,9 +17,9 @@
 constexpr Millis kLeaseCheckInterval{50};
 /// Interval at which a lease renewal that waits for an answer checks whether a
 /// task has ended.
-constexpr Millis kEndsPollInterval{10};
-constexpr size_t kMaxEndsPerReply = 500;
-constexpr int kReportedPercent = 50;
+constexpr Millis kReportPollInterval{10};
+constexpr size_t kMaxFinishedPerReply = 500;
+constexpr int kReportedProgressPercent = 50;
 
 int64_t ClockMs() {
   return std::chrono::duration_cast<Millis>(Clock::now().time_since_epoch())
@@ -131,10 +131,11 @@
   const auto run = running_.find(task);
   if (run == running_.end() || run->second != attempt) return;
   running_.erase(run);
-  ++last_end_;
-  ended_[last_end_] = {last_end_, task, attempt, how, ""};
+  ++last_finished_number_;
+  unacknowledged_[last_finished_number_] = {last_finished_number_, task,
+                                            attempt, how, ""};
   const bool done = std::string_view(how) == "done";
-  checker_.OnEnd(id_, *ParseTaskId(task), done ? last_end_ : 0);
+  checker_.OnEnd(id_, *ParseTaskId(task), done ? last_finished_number_ : 0);
 }
 
 void UpstreamServerFake::ExpireLease() {
@@ -148,8 +149,9 @@
                                     const http::Responder& respond) {
   if (!AcceptsFence(body)) return respond(Refuse("fence"));
   const int64_t acknowledged =
-      std::min(body.value("ackCursor", int64_t{0}), last_end_);
-  ended_.erase(ended_.begin(), ended_.upper_bound(acknowledged));
+      std::min(body.value("ackCursor", int64_t{0}), last_finished_number_);
+  unacknowledged_.erase(unacknowledged_.begin(),
+                        unacknowledged_.upper_bound(acknowledged));
   checker_.OnAcknowledged(id_, acknowledged);
   const int64_t wait = std::min(body.value("waitMs", int64_t{0}), kMaxWaitMs);
   Report(Clock::now() + Millis(wait), respond);
@@ -157,19 +159,20 @@
 
 void UpstreamServerFake::Report(TimePoint limit,
                                 const http::Responder& respond) {
-  if (ended_.empty() && Clock::now() < limit) {
-    return executor_.RunAfter(
-        kEndsPollInterval, [this, limit, respond] { Report(limit, respond); });
+  if (unacknowledged_.empty() && Clock::now() < limit) {
+    return executor_.RunAfter(kReportPollInterval, [this, limit, respond] {
+      Report(limit, respond);
+    });
   }
   Json running = Json::array();
   for (const auto& [task, attempt] : running_) {
-    running.push_back({task, attempt, "", kReportedPercent});
+    running.push_back({task, attempt, "", kReportedProgressPercent});
   }
-  Json ended = Json::array();
-  for (const auto& [number, row] : ended_) {
-    if (ended.size() < kMaxEndsPerReply) ended.push_back(row);
+  Json finished = Json::array();
+  for (const auto& [number, row] : unacknowledged_) {
+    if (finished.size() < kMaxFinishedPerReply) finished.push_back(row);
   }
-  respond(Answer(200, {{"running", running}, {"finished", ended}}));
+  respond(Answer(200, {{"running", running}, {"finished", finished}}));
 }
 
 }  // namespace mimosarail::soak
--- a/tests/soak/upstream_server_fake.h
+++ b/tests/soak/upstream_server_fake.h
@@ -34,7 +34,7 @@
   http::Response StartTask(const Json& body);
   http::Response StopTask(const Json& body);
   void RenewLease(const Json& body, const http::Responder& respond);
-  /// Answers when there is an end to report, or at the limit.
+  /// Answers when there is a finished run to report, or at the limit.
   void Report(TimePoint limit, const http::Responder& respond);
   /// Whether the call's fencing token is current. If so, adopts the token and
   /// extends the lease to the call's deadline.
@@ -55,9 +55,9 @@
   std::map<std::string, int64_t> running_;
   /// The highest attempt of each task that was started or stopped here.
   std::map<std::string, int64_t> last_attempt_;
-  /// Ends that are not acknowledged yet, by their numbers.
-  std::map<int64_t, Json> ended_;
-  int64_t last_end_ = 0;
+  /// Finished runs that are not acknowledged yet, by their numbers.
+  std::map<int64_t, Json> unacknowledged_;
+  int64_t last_finished_number_ = 0;
 };
 
 }  // namespace mimosarail::soak
