--- a/src/cellconfig/cell_config_watcher.cc
+++ b/src/cellconfig/cell_config_watcher.cc
@@ -25,7 +25,7 @@
 }
 
 void CellConfigWatcher::ReadNewest() {
-  port_.ReadNewest(options_.timeout + options_.wait,
+  port_.ReadNewest(options_.call_timeout + options_.read_wait,
                    [this](const Result<ports::ConfigUpdate>& update) {
                      if (!update.ok()) {
                        logging::Event(Level::kWarning, "configuration not read",
@@ -33,26 +33,26 @@
                        return RetryLater(&CellConfigWatcher::ReadNewest);
                      }
                      cursor_ = update.value().cursor;
-                     AcceptWaves(update.value());
+                     ApplyWaves(update.value());
                      if (update.value().documents.empty()) {
                        return RetryLater(&CellConfigWatcher::ReadNewest);
                      }
-                     AcceptAll(update.value());
+                     ApplyDocuments(update.value());
                      ReadChange();
                    });
 }
 
 void CellConfigWatcher::ReadChange() {
   port_.ReadChange(
-      cursor_, options_.wait, options_.wait + options_.timeout,
+      cursor_, options_.read_wait, options_.read_wait + options_.call_timeout,
       [this](const Result<ports::ConfigUpdate>& update) {
         if (update.ok()) {
           if (!std::exchange(reachable_, true)) {
             logging::Event(Level::kInfo, "configuration followed again");
           }
           cursor_ = update.value().cursor;
-          AcceptWaves(update.value());
-          AcceptAll(update.value());
+          ApplyWaves(update.value());
+          ApplyDocuments(update.value());
           return ReadChange();
         }
         // The history at the cursor has been removed: only the newest state can
@@ -63,26 +63,26 @@
                          {{"cause", update.error().message},
                           {"version", std::to_string(config_.version)}});
         }
-        // Retrying from the same cursor would fail on an unreadable record
-        // forever.
+        // At an unreadable record, every further read from the same cursor
+        // would fail.
         const bool unreadable = update.error().code == Errc::kMalformed;
         RetryLater(unreadable ? &CellConfigWatcher::ReadNewest
                               : &CellConfigWatcher::ReadChange);
       });
 }
 
-void CellConfigWatcher::AcceptAll(const ports::ConfigUpdate& update) {
+void CellConfigWatcher::ApplyDocuments(const ports::ConfigUpdate& update) {
   // A malformed document may follow a valid one that this entry has not seen
   // yet; the valid one is then in force.
   for (const std::string& document : update.documents) {
-    Accept(document, "store");
+    ApplyDocument(document, "store");
   }
 }
 
-void CellConfigWatcher::AcceptWaves(const ports::ConfigUpdate& update) {
+void CellConfigWatcher::ApplyWaves(const ports::ConfigUpdate& update) {
   for (const ports::WaveRequest& wave : update.waves) {
     if (!waves_.insert_or_assign(wave.wave, wave).second) continue;
-    logging::Event(Level::kInfo, "wave asked for",
+    logging::Event(Level::kInfo, "maintenance wave requested",
                    {{"wave", std::to_string(wave.wave)},
                     {"hosts", std::to_string(wave.hosts.size())},
                     {"most_at_once", std::to_string(wave.max_unavailable)},
@@ -91,11 +91,11 @@
 }
 
 void CellConfigWatcher::Offer(const std::string& document) {
-  Accept(document, "leader");
+  ApplyDocument(document, "leader");
 }
 
-void CellConfigWatcher::Accept(const std::string& document,
-                               const char* source) {
+void CellConfigWatcher::ApplyDocument(const std::string& document,
+                                      const char* source) {
   Result<ports::CellConfig> decoded = port_.Decode(document);
   if (!decoded.ok()) {
     return malformed_records_.Report(faults::RecordSource::kConfiguration,
--- a/src/cellconfig/cell_config_watcher.h
+++ b/src/cellconfig/cell_config_watcher.h
@@ -13,10 +13,11 @@
 
 struct CellConfigWatcherOptions {
   /// How long one read waits for a change. A connection that has stopped
-  /// responding is detected within this time plus the timeout, well before a
-  /// change must be in force (2 s).
-  Millis wait{900};
-  Millis timeout{500};
+  /// responding is detected within this time plus the call timeout, well before
+  /// a change must be in force (2 s).
+  Millis read_wait{900};
+  /// Timeout of a call, in addition to the time for which it waits.
+  Millis call_timeout{500};
   Millis retry_delay{150};
 };
 
@@ -34,13 +35,15 @@
                     std::function<void()> changed);
 
   void Start();
-  /// Accepts a document that another entry passed on, if it is newer.
+  /// Puts a document that another entry passed on in force, if it is newer.
   void Offer(const std::string& document);
 
   /// Whether the store answered this entry's last read for changes.
   bool reachable() const { return reachable_; }
+  /// Whether this entry has a configuration.
   bool known() const { return config_.version > 0; }
   const ports::CellConfig& config() const { return config_; }
+  /// The document from which config() was decoded; empty if there is none.
   const std::string& document() const { return document_; }
   /// All requested maintenance waves, by number.
   const std::map<int64_t, ports::WaveRequest>& waves() const { return waves_; }
@@ -48,9 +51,10 @@
  private:
   void ReadNewest();
   void ReadChange();
-  void AcceptAll(const ports::ConfigUpdate& update);
-  void Accept(const std::string& document, const char* source);
-  void AcceptWaves(const ports::ConfigUpdate& update);
+  void ApplyDocuments(const ports::ConfigUpdate& update);
+  /// Puts a document in force if it decodes and is newer than the current one.
+  void ApplyDocument(const std::string& document, const char* source);
+  void ApplyWaves(const ports::ConfigUpdate& update);
   void RetryLater(void (CellConfigWatcher::*next)());
 
   Executor& executor_;
