--- a/src/journal/journal.cc
+++ b/src/journal/journal.cc
@@ -41,8 +41,8 @@
 
 void Journal::Close() {
   closed_ = true;
-  const auto fail = [this](std::vector<Stored>& waiters) {
-    for (Stored& waiter : std::exchange(waiters, {})) {
+  const auto fail = [this](std::vector<StoredCallback>& waiters) {
+    for (StoredCallback& waiter : std::exchange(waiters, {})) {
       executor_.Post([waiter = std::move(waiter)] { waiter(false); });
     }
   };
@@ -59,13 +59,13 @@
   if (pending_.erase(key) == 0) return false;
   if (!pending_.empty()) return true;
   // Nothing is left to append, so no answer would ever run these callbacks.
-  for (Stored& waiter : std::exchange(waiters_, {})) {
+  for (StoredCallback& waiter : std::exchange(waiters_, {})) {
     WhenStored(std::move(waiter));
   }
   return true;
 }
 
-void Journal::WhenStored(Stored done) {
+void Journal::WhenStored(StoredCallback done) {
   const bool stored = pending_.empty() && in_flight_.empty();
   if (closed_ || stored) {
     // Callbacks never run inside the call, which keeps their order.
@@ -80,13 +80,14 @@
 Millis Journal::stalled_for() const {
   if (in_flight_.empty()) return Millis(0);
   return std::chrono::duration_cast<Millis>(executor_.Now() -
-                                            in_flight_.front().since);
+                                            in_flight_.front().first_sent);
 }
 
 bool Journal::MaySend() const {
   if (in_flight_.empty()) return true;
-  // Records in flight can no longer be withdrawn and refused. A store that has
-  // stopped responding therefore gets no append beyond the unanswered one.
+  // Once a record is in flight, it can no longer be withdrawn to refuse its
+  // caller. A store that has stopped responding therefore gets no append beyond
+  // the unanswered one.
   return last_unrepeated_duration_ >= options_.slow_append_threshold &&
          stalled_for() < 2 * last_unrepeated_duration_ &&
          in_flight_.size() < options_.max_in_flight;
@@ -100,9 +101,9 @@
                          ? options_.min_append_interval
                          : std::max(options_.min_append_interval, spread);
   const TimePoint now = executor_.Now();
-  const TimePoint at = std::max(now, last_flush_ + gap);
-  // A flush scheduled while others were in flight gives way to an earlier one
-  // once those are stored.
+  const TimePoint at = std::max(now, last_sent_ + gap);
+  // A flush that was scheduled while appends were in flight is replaced by an
+  // earlier one once they are stored.
   if (flush_scheduled_ && flush_at_ <= at) return;
   flush_scheduled_ = true;
   flush_at_ = at;
@@ -126,7 +127,7 @@
     batch.records.push_back(
         {std::move(first.key()), std::move(first.mapped())});
   }
-  // Callbacks that wait for all pending records wait for the last part.
+  // Callbacks that wait for all pending records belong to the last batch.
   if (pending_.empty()) std::swap(batch.waiters, waiters_);
   SendNew(std::move(batch));
   ScheduleFlush();
@@ -134,7 +135,7 @@
 
 void Journal::SendNew(Batch batch) {
   batch.sequence = ++sequence_;
-  batch.since = executor_.Now();
+  batch.first_sent = executor_.Now();
   in_flight_.push_back(std::move(batch));
   Send(in_flight_.back());
 }
@@ -142,7 +143,7 @@
 void Journal::Send(Batch& batch) {
   batch.next_in_line = &batch == &in_flight_.front();
   ++appends_;
-  last_flush_ = executor_.Now();
+  last_sent_ = executor_.Now();
   store_.Append({.table = options_.table,
                  .records = batch.records,
                  .writer = ports::WriterIdentity{.name = options_.writer,
@@ -183,7 +184,7 @@
 
 void Journal::OnStored(int64_t sequence, int64_t end_offset) {
   // The store applies appends in order: those before this one are stored as
-  // well, though their answers may come later or never.
+  // well, though their answers may arrive later or never.
   while (!closed_ && !in_flight_.empty() &&
          in_flight_.front().sequence <= sequence) {
     last_append_duration_ = stalled_for();
@@ -194,7 +195,7 @@
     last_stored_ = executor_.Now();
     const Batch done = std::move(in_flight_.front());
     in_flight_.pop_front();
-    for (const Stored& waiter : done.waiters) waiter(true);
+    for (const StoredCallback& waiter : done.waiters) waiter(true);
   }
   if (!closed_) ScheduleFlush();
 }
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -49,11 +49,11 @@
 /// only.
 class Journal : public std::enable_shared_from_this<Journal> {
  public:
-  /// Runs exactly once. `stored` is true if everything put before the request
-  /// is stored, and false if the journal was closed first, which leaves the
-  /// outcome in doubt. Always runs, because the code that passed it waits for
-  /// the answer.
-  using Stored = std::function<void(bool stored)>;
+  /// A callback that runs exactly once, since the code that passed it waits for
+  /// the answer. `stored` is true if everything put before the callback was
+  /// passed is stored, and false if the journal was closed first, which leaves
+  /// the outcome in doubt.
+  using StoredCallback = std::function<void(bool stored)>;
 
   /// `lost` runs once, when another writer has taken over. The executor and the
   /// store outlive the journal.
@@ -72,9 +72,11 @@
   /// the value is in flight or stored. After a withdrawal, the withdrawn Put()
   /// takes no effect.
   bool Withdraw(const std::string& key);
-  /// Runs `done` when everything put so far is stored or the journal is closed.
-  void WhenStored(Stored done);
+  /// Runs `done` when everything put so far is stored or the journal is closed;
+  /// never within this call.
+  void WhenStored(StoredCallback done);
 
+  /// When the newest stored append was confirmed.
   TimePoint last_stored() const { return last_stored_; }
   /// Time since the oldest append in flight was first sent; 0 if none is in
   /// flight.
@@ -90,9 +92,8 @@
   struct Batch {
     int64_t sequence = 0;
     std::vector<ports::KeyedRecord> records;
-    std::vector<Stored> waiters;
-    /// When it was sent for the first time.
-    TimePoint since{};
+    std::vector<StoredCallback> waiters;
+    TimePoint first_sent{};
     /// Whether all batches before it were stored when it was last sent.
     bool next_in_line = false;
     bool repeated = false;
@@ -102,9 +103,9 @@
   bool MaySend() const;
   void ScheduleFlush();
   void Flush();
-  /// Adds `batch` behind those in flight and sends it.
+  /// Assigns the next sequence number to `batch` and sends it.
   void SendNew(Batch batch);
-  /// Sends a batch in flight, for the first time or again.
+  /// Sends a batch in flight, for the first time or as a repeat.
   void Send(Batch& batch);
   /// The batch in flight with this number; null if it is already stored.
   Batch* Find(int64_t sequence);
@@ -125,11 +126,12 @@
   bool open_ = false;
   bool closed_ = false;
   bool flush_scheduled_ = false;
-  /// When the next flush is due; an earlier flush replaces a later one.
+  /// When the scheduled flush is due.
   TimePoint flush_at_{};
   int64_t sequence_ = 0;
   int64_t appends_ = 0;
-  TimePoint last_flush_{};
+  /// When a batch was last sent, repeats included.
+  TimePoint last_sent_{};
   TimePoint last_stored_{};
   Millis last_append_duration_{0};
   /// Like last_append_duration_, but for the last append stored without a
@@ -139,7 +141,7 @@
   std::deque<Batch> in_flight_;
   /// Newest pending value of each key, in key order.
   std::map<std::string, std::string> pending_;
-  std::vector<Stored> waiters_;
+  std::vector<StoredCallback> waiters_;
 };
 
 }  // namespace mimosarail::journal
--- a/tests/journal_test.cc
+++ b/tests/journal_test.cc
@@ -183,7 +183,7 @@
   FaultyStore store(clock, fake, 1);
   store.faulty = false;
   int lost = 0;
-  int unknown = 0;
+  int in_doubt = 0;
   const auto journal = std::make_shared<journal::Journal>(
       executor, store,
       journal::JournalOptions{.table = kTable, .writer = "w", .epoch = 1},
@@ -196,12 +196,13 @@
           {.table = kTable, .writer = ports::WriterIdentity{"w", 2, 1}});
     }
     journal->Put("k", std::to_string(i));
-    journal->WhenStored([&unknown](bool stored) { unknown += stored ? 0 : 1; });
+    journal->WhenStored(
+        [&in_doubt](bool stored) { in_doubt += stored ? 0 : 1; });
     clock.RunFor(Millis(60));
   }
   clock.RunFor(Millis(3000));
   BOOST_TEST(lost == 1);
-  BOOST_TEST(unknown >= 10);
+  BOOST_TEST(in_doubt >= 10);
 }
 
 }  // namespace mimosarail::jobsim
