--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -15,9 +15,9 @@
 /// entries claim first. For other entries the delay is proportional to the
 /// share that they lack.
 constexpr Millis kClaimDelay{500};
-/// The same while no other entry is known: processes of machines that are
+/// The same while no other entry is known: the processes of machines that are
 /// powered on together start within half a second of each other.
-constexpr Millis kFreshClaimDelay{1500};
+constexpr Millis kInitialClaimDelay{1500};
 
 using faults::RecordSource;
 using logging::Level;
@@ -27,17 +27,17 @@
 
 Millis Leadership::ClaimDelay() const {
   const int32_t fitness = options_.member.fitness;
-  const int32_t missing = options_.enough_fitness - fitness;
+  const int32_t missing = options_.sufficient_fitness - fitness;
   if (missing <= 0) return Millis(0);
   const auto fitter = [&](const wire::Member& other) {
     return other.fitness > fitness && other.address != leader_.address;
   };
   const std::vector<wire::Member>& members = members_.all();
   if (members.empty()) {
-    return kFreshClaimDelay * missing / options_.enough_fitness;
+    return kInitialClaimDelay * missing / options_.sufficient_fitness;
   }
   if (std::none_of(members.begin(), members.end(), fitter)) return Millis(0);
-  return kClaimDelay * missing / options_.enough_fitness;
+  return kClaimDelay * missing / options_.sufficient_fitness;
 }
 
 void Leadership::Suspect(Suspicion suspicion, const std::string& cause) {
@@ -162,18 +162,18 @@
 std::optional<wire::AnnounceCall> Leadership::FindLeaderRecord(
     const ports::NewestPage& page) {
   std::optional<wire::AnnounceCall> out;
-  for (const ports::KeyedRecord& kept : page.records) {
-    if (kept.key != kLeaderKey) continue;
-    const auto record = rpc::Decode<wire::AnnounceCall>(kept.value);
-    if (!kept.decode_error.empty() || !record.ok()) {
-      malformed_records_.Report(RecordSource::kLeaders, kept.key,
+  for (const ports::KeyedRecord& row : page.records) {
+    if (row.key != kLeaderKey) continue;
+    const auto record = rpc::Decode<wire::AnnounceCall>(row.value);
+    if (!row.decode_error.empty() || !record.ok()) {
+      malformed_records_.Report(RecordSource::kLeaders, row.key,
                                 "does not decode");
       continue;
     }
     const int64_t term = record.value().term;
     if (term < 1 || term > std::min(kMaxTerm, page.end_offset) ||
         record.value().leader.address.empty()) {
-      malformed_records_.Report(RecordSource::kLeaders, kept.key,
+      malformed_records_.Report(RecordSource::kLeaders, row.key,
                                 "leader address missing or term out of range");
       continue;
     }
@@ -185,7 +185,7 @@
 void Leadership::Claim(int64_t term, int64_t end_offset,
                        int32_t unstable_terms) {
   store_.Append({.table = options_.table,
-                 .records = {{kLeaderKey, Record(term, unstable_terms)}},
+                 .records = {{kLeaderKey, EncodeRecord(term, unstable_terms)}},
                  .expected_end_offset = end_offset},
                 kStoreTimeout,
                 [this, term, unstable_terms,
--- a/src/leadership/election_timeout.cc
+++ b/src/leadership/election_timeout.cc
@@ -4,9 +4,9 @@
 
 namespace mimosarail::leadership {
 
-Millis ElectionTimeout(Millis usual,
+Millis ElectionTimeout(Millis base,
                        const std::optional<wire::AnnounceCall>& record) {
-  return usual * (1 << UnstableTerms(record));
+  return base * (1 << UnstableTerms(record));
 }
 
 int32_t UnstableTerms(const std::optional<wire::AnnounceCall>& record) {
--- a/src/leadership/election_timeout.h
+++ b/src/leadership/election_timeout.h
@@ -10,13 +10,13 @@
 
 /// Returns how long the record of a suspected leader must stay unchanged before
 /// another entry claims leadership. `record` is the leader's record in the
-/// store, absent if unreadable; `usual` is the timeout after a stable leader.
+/// store, absent if unreadable; `base` is the timeout after a stable leader.
 /// The minimum time before a slow leader is replaced is extended in the same
 /// way.
 ///
 /// Each failover makes the next leader load all jobs again, over the link on
 /// which it also renews its record. If loading delays a renewal for longer than
-/// `usual`, a fixed timeout replaces every leader before it serves, without
+/// `base`, a fixed timeout replaces every leader before it serves, without
 /// end. The timeout therefore doubles with each consecutive term that ended
 /// before its leader was stable, and returns to `usual` after a stable leader.
 /// Because of the doubling, all unsuccessful terms together last about as long
@@ -24,7 +24,7 @@
 /// link and the processor.
 ///
 /// Thread-safe.
-Millis ElectionTimeout(Millis usual,
+Millis ElectionTimeout(Millis base,
                        const std::optional<wire::AnnounceCall>& record);
 
 /// Number of consecutive unstable terms right before the term of this record;
--- a/src/leadership/leadership.cc
+++ b/src/leadership/leadership.cc
@@ -56,7 +56,8 @@
   RunEvery(executor_, kTick, [this] { Tick(); });
 }
 
-std::string Leadership::Record(int64_t term, int32_t unstable_terms) const {
+std::string Leadership::EncodeRecord(int64_t term,
+                                     int32_t unstable_terms) const {
   wire::AnnounceCall record;
   record.term = term;
   record.leader = options_.member;
@@ -75,7 +76,9 @@
   std::vector<wire::Member> out;
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
-    if (now - follower.heard < kFollowerTimeout) out.push_back(follower.member);
+    if (now - follower.last_heartbeat < kFollowerTimeout) {
+      out.push_back(follower.member);
+    }
   }
   return out;
 }
@@ -131,11 +134,13 @@
   size_t following = 1;
   if (leading_since_ >= counted_from) entries += MembersWithoutHeartbeat();
   for (const auto& [name, follower] : followers_) {
-    if (follower.heard < counted_from) continue;
+    if (follower.last_heartbeat < counted_from) continue;
     ++entries;
-    const bool fresh =
-        confirmed || follower.heard - resumed_at_ >= options_.heartbeat_timeout;
-    if (fresh && now - follower.heard < options_.leader_lease) ++following;
+    const bool fresh = confirmed || follower.last_heartbeat - resumed_at_ >=
+                                        options_.heartbeat_timeout;
+    if (fresh && now - follower.last_heartbeat < options_.leader_lease) {
+      ++following;
+    }
   }
   return following > 1 && 2 * following > entries;
 }
@@ -159,7 +164,7 @@
   // A shorter pause is within the leader lease, like any other missing answer.
   if (now - before <= options_.leader_lease) return;
   logging::Event(
-      Level::kWarning, "stood still",
+      Level::kWarning, "process paused",
       {{"for_ms",
         Text(std::chrono::duration_cast<Millis>(now - before).count())}});
   resumed_at_ = now;
@@ -279,7 +284,7 @@
   call.caller = options_.member;
   call.term = term_;
   call.config_version = events_.config_version();
-  call.members_known = members_.number();
+  call.members_known = members_.last_number();
   return call;
 }
 
@@ -433,20 +438,22 @@
 void Leadership::ReportExpiredFollowers() {
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
-    if (now - follower.heard >= kFollowerTimeout) changes_.Leave(name);
+    if (now - follower.last_heartbeat >= kFollowerTimeout) changes_.Leave(name);
   }
 }
 
 void Leadership::HandOverIfUnfit() {
-  if (options_.member.fitness >= options_.enough_fitness) return;
+  if (options_.member.fitness >= options_.sufficient_fitness) return;
   if (executor_.Now() - leading_since_ < options_.hand_over_after) return;
   const TimePoint now = executor_.Now();
   for (const auto& [name, follower] : followers_) {
-    if (follower.member.fitness < options_.enough_fitness) continue;
-    if (now - follower.heard > kFollowerTimeout) continue;
+    if (follower.member.fitness < options_.sufficient_fitness) continue;
+    if (now - follower.last_heartbeat > kFollowerTimeout) continue;
     // The other followers must know the fitter entry too, or they claim before
     // it can.
-    if (now - follower.since < options_.leader_suspect_after) continue;
+    if (now - follower.heartbeats_since < options_.leader_suspect_after) {
+      continue;
+    }
     return Resign(Role::kFollowing, "a fitter entry is there");
   }
 }
@@ -508,7 +515,7 @@
   renewing_ = true;
   store_.Append(
       {.table = options_.table,
-       .records = {{kLeaderKey, Record(term_, unstable_terms_)}},
+       .records = {{kLeaderKey, EncodeRecord(term_, unstable_terms_)}},
        .expected_end_offset = end_offset_},
       kStoreTimeout,
       [this, start = CallStartNow()](const ports::AppendReply& reply) {
@@ -577,9 +584,11 @@
   if (!call.caller.address.empty()) {
     const TimePoint now = executor_.Now();
     auto& follower = followers_.try_emplace(call.caller.name).first->second;
-    if (now - follower.heard > kFollowerTimeout) follower.since = now;
+    if (now - follower.last_heartbeat > kFollowerTimeout) {
+      follower.heartbeats_since = now;
+    }
     follower.member = call.caller;
-    follower.heard = now;
+    follower.last_heartbeat = now;
     changes_.Join(call.caller);
   }
   reply.store_reachable = store_reachable();
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -32,8 +32,8 @@
   /// Interval at which the leader renews its record in the store.
   Millis renew_period{200};
   /// A suspected leader whose record stays unchanged for this long has lost
-  /// leadership. Two renewal periods and a margin. Twice the duration of the
-  /// store read is added.
+  /// leadership. Two renewal periods and a margin; twice the duration of the
+  /// first read of the record is added.
   Millis election_timeout{450};
   /// The same for a leader that reports that it cannot reach the store.
   Millis election_timeout_store_lost{150};
@@ -61,8 +61,8 @@
   /// another leader would have taken over within some 5 s.
   Millis member_expiry{8000};
   /// Processor share, in percent of a core, with which an entry can lead any
-  /// deployment; leading 350 upstreams took 0.22 of a core.
-  int32_t enough_fitness = 25;
+  /// deployment. Leading 350 upstreams took 0.22 of a core.
+  int32_t sufficient_fitness = 25;
   /// A leader with too small a processor share hands over to a sufficiently fit
   /// entry after this time.
   Millis hand_over_after{1500};
@@ -176,6 +176,7 @@
   /// `sent` is the send time of the heartbeat.
   void OnHeartbeatReply(const std::string& address, TimePoint sent,
                         const Result<wire::HeartbeatReply>& reply);
+  /// Follows this leader, unless a later term is known or it is this entry.
   void Follow(int64_t term, const wire::Member& leader, bool loading);
   /// Notes that the known leader has loaded. This holds for the rest of the
   /// term; late messages from before are ignored.
@@ -222,6 +223,8 @@
   CallStart CallStartNow() const;
   void OnClaim(int64_t term, int32_t unstable_terms, const CallStart& start,
                const ports::AppendReply& reply);
+  /// Ends the check of the leader record that Suspect() began. The next one
+  /// begins after `pause` at the earliest.
   void EndLeaderCheck(Millis pause);
   void BecomeLeader(int64_t term, int32_t unstable_terms,
                     const CallStart& start, int64_t end_offset);
@@ -232,7 +235,8 @@
   /// Reads the table to find out whether a renewal that was not confirmed was
   /// stored or lost to another entry's claim.
   void ResolveRenewal();
-  std::string Record(int64_t term, int32_t unstable_terms) const;
+  /// The leader record that this entry writes, encoded.
+  std::string EncodeRecord(int64_t term, int32_t unstable_terms) const;
   /// The leader's record on a page of the table; empty if there is none that is
   /// plausible.
   std::optional<wire::AnnounceCall> FindLeaderRecord(
@@ -288,11 +292,10 @@
   TimePoint resumed_at_{};
   struct Follower {
     wire::Member member;
-    /// Time of the newest heartbeat.
-    TimePoint heard;
+    TimePoint last_heartbeat;
     /// Time of the first heartbeat after the start of the term or after a gap
     /// longer than the follower timeout.
-    TimePoint since;
+    TimePoint heartbeats_since;
   };
   std::map<std::string, Follower> followers_;
   TimePoint leading_since_{};
--- a/src/leadership/member_list.cc
+++ b/src/leadership/member_list.cc
@@ -22,12 +22,12 @@
 void MemberChanges::AddChange(const wire::Member& member) {
   const auto known = numbers_.find(member.name);
   if (known != numbers_.end()) changes_.erase(known->second);
-  numbers_[member.name] = ++last_;
-  changes_.emplace(last_, member);
+  numbers_[member.name] = ++last_number_;
+  changes_.emplace(last_number_, member);
 }
 
 void MemberChanges::Clear() {
-  last_ = 0;
+  last_number_ = 0;
   changes_.clear();
   numbers_.clear();
 }
@@ -43,13 +43,13 @@
 }
 
 void KnownMembers::BeginTerm() {
-  number_ = 0;
+  last_number_ = 0;
   for (auto& [name, known] : by_name_) known.reported_in_term = false;
 }
 
 void KnownMembers::Apply(const std::vector<wire::Member>& changes,
                          int64_t number) {
-  number_ = std::max(number_, number);
+  last_number_ = std::max(last_number_, number);
   if (changes.empty()) return;
   for (const wire::Member& member : changes) {
     if (member.removed) {
--- a/src/leadership/member_list.h
+++ b/src/leadership/member_list.h
@@ -38,7 +38,7 @@
  private:
   void AddChange(const wire::Member& member);
 
-  int64_t last_ = 0;
+  int64_t last_number_ = 0;
   std::map<int64_t, wire::Member> changes_;
   /// Number of the newest change of each name.
   std::map<std::string, int64_t> numbers_;
@@ -62,7 +62,7 @@
   void Assign(const std::vector<wire::Member>& members);
 
   /// Number of the newest change received from the current leader.
-  int64_t number() const { return number_; }
+  int64_t last_number() const { return last_number_; }
   const std::vector<wire::Member>& all() const { return all_; }
 
  private:
@@ -72,7 +72,7 @@
     wire::Member member;
     bool reported_in_term = false;
   };
-  int64_t number_ = 0;
+  int64_t last_number_ = 0;
   std::map<std::string, Known> by_name_;
   std::vector<wire::Member> all_;
 };
--- a/tests/member_list_test.cc
+++ b/tests/member_list_test.cc
@@ -6,7 +6,7 @@
 namespace mimosarail::leadership {
 namespace {
 
-wire::Member Named(int number) {
+wire::Member MemberWithNumber(int number) {
   wire::Member member;
   member.name = "entry-" + std::to_string(number);
   member.address = member.name + ":1";
@@ -16,7 +16,7 @@
 /// Sends answers until one contains no change; returns the number of answers.
 int SendChanges(const MemberChanges& from, KnownMembers& to) {
   for (int answers = 1;; ++answers) {
-    int64_t number = to.number();
+    int64_t number = to.last_number();
     const std::vector<wire::Member> changes = from.After(number);
     BOOST_TEST(changes.size() <= MemberChanges::kMaxChangesPerReply);
     to.Apply(changes, number);
@@ -32,15 +32,15 @@
   MemberChanges changes;
   KnownMembers known;
   constexpr int kMembers = 100;
-  for (int i = 0; i < kMembers; ++i) changes.Join(Named(i));
+  for (int i = 0; i < kMembers; ++i) changes.Join(MemberWithNumber(i));
   SendChanges(changes, known);
   BOOST_TEST(known.all().size() == static_cast<size_t>(kMembers));
   BOOST_TEST(SendChanges(changes, known) == 1);
-  changes.Join(Named(7));
+  changes.Join(MemberWithNumber(7));
   BOOST_TEST(SendChanges(changes, known) == 1);
   changes.Leave("entry-3");
   changes.Leave("entry-3");
-  changes.Join(Named(kMembers));
+  changes.Join(MemberWithNumber(kMembers));
   BOOST_TEST(SendChanges(changes, known) == 2);
   BOOST_TEST(known.all().size() == static_cast<size_t>(kMembers));
 }
@@ -50,12 +50,12 @@
 BOOST_AUTO_TEST_CASE(ReturningMemberIsListedAgain) {
   MemberChanges changes;
   KnownMembers known;
-  changes.Join(Named(1));
+  changes.Join(MemberWithNumber(1));
   SendChanges(changes, known);
   changes.Leave("entry-1");
   SendChanges(changes, known);
   BOOST_TEST(known.all().empty());
-  wire::Member back = Named(1);
+  wire::Member back = MemberWithNumber(1);
   back.address = "elsewhere:1";
   changes.Join(back);
   SendChanges(changes, known);
@@ -69,11 +69,11 @@
 BOOST_AUTO_TEST_CASE(NewLeaderRestartsMemberNumbering) {
   MemberChanges first;
   KnownMembers known;
-  for (int i = 0; i < 5; ++i) first.Join(Named(i));
+  for (int i = 0; i < 5; ++i) first.Join(MemberWithNumber(i));
   SendChanges(first, known);
   known.BeginTerm();
   MemberChanges second;
-  second.Join(Named(1));
+  second.Join(MemberWithNumber(1));
   SendChanges(second, known);
   BOOST_TEST(known.all().size() == 5U);
   known.RemoveFromEarlierTerms();
