--- a/src/leadership/member_list.h
+++ b/src/leadership/member_list.h
@@ -57,7 +57,7 @@
   /// Removes members that only earlier leaders reported. Precondition: the
   /// leader knows all entries that send it heartbeats, and has reported them.
   void RemoveFromEarlierTerms();
-  /// Replaces all members. Called when this entry gives up leadership: it knows
+  /// Replaces all members. Called when this entry resigns leadership: it knows
   /// the other entries from their heartbeats.
   void Assign(const std::vector<wire::Member>& members);
 
