--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -157,7 +157,7 @@
   };
   /// The result of a task whose job's records could not be read when the
   /// upstream reported it.
-  struct UnmatchedEnd {
+  struct UnmatchedCompletion {
     TaskId task;
     int64_t attempt = 0;
     bool failed = false;
@@ -189,11 +189,12 @@
   std::string DecodeUpstream(const ports::KeyedRecord& record);
   std::string DecodeSpec(JobId id, const std::string& value);
   std::string DecodeProgress(JobId id, const std::string& value);
-  std::string DecodeUnmatchedEnd(const ports::KeyedRecord& record);
-  /// Merges unmatched ends into the progress of jobs that can be read again.
-  void ApplyUnmatchedEnds();
-  /// Stores the end of a task if its job's records can't be read.
-  void StoreUnmatchedEnd(const ports::EndedTask& end);
+  std::string DecodeUnmatchedCompletion(const ports::KeyedRecord& record);
+  /// Merges unmatched completions into the progress of jobs that can be read
+  /// again.
+  void ApplyUnmatchedCompletions();
+  /// Stores a completion if the records of its job cannot be read.
+  void StoreUnmatchedCompletion(const ports::EndedTask& end);
   void LoadJobs();
   void ReadList();
   void OnList(const ports::UpstreamListUpdate& update, bool whole);
@@ -276,7 +277,8 @@
   /// While loading: records read so far, to be matched by job in LoadJobs().
   std::unordered_map<JobId, wire::JobSpec> loaded_specs_;
   std::unordered_map<JobId, wire::ProgressRecord> loaded_progress_;
-  std::unordered_map<JobId, std::vector<UnmatchedEnd>> unmatched_ends_;
+  std::unordered_map<JobId, std::vector<UnmatchedCompletion>>
+      unmatched_completions_;
   std::vector<ports::UpstreamEntry> loaded_upstreams_;
   /// Upstreams that an earlier leader closed, until they have reported their
   /// running tasks.
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -16,8 +16,8 @@
 constexpr Millis kStoreRetry{150};
 
 /// Applies a stored task result to a job whose records can be read again.
-void ApplyUnmatchedEnd(Job& job, const TaskId& task, int64_t attempt,
-                       bool failed) {
+void ApplyUnmatchedCompletion(Job& job, const TaskId& task, int64_t attempt,
+                              bool failed) {
   if (job.final()) return;
   const wire::StepSpec& step = job.step(task.step);
   job.NoteStarted();
@@ -88,7 +88,7 @@
   if (record.key.empty()) return "no key";
   const char kind = record.key[0];
   if (kind == kUpstreamPrefix) return DecodeUpstream(record);
-  if (kind == kEndPrefix) return DecodeUnmatchedEnd(record);
+  if (kind == kEndPrefix) return DecodeUnmatchedCompletion(record);
   if (kind == maintenance::kWavePrefix) {
     // Without a host API the record is left to a leader that has one.
     const bool taken = waves_ == nullptr || waves_->Load(record);
@@ -148,7 +148,8 @@
   return findings.ToString();
 }
 
-std::string Coordinator::DecodeUnmatchedEnd(const ports::KeyedRecord& record) {
+std::string Coordinator::DecodeUnmatchedCompletion(
+    const ports::KeyedRecord& record) {
   const std::string_view key = record.key;
   const size_t dot = key.rfind('.');
   const auto end = rpc::Decode<wire::TaskRecord>(record.value);
@@ -158,19 +159,19 @@
   int64_t attempt = 0;
   std::from_chars(digits.data(), digits.data() + digits.size(), attempt);
   if (!task || attempt < 1) return "names no attempt of a task";
-  unmatched_ends_[task->job].push_back(
+  unmatched_completions_[task->job].push_back(
       {.task = *task,
        .attempt = attempt,
        .failed = !end.value().failed_attempts.empty()});
   return {};
 }
 
-void Coordinator::StoreUnmatchedEnd(const ports::EndedTask& end) {
+void Coordinator::StoreUnmatchedCompletion(const ports::EndedTask& end) {
   const bool failed = end.kind == ports::EndKind::kFailed;
   if (unreadable_jobs_.count(end.task.job) == 0) return;
   if (!failed && end.kind != ports::EndKind::kDone) return;
-  // The upstream forgets the end once it is stored here. A version that can
-  // read the job's records learns only from this record not to run the task
+  // The upstream discards the completion once it is stored here. A version that
+  // can read the job's records learns only from this record not to run the task
   // again.
   wire::TaskRecord record;
   record.task = end.task.index;
@@ -178,17 +179,18 @@
   journal_->Put(EndKey(end.task, end.attempt), rpc::Encode(record));
 }
 
-void Coordinator::ApplyUnmatchedEnds() {
+void Coordinator::ApplyUnmatchedCompletions() {
   std::vector<std::string> merged;
-  for (const auto& [id, ends] : std::exchange(unmatched_ends_, {})) {
+  for (const auto& [id, completions] :
+       std::exchange(unmatched_completions_, {})) {
     const auto spec = loaded_specs_.find(id);
     if (spec == loaded_specs_.end() || unreadable_jobs_.count(id) > 0) continue;
     Job job(spec->second);
     job.Restore(loaded_progress_[id]);
-    for (const UnmatchedEnd& end : ends) {
+    for (const UnmatchedCompletion& end : completions) {
       merged.push_back(EndKey(end.task, end.attempt));
       if (!job.Has(end.task)) continue;
-      ApplyUnmatchedEnd(job, end.task, end.attempt, end.failed);
+      ApplyUnmatchedCompletion(job, end.task, end.attempt, end.failed);
     }
     loaded_progress_[id] = job.Progress();
     journal_->Put(ProgressKey(id), rpc::Encode(loaded_progress_[id]));
@@ -214,7 +216,7 @@
                                    findings.ToString());
     unreadable_jobs_.insert(id);
   }
-  ApplyUnmatchedEnds();
+  ApplyUnmatchedCompletions();
   for (const auto& [id, progress] : loaded_progress_) {
     const auto state = static_cast<JobState>(progress.state);
     if (!IsFinal(state)) continue;
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -275,7 +275,7 @@
            {"upstream", scheduler_.pool().at(upstream).entry.id},
            {"how", std::string(ports::kEndKindNames.Name(end.kind))}});
     }
-    StoreUnmatchedEnd(end);
+    StoreUnmatchedCompletion(end);
     scheduler_.OnEnd(upstream, end, now, orders);
   }
   scheduler_.OnRunning(upstream, running, now, orders);
@@ -287,7 +287,7 @@
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
     const auto link = self->links_.find(upstream);
-    if (link != self->links_.end()) link->second->AcknowledgeEnds(last);
+    if (link != self->links_.end()) link->second->AcknowledgeCompletions(last);
   });
 }
 
@@ -388,10 +388,10 @@
   const scheduling::Upstream& it = scheduler_.pool().at(index);
   const auto work = scheduler_.WorkOn(index, deps_.executor.Now());
   const auto link = links_.find(index);
-  const bool ends_acknowledged =
-      link != links_.end() && link->second->all_ends_acknowledged();
+  const bool completions_acknowledged =
+      link != links_.end() && link->second->all_completions_acknowledged();
   return {.known = it.listed && it.reachable && scheduler_.resolved() &&
-                   ends_acknowledged,
+                   completions_acknowledged,
           .tasks = work.tasks,
           .budgeted_tasks = work.budgeted_tasks,
           .drain_time = work.drain_time,
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -23,7 +23,7 @@
 /// for more completions, and a completion is seen up to this much later. With a
 /// store that is 50 times slower, 25 of 14,459 urgent jobs completed too late
 /// to be of use; with 500 ms it was 39.
-constexpr Millis kUnstoredEndsRenewPeriod{200};
+constexpr Millis kUnstoredCompletionsRenewPeriod{200};
 
 }  // namespace
 
@@ -96,18 +96,20 @@
     leases_end_ =
         std::max(leases_end_, sent + MaxLeaseDuration(options_.lease));
   }
-  const bool has_unstored_ends = ends_stored_ < ends_reported_;
-  const Millis reply_wait = has_unstored_ends ? Millis(0) : wait;
+  const bool has_unstored_completions =
+      completions_stored_ < completions_reported_;
+  const Millis reply_wait = has_unstored_completions ? Millis(0) : wait;
   const int64_t fence = fence_;
   const int64_t number = ++renewals_;
   tasks_.Renew(options_.target,
                {.fence = fence,
-                .acked_ends = ends_stored_,
+                .acked_completions = completions_stored_,
                 .lease_until_ms = extend ? LeaseUntil() : 0,
                 .wait = reply_wait},
                adaptive_timeout_.timeout() + reply_wait,
                [weak = weak_from_this(), number, fence, sent, reply_wait,
-                acked_ends = ends_stored_](const ports::RenewReply& reply) {
+                acked_completions =
+                    completions_stored_](const ports::RenewReply& reply) {
                  const auto self = weak.lock();
                  if (!self || self->closed_) return;
                  // The reply to a renewal that waited for a completion does
@@ -115,12 +117,12 @@
                  if (reply_wait == Millis(0)) {
                    self->RecordReply(sent, reply.call.verdict);
                  }
-                 self->OnRenewReply(number, fence, acked_ends, reply);
+                 self->OnRenewReply(number, fence, acked_completions, reply);
                });
 }
 
 void UpstreamLink::OnRenewReply(int64_t number, int64_t fence,
-                                int64_t acked_ends,
+                                int64_t acked_completions,
                                 const ports::RenewReply& reply) {
   --outstanding_;
   switch (reply.call.verdict) {
@@ -152,26 +154,30 @@
   // is sent at once.
   const bool lease_due = clock_ms_ == 0 || failures_ >= kUnreachableAfter;
   failures_ = 0;
-  ends_acknowledged_ = std::max(ends_acknowledged_, acked_ends);
+  completions_acknowledged_ =
+      std::max(completions_acknowledged_, acked_completions);
   RecordClock(reply.call.clock_ms);
   all_runs_ended_ = false;
   // With an incomplete list of completions, a run that is in neither list may
   // have ended: treated as never started, it would run a second time.
-  if (!reply.more_ends) inventory_received_ = true;
+  if (!reply.more_completions) inventory_received_ = true;
   ResolveStarts(fence, reply);
-  std::vector<ports::EndedTask> new_ends;
+  std::vector<ports::EndedTask> new_completions;
   for (const ports::EndedTask& end : reply.ended) {
-    if (end.number > ends_reported_) new_ends.push_back(end);
+    if (end.number > completions_reported_) new_completions.push_back(end);
   }
-  if (!new_ends.empty()) ends_reported_ = new_ends.back().number;
-  events_.OnReport(options_.index, reply.running, new_ends);
+  if (!new_completions.empty()) {
+    completions_reported_ = new_completions.back().number;
+  }
+  events_.OnReport(options_.index, reply.running, new_completions);
   if (closed_) return;
   SetReachable(true);
   if (lease_due) return Renew(Millis(0));
-  const bool has_unstored_ends = ends_stored_ < ends_reported_;
+  const bool has_unstored_completions =
+      completions_stored_ < completions_reported_;
   // While completions are not stored, the upstream answers without waiting.
-  RenewSoon(has_unstored_ends ? kUnstoredEndsRenewPeriod
-                              : options_.renew_delay);
+  RenewSoon(has_unstored_completions ? kUnstoredCompletionsRenewPeriod
+                                     : options_.renew_delay);
 }
 
 void UpstreamLink::OnRenewFailed(const ports::CallReply& reply) {
@@ -207,10 +213,10 @@
   });
 }
 
-void UpstreamLink::AcknowledgeEnds(int64_t number) {
-  if (number <= ends_stored_) return;
-  ends_stored_ = number;
-  if (ends_stored_ < ends_reported_ || closed_) return;
+void UpstreamLink::AcknowledgeCompletions(int64_t number) {
+  if (number <= completions_stored_) return;
+  completions_stored_ = number;
+  if (completions_stored_ < completions_reported_ || closed_) return;
   // Sends the renewal that was delayed until the completions were stored.
   renewal_due_ = false;
   RenewSoon(options_.renew_delay);
@@ -288,7 +294,7 @@
     const bool started =
         std::any_of(reply.running.begin(), reply.running.end(), matches) ||
         std::any_of(reply.ended.begin(), reply.ended.end(), matches);
-    if (!started && reply.more_ends) {
+    if (!started && reply.more_completions) {
       // Its completion may be among those that are not listed yet.
       ++at;
       continue;
--- a/src/fleet/upstream_link.h
+++ b/src/fleet/upstream_link.h
@@ -90,7 +90,7 @@
   void Start(const scheduling::StartOrder& order);
   void Stop(const TaskId& task, int64_t attempt);
   /// Completions up to `number` are stored: the upstream may discard them.
-  void AcknowledgeEnds(int64_t number);
+  void AcknowledgeCompletions(int64_t number);
 
   /// The highest fencing token in use.
   int64_t fence() const { return fence_; }
@@ -101,8 +101,8 @@
   /// The upstream has confirmed the acknowledgement of every reported
   /// completion. A completion that is not acknowledged is lost if the upstream
   /// ends, as if it had never happened.
-  bool all_ends_acknowledged() const {
-    return ends_acknowledged_ >= ends_reported_;
+  bool all_completions_acknowledged() const {
+    return completions_acknowledged_ >= completions_reported_;
   }
 
  private:
@@ -114,7 +114,7 @@
 
   void RenewSoon(Millis delay);
   void Renew(Millis wait);
-  void OnRenewReply(int64_t number, int64_t fence, int64_t acked_ends,
+  void OnRenewReply(int64_t number, int64_t fence, int64_t acked_completions,
                     const ports::RenewReply& reply);
   void OnRenewFailed(const ports::CallReply& reply);
   void OnStartDone(const scheduling::StartOrder& order, int64_t fence,
@@ -151,9 +151,9 @@
   TimePoint clock_received_at_{};
   /// No lease granted so far lasts beyond this, on the local clock.
   TimePoint leases_end_{};
-  int64_t ends_reported_ = 0;
-  int64_t ends_stored_ = 0;
-  int64_t ends_acknowledged_ = 0;
+  int64_t completions_reported_ = 0;
+  int64_t completions_stored_ = 0;
+  int64_t completions_acknowledged_ = 0;
   std::map<std::pair<TaskId, int64_t>, UnresolvedStart> unresolved_starts_;
 };
 
--- a/src/ports/task_port.h
+++ b/src/ports/task_port.h
@@ -106,7 +106,7 @@
   int64_t fence = 0;
   /// Completions up to this number are stored, and the upstream may discard
   /// them.
-  int64_t acked_ends = 0;
+  int64_t acked_completions = 0;
   int64_t lease_until_ms = 0;
   /// How long the reply may wait for a completion.
   Millis wait{0};
@@ -118,7 +118,7 @@
   std::vector<EndedTask> ended;
   /// There may be more completions than are listed. A run that is in neither
   /// list may then have ended as well.
-  bool more_ends = false;
+  bool more_completions = false;
 };
 
 /// Sends orders to upstreams. Callbacks run on the control thread. Control
--- a/tests/jobsim/host_fake.cc
+++ b/tests/jobsim/host_fake.cc
@@ -146,7 +146,7 @@
   }
   if (!late) {
     upstreams_.CheckTerminationAllowed(host.upstream);
-    upstreams_.DropUnacknowledgedEnds(host.upstream);
+    upstreams_.DropUnacknowledgedCompletions(host.upstream);
     if (upstreams_.Running(host.upstream) > 0) {
       violations_.push_back("maintenance began while tasks ran on the host: " +
                             order.host);
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -22,7 +22,7 @@
 constexpr Millis kStopBound{900};
 constexpr int kMaxAttempts = 2;
 /// Maximum number of finished runs listed in one reply.
-constexpr size_t kMaxFinishedPerReply = 500;
+constexpr size_t kMaxCompletionsPerReply = 500;
 /// A task that was running on this many upstreams when they crashed may be
 /// started only kMaxStartsAfterCrashes more times.
 constexpr int kCrashLimit = 3;
@@ -112,7 +112,7 @@
   if (upstream.state != UpstreamState::kAlive) return;
   upstream.state = UpstreamState::kCrashed;
   const std::map<TaskId, Run> lost = std::exchange(upstream.running, {});
-  DropUnacknowledgedEnds(id);
+  DropUnacknowledgedCompletions(id);
   for (const auto& [task, run] : lost) {
     ++crashes_[task];
     BreakGang(task, run.attempt);
@@ -209,7 +209,7 @@
   for (const auto& [task, run] : upstreams_[id].running) CheckAvailable(task);
 }
 
-void UpstreamsFake::DropUnacknowledgedEnds(const std::string& id) {
+void UpstreamsFake::DropUnacknowledgedCompletions(const std::string& id) {
   for (const ports::EndedTask& end : upstreams_[id].ended) {
     if (end.kind == EndKind::kDone) ++lost_runs_[end.task];
   }
@@ -383,7 +383,7 @@
   if (upstream.faults.terminated) return;
   const int64_t attempt = found->second.attempt;
   upstream.running.erase(found);
-  upstream.ended.push_back({.number = ++upstream.last_end,
+  upstream.ended.push_back({.number = ++upstream.last_completion,
                             .task = task,
                             .attempt = attempt,
                             .kind = kind});
@@ -419,7 +419,7 @@
       all.emplace_back(task, run.id);
     }
     // Ends before the expiry that no leader has acknowledged no longer count.
-    upstream.last_end_before_expiry = upstream.last_end;
+    upstream.last_completion_before_expiry = upstream.last_completion;
     for (const auto& [task, run] : all) {
       End(id, task, run, EndKind::kLeaseExpired);
     }
@@ -466,13 +466,13 @@
     ExpireLease(target.id);
   }
   for (const ports::EndedTask& end : upstream.ended) {
-    if (end.number <= call.acked_ends && end.kind == EndKind::kDone &&
-        end.number > upstream.last_end_before_expiry) {
+    if (end.number <= call.acked_completions && end.kind == EndKind::kDone &&
+        end.number > upstream.last_completion_before_expiry) {
       acknowledged_done_.insert(end.task);
     }
   }
   std::erase_if(upstream.ended, [&](const ports::EndedTask& end) {
-    return end.number <= call.acked_ends;
+    return end.number <= call.acked_completions;
   });
   for (const auto& [task, run] : upstream.running) {
     const auto worked =
@@ -485,10 +485,11 @@
     reply.running.push_back(
         {.task = task, .attempt = run.attempt, .percent = percent});
   }
-  const size_t listed = std::min(upstream.ended.size(), kMaxFinishedPerReply);
+  const size_t listed =
+      std::min(upstream.ended.size(), kMaxCompletionsPerReply);
   reply.ended.assign(upstream.ended.begin(),
                      upstream.ended.begin() + static_cast<ptrdiff_t>(listed));
-  reply.more_ends = listed == kMaxFinishedPerReply;
+  reply.more_completions = listed == kMaxCompletionsPerReply;
   return reply;
 }
 
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -100,9 +100,9 @@
   void CheckTerminationAllowed(const std::string& id);
   /// Some ends "done" of the upstream have not been acknowledged by any leader.
   /// Counts these as lost together with the upstream.
-  void DropUnacknowledgedEnds(const std::string& id);
+  void DropUnacknowledgedCompletions(const std::string& id);
   /// Number of runs that ended "done", without those that were lost by
-  /// DropUnacknowledgedEnds().
+  /// DropUnacknowledgedCompletions().
   int DurableDoneRuns(const TaskId& task) const;
   /// Number of tasks that run on the upstream now.
   size_t Running(const std::string& id) const {
@@ -165,10 +165,10 @@
     int32_t millicores = 0;
     int32_t memory_mb = 0;
     int64_t fence = 0;
-    int64_t last_end = 0;
+    int64_t last_completion = 0;
     TimePoint lease_end{};
     /// Number of the last end before a lease expired.
-    int64_t last_end_before_expiry = 0;
+    int64_t last_completion_before_expiry = 0;
     std::map<TaskId, Run> running;
     std::vector<ports::EndedTask> ended;
     std::map<TaskId, int64_t> last_attempt;
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -298,10 +298,10 @@
         Answer(200, R"({"clockMs":1,"running":[],"finished":[)" + rows + "]}"));
   };
   BOOST_REQUIRE((ends(499).call.verdict == CallVerdict::kDone));
-  BOOST_TEST(!ends(0).more_ends);
-  BOOST_TEST(!ends(499).more_ends);
+  BOOST_TEST(!ends(0).more_completions);
+  BOOST_TEST(!ends(499).more_completions);
   BOOST_REQUIRE((ends(500).call.verdict == CallVerdict::kDone));
-  BOOST_TEST(ends(500).more_ends);
+  BOOST_TEST(ends(500).more_completions);
 }
 
 BOOST_AUTO_TEST_CASE(AdviceIsDecoded) {
--- a/tests/soak/upstream_server_fake.cc
+++ b/tests/soak/upstream_server_fake.cc
@@ -18,7 +18,7 @@
 /// Interval at which a lease renewal that waits for an answer checks whether a
 /// task has ended.
 constexpr Millis kReportPollInterval{10};
-constexpr size_t kMaxFinishedPerReply = 500;
+constexpr size_t kMaxCompletionsPerReply = 500;
 constexpr int kReportedProgressPercent = 50;
 
 int64_t ClockMs() {
@@ -131,11 +131,11 @@
   const auto run = running_.find(task);
   if (run == running_.end() || run->second != attempt) return;
   running_.erase(run);
-  ++last_finished_number_;
-  unacknowledged_[last_finished_number_] = {last_finished_number_, task,
-                                            attempt, how, ""};
+  ++last_completion_number_;
+  unacknowledged_[last_completion_number_] = {last_completion_number_, task,
+                                              attempt, how, ""};
   const bool done = std::string_view(how) == "done";
-  checker_.OnEnd(id_, *ParseTaskId(task), done ? last_finished_number_ : 0);
+  checker_.OnEnd(id_, *ParseTaskId(task), done ? last_completion_number_ : 0);
 }
 
 void UpstreamServerFake::ExpireLease() {
@@ -149,7 +149,7 @@
                                     const http::Responder& respond) {
   if (!AcceptsFence(body)) return respond(Refuse("fence"));
   const int64_t acknowledged =
-      std::min(body.value("ackCursor", int64_t{0}), last_finished_number_);
+      std::min(body.value("ackCursor", int64_t{0}), last_completion_number_);
   unacknowledged_.erase(unacknowledged_.begin(),
                         unacknowledged_.upper_bound(acknowledged));
   checker_.OnAcknowledged(id_, acknowledged);
@@ -170,7 +170,7 @@
   }
   Json finished = Json::array();
   for (const auto& [number, row] : unacknowledged_) {
-    if (finished.size() < kMaxFinishedPerReply) finished.push_back(row);
+    if (finished.size() < kMaxCompletionsPerReply) finished.push_back(row);
   }
   respond(Answer(200, {{"running", running}, {"finished", finished}}));
 }
--- a/tests/soak/upstream_server_fake.h
+++ b/tests/soak/upstream_server_fake.h
@@ -57,7 +57,7 @@
   std::map<std::string, int64_t> last_attempt_;
   /// Finished runs that are not acknowledged yet, by their numbers.
   std::map<int64_t, Json> unacknowledged_;
-  int64_t last_finished_number_ = 0;
+  int64_t last_completion_number_ = 0;
 };
 
 }  // namespace mimosarail::soak
--- a/tests/upstream_link_test.cc
+++ b/tests/upstream_link_test.cc
@@ -13,7 +13,7 @@
 constexpr JobId kJob = 1;
 constexpr UpstreamIndex kIndex{0};
 /// Maximum number of completions that an upstream lists in one reply.
-constexpr int64_t kMaxListedEnds = 500;
+constexpr int64_t kMaxListedCompletions = 500;
 
 /// Calls to an upstream, answered by the test case.
 class PendingCalls final : public ports::TaskPort {
@@ -74,12 +74,13 @@
 
   void Reply(size_t renewal, int64_t clock_ms,
              std::vector<ports::RunningTask> running,
-             std::vector<ports::EndedTask> ended, bool more_ends = false) {
+             std::vector<ports::EndedTask> ended,
+             bool more_completions = false) {
     ports::RenewReply reply;
     reply.call = {.verdict = CallVerdict::kDone, .clock_ms = clock_ms};
     reply.running = std::move(running);
     reply.ended = std::move(ended);
-    reply.more_ends = more_ends;
+    reply.more_completions = more_completions;
     calls.renewals.at(renewal).done(reply);
   }
 };
@@ -93,7 +94,7 @@
           .kind = ports::EndKind::kDone};
 }
 
-std::vector<ports::EndedTask> DoneEnds(int64_t first, int64_t last) {
+std::vector<ports::EndedTask> DoneCompletions(int64_t first, int64_t last) {
   std::vector<ports::EndedTask> out;
   for (int64_t n = first; n <= last; ++n) out.push_back(DoneEnd(n));
   return out;
@@ -132,17 +133,19 @@
 /// incomplete list of the reply.
 BOOST_FIXTURE_TEST_CASE(PartialEndListIsNotAnInventory, Fixture) {
   link->Open();
-  Reply(0, 1000, {}, DoneEnds(1, kMaxListedEnds), true);
-  BOOST_TEST(events.ended.size() == static_cast<size_t>(kMaxListedEnds));
+  Reply(0, 1000, {}, DoneCompletions(1, kMaxListedCompletions), true);
+  BOOST_TEST(events.ended.size() == static_cast<size_t>(kMaxListedCompletions));
   BOOST_TEST(!link->reconciled());
-  Reply(1, 1010, {}, DoneEnds(1, kMaxListedEnds), true);
+  Reply(1, 1010, {}, DoneCompletions(1, kMaxListedCompletions), true);
   BOOST_TEST(!link->reconciled());
-  link->AcknowledgeEnds(kMaxListedEnds);
+  link->AcknowledgeCompletions(kMaxListedCompletions);
   clock.RunFor(Millis(300));
   BOOST_REQUIRE_EQUAL(calls.renewals.size(), 3U);
-  BOOST_TEST(calls.renewals[2].call.acked_ends == kMaxListedEnds);
-  Reply(2, 1300, {}, DoneEnds(kMaxListedEnds + 1, kMaxListedEnds + 3));
-  BOOST_TEST(events.ended.size() == static_cast<size_t>(kMaxListedEnds + 3));
+  BOOST_TEST(calls.renewals[2].call.acked_completions == kMaxListedCompletions);
+  Reply(2, 1300, {},
+        DoneCompletions(kMaxListedCompletions + 1, kMaxListedCompletions + 3));
+  BOOST_TEST(events.ended.size() ==
+             static_cast<size_t>(kMaxListedCompletions + 3));
   BOOST_TEST(link->reconciled());
 }
 
@@ -151,18 +154,22 @@
 BOOST_FIXTURE_TEST_CASE(StartIsUnresolvedWhenEndListIsTruncated, Fixture) {
   link->Open();
   Reply(0, 1000, {}, {});
-  link->Start(
-      {.upstream = kIndex, .task = TaskOf(kMaxListedEnds + 1), .attempt = 1});
+  link->Start({.upstream = kIndex,
+               .task = TaskOf(kMaxListedCompletions + 1),
+               .attempt = 1});
   calls.starts.at(0)({.verdict = CallVerdict::kUnknown});
   const size_t fence_renewal = calls.renewals.size() - 1;
-  Reply(fence_renewal, 1020, {}, DoneEnds(1, kMaxListedEnds), true);
+  Reply(fence_renewal, 1020, {}, DoneCompletions(1, kMaxListedCompletions),
+        true);
   BOOST_TEST(events.starts.empty());
-  if (fence_renewal > 1) Reply(1, 1030, {}, DoneEnds(1, kMaxListedEnds), true);
-  link->AcknowledgeEnds(kMaxListedEnds);
+  if (fence_renewal > 1) {
+    Reply(1, 1030, {}, DoneCompletions(1, kMaxListedCompletions), true);
+  }
+  link->AcknowledgeCompletions(kMaxListedCompletions);
   clock.RunFor(Millis(300));
   BOOST_REQUIRE(calls.renewals.size() > fence_renewal + 1);
   Reply(calls.renewals.size() - 1, 1300, {},
-        DoneEnds(kMaxListedEnds + 1, kMaxListedEnds + 1));
+        DoneCompletions(kMaxListedCompletions + 1, kMaxListedCompletions + 1));
   BOOST_REQUIRE_EQUAL(events.starts.size(), 1U);
   BOOST_TEST((events.starts[0] == CallVerdict::kDone));
 }
