--- a/src/cellconfig/cell_config_follower.cc
+++ b/src/cellconfig/cell_config_watcher.cc
@@ -1,4 +1,4 @@
-#include "src/cellconfig/cell_config_follower.h"
+#include "src/cellconfig/cell_config_watcher.h"
 
 #include <utility>
 
@@ -8,51 +8,51 @@
 
 using logging::Level;
 
-CellConfigFollower::CellConfigFollower(
+CellConfigWatcher::CellConfigWatcher(
     Executor& executor, ports::CellConfigPort& port,
-    faults::MalformedRecordReporter& malformed_records, FollowerOptions options,
-    std::function<void()> changed)
+    faults::MalformedRecordReporter& malformed_records,
+    CellConfigWatcherOptions options, std::function<void()> changed)
     : executor_(executor),
       port_(port),
       malformed_records_(malformed_records),
       options_(options),
       changed_(std::move(changed)) {}
 
-void CellConfigFollower::Start() { ReadNewest(); }
+void CellConfigWatcher::Start() { ReadNewest(); }
 
-void CellConfigFollower::RetryLater(void (CellConfigFollower::*next)()) {
+void CellConfigWatcher::RetryLater(void (CellConfigWatcher::*next)()) {
   executor_.RunAfter(options_.retry_delay, [this, next] { (this->*next)(); });
 }
 
-void CellConfigFollower::ReadNewest() {
-  port_.ReadNewest(options_.timeout + options_.wait,
+void CellConfigWatcher::ReadNewest() {
+  port_.ReadNewest(options_.call_timeout + options_.read_wait,
                    [this](const Result<ports::ConfigUpdate>& update) {
                      if (!update.ok()) {
                        logging::Event(Level::kWarning, "configuration not read",
                                       {{"cause", update.error().message}});
-                       return RetryLater(&CellConfigFollower::ReadNewest);
+                       return RetryLater(&CellConfigWatcher::ReadNewest);
                      }
                      cursor_ = update.value().cursor;
-                     AcceptWaves(update.value());
+                     ApplyWaves(update.value());
                      if (update.value().documents.empty()) {
-                       return RetryLater(&CellConfigFollower::ReadNewest);
+                       return RetryLater(&CellConfigWatcher::ReadNewest);
                      }
-                     AcceptAll(update.value());
+                     ApplyDocuments(update.value());
                      ReadChange();
                    });
 }
 
-void CellConfigFollower::ReadChange() {
+void CellConfigWatcher::ReadChange() {
   port_.ReadChange(
-      cursor_, options_.wait, options_.wait + options_.timeout,
+      cursor_, options_.read_wait, options_.read_wait + options_.call_timeout,
       [this](const Result<ports::ConfigUpdate>& update) {
         if (update.ok()) {
           if (!std::exchange(reachable_, true)) {
             logging::Event(Level::kInfo, "configuration followed again");
           }
           cursor_ = update.value().cursor;
-          AcceptWaves(update.value());
-          AcceptAll(update.value());
+          ApplyWaves(update.value());
+          ApplyDocuments(update.value());
           return ReadChange();
         }
         // The history at the cursor has been removed: only the newest state can
@@ -63,26 +63,26 @@
                          {{"cause", update.error().message},
                           {"version", std::to_string(config_.version)}});
         }
-        // Retrying from the same cursor would fail on an unreadable record
-        // forever.
+        // At an unreadable record, every further read from the same cursor
+        // would fail.
         const bool unreadable = update.error().code == Errc::kMalformed;
-        RetryLater(unreadable ? &CellConfigFollower::ReadNewest
-                              : &CellConfigFollower::ReadChange);
+        RetryLater(unreadable ? &CellConfigWatcher::ReadNewest
+                              : &CellConfigWatcher::ReadChange);
       });
 }
 
-void CellConfigFollower::AcceptAll(const ports::ConfigUpdate& update) {
+void CellConfigWatcher::ApplyDocuments(const ports::ConfigUpdate& update) {
   // A malformed document may follow a valid one that this entry has not seen
   // yet; the valid one is then in force.
   for (const std::string& document : update.documents) {
-    Accept(document, "store");
+    ApplyDocument(document, "store");
   }
 }
 
-void CellConfigFollower::AcceptWaves(const ports::ConfigUpdate& update) {
+void CellConfigWatcher::ApplyWaves(const ports::ConfigUpdate& update) {
   for (const ports::WaveRequest& wave : update.waves) {
     if (!waves_.insert_or_assign(wave.wave, wave).second) continue;
-    logging::Event(Level::kInfo, "wave asked for",
+    logging::Event(Level::kInfo, "maintenance wave requested",
                    {{"wave", std::to_string(wave.wave)},
                     {"hosts", std::to_string(wave.hosts.size())},
                     {"most_at_once", std::to_string(wave.max_unavailable)},
@@ -90,12 +90,12 @@
   }
 }
 
-void CellConfigFollower::Offer(const std::string& document) {
-  Accept(document, "leader");
+void CellConfigWatcher::Offer(const std::string& document) {
+  ApplyDocument(document, "leader");
 }
 
-void CellConfigFollower::Accept(const std::string& document,
-                                const char* source) {
+void CellConfigWatcher::ApplyDocument(const std::string& document,
+                                      const char* source) {
   Result<ports::CellConfig> decoded = port_.Decode(document);
   if (!decoded.ok()) {
     return malformed_records_.Report(faults::RecordSource::kConfiguration,
--- a/src/cellconfig/cell_config_follower.h
+++ b/src/cellconfig/cell_config_watcher.h
@@ -11,12 +11,13 @@
 
 namespace mimosarail::cellconfig {
 
-struct FollowerOptions {
+struct CellConfigWatcherOptions {
   /// How long one read waits for a change. A connection that has stopped
-  /// responding is detected within this time plus the timeout, well before a
-  /// change must be in force (2 s).
-  Millis wait{900};
-  Millis timeout{500};
+  /// responding is detected within this time plus the call timeout, well before
+  /// a change must be in force (2 s).
+  Millis read_wait{900};
+  /// Timeout of a call, in addition to the time for which it waits.
+  Millis call_timeout{500};
   Millis retry_delay{150};
 };
 
@@ -24,22 +25,25 @@
 /// older version than the known one is ignored, wherever it comes from. A
 /// document that does not decode leaves the current one in force. Control
 /// thread only.
-class CellConfigFollower {
+class CellConfigWatcher {
  public:
   /// `changed` runs after each new version. The executor, the port and the
   /// reporter outlive this object.
-  CellConfigFollower(Executor& executor, ports::CellConfigPort& port,
-                     faults::MalformedRecordReporter& malformed_records,
-                     FollowerOptions options, std::function<void()> changed);
+  CellConfigWatcher(Executor& executor, ports::CellConfigPort& port,
+                    faults::MalformedRecordReporter& malformed_records,
+                    CellConfigWatcherOptions options,
+                    std::function<void()> changed);
 
   void Start();
-  /// Accepts a document that another entry passed on, if it is newer.
+  /// Puts a document that another entry passed on in force, if it is newer.
   void Offer(const std::string& document);
 
   /// Whether the store answered this entry's last read for changes.
   bool reachable() const { return reachable_; }
+  /// Whether this entry has a configuration.
   bool known() const { return config_.version > 0; }
   const ports::CellConfig& config() const { return config_; }
+  /// The document from which config() was decoded; empty if there is none.
   const std::string& document() const { return document_; }
   /// All requested maintenance waves, by number.
   const std::map<int64_t, ports::WaveRequest>& waves() const { return waves_; }
@@ -47,15 +51,16 @@
  private:
   void ReadNewest();
   void ReadChange();
-  void AcceptAll(const ports::ConfigUpdate& update);
-  void Accept(const std::string& document, const char* source);
-  void AcceptWaves(const ports::ConfigUpdate& update);
-  void RetryLater(void (CellConfigFollower::*next)());
+  void ApplyDocuments(const ports::ConfigUpdate& update);
+  /// Puts a document in force if it decodes and is newer than the current one.
+  void ApplyDocument(const std::string& document, const char* source);
+  void ApplyWaves(const ports::ConfigUpdate& update);
+  void RetryLater(void (CellConfigWatcher::*next)());
 
   Executor& executor_;
   ports::CellConfigPort& port_;
   faults::MalformedRecordReporter& malformed_records_;
-  FollowerOptions options_;
+  CellConfigWatcherOptions options_;
   std::function<void()> changed_;
   ports::CellConfig config_;
   std::string document_;
--- a/src/leadership/claiming.cc
+++ b/src/leadership/claiming.cc
@@ -15,9 +15,9 @@
 /// entries claim first. For other entries the delay is proportional to the
 /// share that they lack.
 constexpr Millis kClaimDelay{500};
-/// The same while no other entry is known: processes of machines that are
+/// The same while no other entry is known: the processes of machines that are
 /// powered on together start within half a second of each other.
-constexpr Millis kFreshClaimDelay{1500};
+constexpr Millis kInitialClaimDelay{1500};
 
 using faults::RecordSource;
 using logging::Level;
@@ -27,17 +27,17 @@
 
 Millis Leadership::ClaimDelay() const {
   const int32_t fitness = options_.member.fitness;
-  const int32_t missing = options_.enough_fitness - fitness;
+  const int32_t missing = options_.sufficient_fitness - fitness;
   if (missing <= 0) return Millis(0);
   const auto fitter = [&](const wire::Member& other) {
     return other.fitness > fitness && other.address != leader_.address;
   };
   const std::vector<wire::Member>& members = members_.all();
   if (members.empty()) {
-    return kFreshClaimDelay * missing / options_.enough_fitness;
+    return kInitialClaimDelay * missing / options_.sufficient_fitness;
   }
   if (std::none_of(members.begin(), members.end(), fitter)) return Millis(0);
-  return kClaimDelay * missing / options_.enough_fitness;
+  return kClaimDelay * missing / options_.sufficient_fitness;
 }
 
 void Leadership::Suspect(Suspicion suspicion, const std::string& cause) {
@@ -48,7 +48,7 @@
   logging::Event(
       Level::kInfo, "leader suspected",
       {{"term", Text(term_)}, {"leader", leader_.name}, {"cause", cause}});
-  const Millis delay = role_ == Role::kResigned ? Millis(0) : ClaimDelay();
+  const Millis delay = role_ == Role::kShuttingDown ? Millis(0) : ClaimDelay();
   if (delay == Millis(0)) return CheckLeaderRecord(suspicion, std::nullopt);
   executor_.RunAfter(
       delay, [this, suspicion] { CheckLeaderRecord(suspicion, std::nullopt); });
@@ -76,7 +76,7 @@
       return ElectionTimeout(options_.election_timeout_store_lost, record);
     case Suspicion::kConnectionRefused:
       return options_.election_timeout;
-    case Suspicion::kResigned:
+    case Suspicion::kNotLeading:
       break;
   }
   return Millis(0);
@@ -123,17 +123,19 @@
   // refuse each leader whose term was already used, one after the other.
   const int64_t last_term = record ? record->term : std::max(term_, end);
   if (!may_claim) return EndLeaderCheck(kLeaderCheckRetry);
-  const bool resigned = suspicion == Suspicion::kResigned;
+  const bool not_leading = suspicion == Suspicion::kNotLeading;
   const bool store_lost = suspicion == Suspicion::kStoreUnreachable;
-  // A leader that has ended or resigned was not replaced because of a short
-  // election timeout, so its term does not lengthen the next one.
-  const bool ended = resigned || suspicion == Suspicion::kConnectionRefused;
+  // A leader that no longer leads, or whose process has exited, was not
+  // replaced because of a short election timeout, so its term does not lengthen
+  // the next timeout.
+  const bool ended_by_itself =
+      not_leading || suspicion == Suspicion::kConnectionRefused;
   const int32_t unstable_terms =
-      ended ? UnstableTerms(record) : UnstableTermsAfter(record);
-  if (last_answered_sent_ > sent && !resigned && !store_lost) {
-    return EndLeaderCheck(kLeaderCheckRetry);  // the leader answered meanwhile
+      ended_by_itself ? UnstableTerms(record) : UnstableTermsAfter(record);
+  if (last_answered_sent_ > sent && !not_leading && !store_lost) {
+    return EndLeaderCheck(kLeaderCheckRetry);  // The leader answered meanwhile.
   }
-  if (resigned || (end_at_first_read && *end_at_first_read == end)) {
+  if (not_leading || (end_at_first_read && *end_at_first_read == end)) {
     return Claim(last_term + 1, end, unstable_terms);
   }
   if (end_at_first_read && LeaderIsSlow(record)) {
@@ -160,18 +162,18 @@
 std::optional<wire::AnnounceCall> Leadership::FindLeaderRecord(
     const ports::NewestPage& page) {
   std::optional<wire::AnnounceCall> out;
-  for (const ports::KeyedRecord& kept : page.records) {
-    if (kept.key != kLeaderKey) continue;
-    const auto record = rpc::Decode<wire::AnnounceCall>(kept.value);
-    if (!kept.decode_error.empty() || !record.ok()) {
-      malformed_records_.Report(RecordSource::kLeaders, kept.key,
+  for (const ports::KeyedRecord& row : page.records) {
+    if (row.key != kLeaderKey) continue;
+    const auto record = rpc::Decode<wire::AnnounceCall>(row.value);
+    if (!row.decode_error.empty() || !record.ok()) {
+      malformed_records_.Report(RecordSource::kLeaders, row.key,
                                 "does not decode");
       continue;
     }
     const int64_t term = record.value().term;
     if (term < 1 || term > std::min(kMaxTerm, page.end_offset) ||
         record.value().leader.address.empty()) {
-      malformed_records_.Report(RecordSource::kLeaders, kept.key,
+      malformed_records_.Report(RecordSource::kLeaders, row.key,
                                 "leader address missing or term out of range");
       continue;
     }
@@ -183,7 +185,7 @@
 void Leadership::Claim(int64_t term, int64_t end_offset,
                        int32_t unstable_terms) {
   store_.Append({.table = options_.table,
-                 .records = {{kLeaderKey, Record(term, unstable_terms)}},
+                 .records = {{kLeaderKey, EncodeRecord(term, unstable_terms)}},
                  .expected_end_offset = end_offset},
                 kStoreTimeout,
                 [this, term, unstable_terms,
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "src/leadership/election_timeout.h"
-#include "src/leadership/job_peer_port.h"
+#include "src/leadership/entry_client_port.h"
 #include "src/leadership/leader_timeout_votes.h"
 #include "src/leadership/member_list.h"
 #include "src/libs/faults/malformed_record_reporter.h"
@@ -32,8 +32,8 @@
   /// Interval at which the leader renews its record in the store.
   Millis renew_period{200};
   /// A suspected leader whose record stays unchanged for this long has lost
-  /// leadership. Two renewal periods and a margin. Twice the duration of the
-  /// store read is added.
+  /// leadership. Two renewal periods and a margin; twice the duration of the
+  /// first read of the record is added.
   Millis election_timeout{450};
   /// The same for a leader that reports that it cannot reach the store.
   Millis election_timeout_store_lost{150};
@@ -61,8 +61,8 @@
   /// another leader would have taken over within some 5 s.
   Millis member_expiry{8000};
   /// Processor share, in percent of a core, with which an entry can lead any
-  /// deployment; leading 350 upstreams took 0.22 of a core.
-  int32_t enough_fitness = 25;
+  /// deployment. Leading 350 upstreams took 0.22 of a core.
+  int32_t sufficient_fitness = 25;
   /// A leader with too small a processor share hands over to a sufficiently fit
   /// entry after this time.
   Millis hand_over_after{1500};
@@ -96,16 +96,17 @@
 
   /// All arguments passed by reference outlive this object.
   Leadership(Executor& executor, ports::RecordStorePort& store,
-             JobPeerPort& peers,
+             EntryClientPort& peers,
              faults::MalformedRecordReporter& malformed_records,
              LeadershipOptions options, Events events);
 
   void Start();
-  /// Asks the other entries to take over at once and makes no more claims. This
-  /// entry keeps following the current leader, so that its callers are served
-  /// until it stops.
-  void Resign();
-  /// Gives up leadership because another entry was found to lead.
+  /// Makes no more claims for leadership and, if this entry leads, resigns.
+  /// This entry keeps following the current leader, so that its callers are
+  /// served until it stops.
+  void ResignForShutdown();
+  /// Stops leading because another entry leads or must be assumed to lead.
+  /// Nothing is announced. Does nothing if this entry does not lead.
   void StepDown(const std::string& cause);
   /// Notes that the stored state is loaded and announces to the other entries
   /// that this leader takes calls. Does nothing if this entry no longer leads.
@@ -136,7 +137,11 @@
   wire::AnnounceReply OnAnnounce(const wire::AnnounceCall& call);
 
  private:
-  enum class Role { kFollowing, kLeading, kResigned };
+  enum class Role {
+    kFollowing,     ///< Follows the leader and claims leadership if it fails.
+    kLeading,       ///< Leads.
+    kShuttingDown,  ///< Follows the leader, but no longer claims leadership.
+  };
 
   void Tick();
   /// Records a pause of this process that was longer than
@@ -171,6 +176,7 @@
   /// `sent` is the send time of the heartbeat.
   void OnHeartbeatReply(const std::string& address, TimePoint sent,
                         const Result<wire::HeartbeatReply>& reply);
+  /// Follows this leader, unless a later term is known or it is this entry.
   void Follow(int64_t term, const wire::Member& leader, bool loading);
   /// Notes that the known leader has loaded. This holds for the rest of the
   /// term; late messages from before are ignored.
@@ -182,11 +188,11 @@
     kUnresponsive,       ///< It does not answer, or no leader is known.
     kStoreUnreachable,   ///< It reports that it cannot reach the store.
     kConnectionRefused,  ///< Its address refuses connections.
-    kResigned,           ///< It reports that it does not lead.
+    kNotLeading,         ///< It has resigned or reports that it does not lead.
   };
   /// Reads the leader record in the store. Claims leadership if the record
-  /// stays unchanged for ElectionTimeoutFor(), or at once if the leader has
-  /// resigned. An entry that has itself resigned only reads.
+  /// stays unchanged for ElectionTimeoutFor(), or at once if the leader no
+  /// longer leads. An entry that is shutting down only reads.
   void Suspect(Suspicion suspicion, const std::string& cause);
   Millis ElectionTimeoutFor(
       Suspicion suspicion,
@@ -203,7 +209,9 @@
   void HandOverIfUnfit();
   /// Adds followers without recent heartbeats to the member changes as removed.
   void ReportExpiredFollowers();
-  void RelinquishLeadership(Role role, const std::string& cause);
+  /// Stops leading and asks the followers to take over at once. `next_role` is
+  /// the role of this entry after that. Precondition: this entry leads.
+  void Resign(Role next_role, const std::string& cause);
   void Claim(int64_t term, int64_t end_offset, int32_t unstable_terms);
   /// The moment at which a store call was sent. The answer confirms leadership
   /// as of this moment only: it may arrive late, when another entry leads.
@@ -215,6 +223,8 @@
   CallStart CallStartNow() const;
   void OnClaim(int64_t term, int32_t unstable_terms, const CallStart& start,
                const ports::AppendReply& reply);
+  /// Ends the check of the leader record that Suspect() began. The next one
+  /// begins after `pause` at the earliest.
   void EndLeaderCheck(Millis pause);
   void BecomeLeader(int64_t term, int32_t unstable_terms,
                     const CallStart& start, int64_t end_offset);
@@ -225,7 +235,8 @@
   /// Reads the table to find out whether a renewal that was not confirmed was
   /// stored or lost to another entry's claim.
   void ResolveRenewal();
-  std::string Record(int64_t term, int32_t unstable_terms) const;
+  /// The leader record that this entry writes, encoded.
+  std::string EncodeRecord(int64_t term, int32_t unstable_terms) const;
   /// The leader's record on a page of the table; empty if there is none that is
   /// plausible.
   std::optional<wire::AnnounceCall> FindLeaderRecord(
@@ -236,7 +247,7 @@
 
   Executor& executor_;
   ports::RecordStorePort& store_;
-  JobPeerPort& peers_;
+  EntryClientPort& peers_;
   faults::MalformedRecordReporter& malformed_records_;
   LeadershipOptions options_;
   Events events_;
@@ -281,11 +292,10 @@
   TimePoint resumed_at_{};
   struct Follower {
     wire::Member member;
-    /// Time of the newest heartbeat.
-    TimePoint heard;
+    TimePoint last_heartbeat;
     /// Time of the first heartbeat after the start of the term or after a gap
     /// longer than the follower timeout.
-    TimePoint since;
+    TimePoint heartbeats_since;
   };
   std::map<std::string, Follower> followers_;
   TimePoint leading_since_{};
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -15,7 +15,7 @@
 constexpr Millis kUnresponsiveTime{750};
 
 /// Collects heartbeats to other entries, which the test answers itself.
-class ManualPeerPort final : public leadership::JobPeerPort {
+class ManualEntryClient final : public leadership::EntryClientPort {
  public:
   using Done = Callback<wire::HeartbeatReply>;
 
@@ -68,7 +68,7 @@
   StoreFake fake{clock};
   MachineFake machine{clock};
   StoreClientFake store{fake, executor, "self", &machine};
-  ManualPeerPort peers;
+  ManualEntryClient peers;
   metrics::Registry metrics;
   faults::MalformedRecordReporter malformed_records{metrics};
   leadership::LeadershipOptions options{.member = MemberAt("self"),
@@ -126,16 +126,16 @@
   BOOST_TEST(self.term() == 2);
 }
 
-/// Guards against waiting for a leader that reports that it has resigned.
+/// Guards against waiting for a leader that reports that it does not lead.
 BOOST_FIXTURE_TEST_CASE(ResignationTriggersElection, Fixture) {
   Store(LeaderRecord(1, "next"));
   self.Start();
   clock.RunFor(Millis(500));
   BOOST_REQUIRE_EQUAL(self.leader().name, "next");
   BOOST_REQUIRE(!peers.pending["next:1"].empty());
-  wire::HeartbeatReply resigned;
-  resigned.term = 1;
-  peers.Answer("next:1", resigned);
+  wire::HeartbeatReply not_leading;
+  not_leading.term = 1;
+  peers.Answer("next:1", not_leading);
   clock.RunFor(Millis(400));
   BOOST_TEST(self.leading());
 }
