--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -1,5 +1,6 @@
 // Compares the placement policy with baselines in the same run: seeded arrivals
-// modelled on both users, a manual clock, and a Room in place of the upstreams.
+// modelled on both users, a manual clock, and a CapacityTable in place of the
+// upstreams.
 
 #include <algorithm>
 #include <chrono>
@@ -19,8 +20,8 @@
 namespace {
 
 using placement::Amount;
+using placement::CapacityIndex;
 using placement::Dimension;
-using placement::RowId;
 
 constexpr double kFailAfter = 0.01;
 const TimePoint kStart = TimePoint() + std::chrono::hours(1);
@@ -60,17 +61,17 @@
     for (int rack = 0; rack < racks; ++rack) {
       for (int i = 0; i < 8; ++i) {
         const auto millicores = static_cast<int32_t>(cores * 1000);
-        const RowId row =
-            room_.Add({.name = "u" + std::to_string(rack * 8 + i),
-                       .rack = "r" + std::to_string(rack),
-                       .failure_domain = "d" + std::to_string(rack % 3),
-                       .capacity = {{millicores, millicores * 2, i == 0 ? 1 : 0,
-                                     64, 8}}});
-        room_.SetUsable(row, true);
+        const CapacityIndex upstream =
+            capacity_.Add({.name = "u" + std::to_string(rack * 8 + i),
+                           .rack = "r" + std::to_string(rack),
+                           .failure_domain = "d" + std::to_string(rack % 3),
+                           .capacity = {{millicores, millicores * 2,
+                                         i == 0 ? 1 : 0, 64, 8}}});
+        capacity_.SetUsable(upstream, true);
       }
     }
-    const auto upstreams = static_cast<double>(room_.rows().size());
-    failing_ = static_cast<RowId>(load.failing * upstreams);
+    const auto upstreams = static_cast<double>(capacity_.upstreams().size());
+    failing_ = static_cast<CapacityIndex>(load.failing * upstreams);
   }
 
   Figures Run() {
@@ -99,7 +100,7 @@
   struct Running {
     double when = 0;
     size_t job = 0;
-    std::vector<RowId> rows;
+    std::vector<CapacityIndex> upstreams;
     bool fails = false;
     uint64_t serial = 0;
     bool operator<(const Running& other) const { return when > other.when; }
@@ -109,8 +110,8 @@
     // Packing is measured only while jobs wait and new ones still arrive.
     if (queue_.size() > 0 && now_ < load_.seconds) {
       const double span = std::min(when, load_.seconds) - now_;
-      const Amount free = room_.total_free();
-      const Amount capacity = room_.total_capacity();
+      const Amount free = capacity_.total_free();
+      const Amount capacity = capacity_.total_capacity();
       double best = 0;
       for (const Dimension d :
            {Dimension::kCores, Dimension::kMemory, Dimension::kSlots}) {
@@ -135,7 +136,8 @@
                             : 0;
     item.shape = Shape(job);
     item.large = job.tasks > 1 || job.size[Dimension::kCores] >= 8000;
-    item.declared = Millis(static_cast<int64_t>(job.declared_run_time * 1000));
+    item.declared_run_time =
+        Millis(static_cast<int64_t>(job.declared_run_time * 1000));
     queue_.Push(item);
   }
 
@@ -143,7 +145,7 @@
     uint64_t shape = static_cast<uint64_t>(job.tasks) * 7 +
                      (job.kind == JobKind::kService ? 1 : 0) +
                      (job.priority == 0 ? 2 : 0);
-    for (const int32_t part : job.size.of) {
+    for (const int32_t part : job.size.values) {
       shape = shape * 1000003 + static_cast<uint64_t>(part);
     }
     return shape;
@@ -151,47 +153,49 @@
 
   placement::PlacementRequest PlacementRequestOf(size_t index) const {
     const Job& job = jobs_[index];
-    placement::PlacementRequest ask{
+    placement::PlacementRequest request{
         .size = job.size, .tasks = job.tasks, .now = At(now_)};
     if (contender_.product) {
-      ask.spread = job.kind == JobKind::kService;
-      ask.group = ask.spread ? 1 : 0;
-      ask.urgent = job.priority == 0 || guard_.IsReservedFor(index);
+      request.spread = job.kind == JobKind::kService;
+      request.group = request.spread ? 1 : 0;
+      request.urgent = job.priority == 0 || guard_.IsReservedFor(index);
     } else {
-      ask.urgent = true;  // no reserve
+      request.urgent = true;  // no reserve
     }
-    return ask;
+    return request;
   }
 
   void Drain() {
     if (contender_.product) guard_.BeginPass(At(now_));
     queue_.VisitInOrder(At(now_), [&](const placement::QueueItem& item) {
       if (contender_.product && !guard_.MayStart(item)) {
-        return placement::Visit::kSkipped;
+        return placement::VisitResult::kSkipped;
       }
       const auto before = std::chrono::steady_clock::now();
-      auto rows = policy_->Place(room_, PlacementRequestOf(item.id));
+      auto upstreams = policy_->Place(capacity_, PlacementRequestOf(item.id));
       figures_.decision_seconds +=
           std::chrono::duration<double>(std::chrono::steady_clock::now() -
                                         before)
               .count();
       ++figures_.decisions;
-      if (rows.empty()) {
+      if (upstreams.empty()) {
         if (contender_.product) guard_.NoteBlocked(item);
-        return placement::Visit::kBlocked;
+        return placement::VisitResult::kBlocked;
       }
-      Start(item.id, std::move(rows));
-      return placement::Visit::kPlaced;
+      Start(item.id, std::move(upstreams));
+      return placement::VisitResult::kPlaced;
     });
     if (contender_.product) guard_.EndPass();
     CheckOvercommit();
   }
 
-  void Start(size_t index, std::vector<RowId> rows) {
+  void Start(size_t index, std::vector<CapacityIndex> upstreams) {
     const Job& job = jobs_[index];
-    Running running{.job = index, .rows = std::move(rows), .serial = ++serial_};
-    running.fails = std::any_of(running.rows.begin(), running.rows.end(),
-                                [&](RowId row) { return row < failing_; });
+    Running running{
+        .job = index, .upstreams = std::move(upstreams), .serial = ++serial_};
+    running.fails = std::any_of(
+        running.upstreams.begin(), running.upstreams.end(),
+        [&](CapacityIndex upstream) { return upstream < failing_; });
     running.when = now_ + (running.fails ? kFailAfter : job.run_time);
     if (!running.fails) {
       figures_.waits[job.kind].push_back(now_ - job.arrival_time);
@@ -204,14 +208,17 @@
     ends_.pop();
     const Job& job = jobs_[running.job];
     bool lost = false;
-    for (const RowId row : running.rows) {
-      if (lost_.contains(row)) {
+    for (const CapacityIndex upstream : running.upstreams) {
+      if (lost_.contains(upstream)) {
         lost = true;
         continue;
       }
-      room_.Give(row, job.size, PlacementRequestOf(running.job).group);
-      if (running.fails && row < failing_) room_.NoteFailure(row, At(now_));
-      if (!running.fails) room_.NoteSuccess(row);
+      capacity_.Release(upstream, job.size,
+                        PlacementRequestOf(running.job).group);
+      if (running.fails && upstream < failing_) {
+        capacity_.NoteFailure(upstream, At(now_));
+      }
+      if (!running.fails) capacity_.NoteSuccess(upstream);
     }
     if (!running.fails || lost) return;
     ++figures_.failures;
@@ -219,15 +226,16 @@
   }
 
   void LoseRack() {
-    for (const RowId row : std::vector<RowId>(room_.racks()[1].rows)) {
-      lost_.insert(row);
-      room_.SetUsable(row, false);
+    for (const CapacityIndex upstream :
+         std::vector<CapacityIndex>(capacity_.racks()[1].upstreams)) {
+      lost_.insert(upstream);
+      capacity_.SetUsable(upstream, false);
     }
   }
 
   void CheckOvercommit() {
-    for (const placement::Row& row : room_.rows()) {
-      for (const int32_t free : row.free.of) {
+    for (const placement::UpstreamCapacity& upstream : capacity_.upstreams()) {
+      for (const int32_t free : upstream.free.values) {
         if (free < 0) ++figures_.overcommits;
       }
     }
@@ -237,13 +245,13 @@
   Contender contender_;
   std::unique_ptr<placement::Policy> policy_;
   std::vector<Job> jobs_;
-  placement::Room room_;
+  placement::CapacityTable capacity_;
   placement::WaitQueue queue_;
   placement::StarvationGuard guard_;
   std::priority_queue<Running> ends_;
-  std::set<RowId> lost_;
+  std::set<CapacityIndex> lost_;
   double now_ = 0;
-  RowId failing_ = 0;
+  CapacityIndex failing_ = 0;
   uint64_t serial_ = 0;
   Figures figures_;
 };
@@ -335,18 +343,18 @@
 /// Measures the time of one decision with `upstreams` upstreams and `running`
 /// running tasks.
 void DecisionSpeed(int upstreams, int running) {
-  placement::Room room;
+  placement::CapacityTable table;
   for (int i = 0; i < upstreams; ++i) {
-    const RowId row =
-        room.Add({.name = "u" + std::to_string(i),
-                  .rack = "r" + std::to_string(i / 8),
-                  .failure_domain = "d" + std::to_string(i / 8 % 16),
-                  .capacity = {{32000, 65536, i % 4 == 0 ? 4 : 0, 64, 16}}});
-    room.SetUsable(row, true);
+    const CapacityIndex upstream =
+        table.Add({.name = "u" + std::to_string(i),
+                   .rack = "r" + std::to_string(i / 8),
+                   .failure_domain = "d" + std::to_string(i / 8 % 16),
+                   .capacity = {{32000, 65536, i % 4 == 0 ? 4 : 0, 64, 16}}});
+    table.SetUsable(upstream, true);
   }
   const auto policy = placement::MakeScoredPolicy(1);
   std::mt19937_64 random(5);
-  const auto ask = [&] {
+  const auto make_request = [&] {
     const int32_t cores = 1 << (random() % 3);
     const bool service = random() % 5 == 0;
     return placement::PlacementRequest{
@@ -355,28 +363,30 @@
         .group = service ? 1 + random() % 200 : 0,
         .urgent = true};
   };
-  std::vector<std::pair<RowId, placement::PlacementRequest>> placed;
+  std::vector<std::pair<CapacityIndex, placement::PlacementRequest>> placed;
   for (int i = 0; i < running; ++i) {
-    const placement::PlacementRequest a = ask();
-    for (const RowId row : policy->Place(room, a)) placed.emplace_back(row, a);
+    const placement::PlacementRequest request = make_request();
+    for (const CapacityIndex upstream : policy->Place(table, request)) {
+      placed.emplace_back(upstream, request);
+    }
   }
   std::vector<double> micros;
   constexpr int kDecisions = 50000;
   for (int i = 0; i < kDecisions; ++i) {
     const size_t victim = random() % placed.size();
-    room.Give(placed[victim].first, placed[victim].second.size,
-              placed[victim].second.group);
-    const placement::PlacementRequest a = ask();
+    table.Release(placed[victim].first, placed[victim].second.size,
+                  placed[victim].second.group);
+    const placement::PlacementRequest request = make_request();
     const auto before = std::chrono::steady_clock::now();
-    const auto rows = policy->Place(room, a);
+    const auto chosen = policy->Place(table, request);
     micros.push_back(std::chrono::duration<double, std::micro>(
                          std::chrono::steady_clock::now() - before)
                          .count());
-    if (rows.empty()) {
+    if (chosen.empty()) {
       placed[victim] = placed.back();
       placed.pop_back();
     } else {
-      placed[victim] = {rows[0], a};
+      placed[victim] = {chosen[0], request};
     }
   }
   double sum = 0;
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -99,12 +99,13 @@
                 {"controller", controller.ControllerOf(listed.rack)},
                 {"leaving", listed.state == wire::ListedState::kLeaving}};
     if (const auto* session = controller.Find(name)) {
-      const placement::Row& room = controller.room().row(session->row());
+      const placement::UpstreamCapacity& capacity =
+          controller.capacity().upstream(session->capacity_index());
       row["phase"] = control::SessionPhaseName(session->phase());
       row["term"] = session->term();
-      row["free"] = AmountJson(room.free);
-      row["capacity"] = AmountJson(room.capacity);
-      row["failures"] = room.failures;
+      row["free"] = AmountJson(capacity.free);
+      row["capacity"] = AmountJson(capacity.capacity);
+      row["failures"] = capacity.failures;
       row["tasks"] = instance.execution().RunningTasksOn(name);
     }
     out.push_back(std::move(row));
--- a/src/control/controller.cc
+++ b/src/control/controller.cc
@@ -43,11 +43,11 @@
     if (found == sessions_.end()) {
       if (!preferred) continue;
       auto session = std::make_shared<UpstreamSession>(
-          executor_, port_, room_, listener_, options_, listed);
+          executor_, port_, capacity_, listener_, options_, listed);
       found = sessions_.emplace(name, std::move(session)).first;
-      by_row_.resize(
-          std::max<size_t>(by_row_.size(), found->second->row() + 1));
-      by_row_[found->second->row()] = found->second.get();
+      sessions_by_index_.resize(std::max<size_t>(
+          sessions_by_index_.size(), found->second->capacity_index() + 1));
+      sessions_by_index_[found->second->capacity_index()] = found->second.get();
     }
     found->second->SetMinority(minority_);
     found->second->SetPreferred(preferred);
@@ -62,8 +62,8 @@
       ++it;
       continue;
     }
-    by_row_[session.row()] = nullptr;
-    room_.Remove(session.row());
+    sessions_by_index_[session.capacity_index()] = nullptr;
+    capacity_.Remove(session.capacity_index());
     it = sessions_.erase(it);
   }
 }
@@ -73,8 +73,9 @@
   return found == sessions_.end() ? nullptr : found->second.get();
 }
 
-UpstreamSession* Controller::OnRow(placement::RowId row) const {
-  return row < by_row_.size() ? by_row_[row] : nullptr;
+UpstreamSession* Controller::SessionAt(placement::CapacityIndex index) const {
+  return index < sessions_by_index_.size() ? sessions_by_index_[index]
+                                           : nullptr;
 }
 
 std::string Controller::ControllerOf(const std::string& rack) const {
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -33,9 +33,9 @@
     return sessions_;
   }
   UpstreamSession* Find(const std::string& upstream) const;
-  UpstreamSession* OnRow(placement::RowId row) const;
-  placement::Room& room() { return room_; }
-  const placement::Room& room() const { return room_; }
+  UpstreamSession* SessionAt(placement::CapacityIndex index) const;
+  placement::CapacityTable& capacity() { return capacity_; }
+  const placement::CapacityTable& capacity() const { return capacity_; }
 
   /// Every upstream in the instance list, by name.
   const std::map<std::string, wire::ListedInstance>& listed() const {
@@ -60,11 +60,11 @@
   ports::UpstreamPort& port_;
   SessionListener& listener_;
   SessionOptions options_;
-  placement::Room room_;
+  placement::CapacityTable capacity_;
   std::map<std::string, wire::ListedInstance> listed_;
   std::map<std::string, std::string> controller_of_;
   std::map<std::string, std::shared_ptr<UpstreamSession>> sessions_;
-  std::vector<UpstreamSession*> by_row_;
+  std::vector<UpstreamSession*> sessions_by_index_;
   TimePoint last_delisting_{};
   bool minority_ = false;
   int64_t list_version_ = 0;
--- a/src/control/upstream_session.cc
+++ b/src/control/upstream_session.cc
@@ -37,20 +37,20 @@
 }
 
 UpstreamSession::UpstreamSession(Executor& executor, ports::UpstreamPort& port,
-                                 placement::Room& room,
+                                 placement::CapacityTable& capacity,
                                  SessionListener& listener,
                                  SessionOptions options,
                                  wire::ListedInstance listed)
     : executor_(executor),
       port_(port),
-      room_(room),
+      capacity_(capacity),
       listener_(listener),
       options_(std::move(options)),
       listed_(std::move(listed)),
       attach_retry_(options_.attach_retry),
       contest_backoff_(options_.contest_backoff_initial),
       random_(options_.seed ^ Hash64(listed_.name)) {
-  row_ = room_.Add(
+  capacity_index_ = capacity_.Add(
       {.name = listed_.name,
        .rack = listed_.rack,
        .failure_domain = listed_.failure_domain,
@@ -90,13 +90,14 @@
 void UpstreamSession::Update(const wire::ListedInstance& listed) {
   delisted_ = false;
   listed_ = listed;
-  room_.SetCapacity(row_, placement::ToAmount(listed.capacity, listed.slots));
+  capacity_.SetCapacity(capacity_index_,
+                        placement::ToAmount(listed.capacity, listed.slots));
   UpdateUsable();
 }
 
 void UpstreamSession::UpdateUsable() {
-  const bool was = room_.row(row_).usable;
-  room_.SetUsable(row_, usable());
+  const bool was = capacity_.upstream(capacity_index_).usable;
+  capacity_.SetUsable(capacity_index_, usable());
   if (was != usable()) listener_.OnCapacityChanged();
 }
 
@@ -160,7 +161,8 @@
 /// from now on, so a start in doubt that is absent from the inventory cannot
 /// take effect any more.
 void UpstreamSession::AdoptInventory(const wire::AttachReply& reply) {
-  room_.SetCapacity(row_, placement::ToAmount(reply.capacity, reply.slots));
+  capacity_.SetCapacity(capacity_index_,
+                        placement::ToAmount(reply.capacity, reply.slots));
   std::map<std::string, Task> before = ReleaseTasks();
   seen_end_ = 0;
   const uint64_t generation = generation_;
@@ -187,8 +189,9 @@
     return HandleEnd(status);
   }
   tasks_[status.spec.task_id] = {status.spec, TaskPhase::kRunning};
-  room_.ForceTake(row_, placement::TaskAmount(status.spec.size),
-                  GroupOf(status.spec));
+  capacity_.ForceReserve(capacity_index_,
+                         placement::TaskAmount(status.spec.size),
+                         GroupOf(status.spec));
   if (!listener_.OnFound(listed_.name, status.spec)) {
     unwanted.push_back(status.spec.task_id);
   }
@@ -307,8 +310,9 @@
 void UpstreamSession::Drop(const std::string& task_id) {
   const auto found = tasks_.find(task_id);
   if (found == tasks_.end()) return;
-  room_.Give(row_, placement::TaskAmount(found->second.spec.size),
-             GroupOf(found->second.spec));
+  capacity_.Release(capacity_index_,
+                    placement::TaskAmount(found->second.spec.size),
+                    GroupOf(found->second.spec));
   tasks_.erase(found);
 }
 
@@ -319,9 +323,9 @@
     return CollectEnd(status, kCollectAttempts);
   }
   Drop(status.spec.task_id);
-  if (answered) room_.NoteSuccess(row_);
+  if (answered) capacity_.NoteSuccess(capacity_index_);
   if (status.state == wire::TaskState::kFailed) {
-    room_.NoteFailure(row_, executor_.Now());
+    capacity_.NoteFailure(capacity_index_, executor_.Now());
   }
   listener_.OnEnded(listed_.name, status);
   listener_.OnCapacityChanged();
@@ -412,7 +416,8 @@
 std::map<std::string, UpstreamSession::Task> UpstreamSession::ReleaseTasks() {
   std::map<std::string, Task> tasks = std::exchange(tasks_, {});
   for (const auto& [id, task] : tasks) {
-    room_.Give(row_, placement::TaskAmount(task.spec.size), GroupOf(task.spec));
+    capacity_.Release(capacity_index_, placement::TaskAmount(task.spec.size),
+                      GroupOf(task.spec));
   }
   return tasks;
 }
--- a/src/control/upstream_session.h
+++ b/src/control/upstream_session.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "src/libs/base/executor.h"
-#include "src/placement/room.h"
+#include "src/placement/capacity_table.h"
 #include "src/ports/upstream_port.h"
 
 namespace mimosarail::control {
@@ -67,9 +67,9 @@
 /// and resolves starts that are in doubt. Control thread only.
 class UpstreamSession : public std::enable_shared_from_this<UpstreamSession> {
  public:
-  /// The executor, port, room and listener must outlive it.
+  /// The executor, port, capacity table and listener must outlive it.
   UpstreamSession(Executor& executor, ports::UpstreamPort& port,
-                  placement::Room& room, SessionListener& listener,
+                  placement::CapacityTable& capacity, SessionListener& listener,
                   SessionOptions options, wire::ListedInstance listed);
 
   /// Sets whether this entry is the preferred controller. If it no longer is,
@@ -83,7 +83,8 @@
   /// The upstream is no longer in the instance list.
   void SetDelisted() { delisted_ = true; }
 
-  /// Starts a task whose capacity is reserved on row(). Precondition: usable().
+  /// Starts a task. Preconditions: usable(), and the capacity of the task is
+  /// reserved at capacity_index().
   void Start(const wire::TaskSpec& task);
   /// Asks the upstream to stop tasks. Their results are reported as usual.
   void Stop(const std::vector<std::string>& task_ids);
@@ -98,7 +99,7 @@
   /// Send time of the latest renewal that the upstream has answered under the
   /// current term. Proves control at some time after it.
   TimePoint confirmed_since() const { return confirmed_since_; }
-  placement::RowId row() const { return row_; }
+  placement::CapacityIndex capacity_index() const { return capacity_index_; }
   const wire::ListedInstance& listed() const { return listed_; }
   int64_t term() const { return term_; }
   bool delisted() const { return delisted_; }
@@ -145,11 +146,11 @@
 
   Executor& executor_;
   ports::UpstreamPort& port_;
-  placement::Room& room_;
+  placement::CapacityTable& capacity_;
   SessionListener& listener_;
   SessionOptions options_;
   wire::ListedInstance listed_;
-  placement::RowId row_;
+  placement::CapacityIndex capacity_index_;
   SessionPhase phase_ = SessionPhase::kIdle;
   bool preferred_ = false;
   bool minority_ = false;
--- a/src/execution/execution.cc
+++ b/src/execution/execution.cc
@@ -103,22 +103,24 @@
     return reply;
   }
   const auto tasks = static_cast<int32_t>(call.indices.size());
-  placement::PlacementRequest ask =
+  placement::PlacementRequest request =
       MakePlacementRequest(call.context, tasks, executor_.Now());
-  ask.urgent |= call.use_reserve;
-  const auto rows = policy_->Place(controller_->room(), ask);
-  if (rows.empty()) {
+  request.urgent |= call.use_reserve;
+  const auto upstreams = policy_->Place(controller_->capacity(), request);
+  if (upstreams.empty()) {
     reply.status = wire::PlaceStatus::kNoRoom;
-    reply.detail = placement::ExplainNoCapacity(controller_->room(), ask);
+    reply.detail =
+        placement::ExplainNoCapacity(controller_->capacity(), request);
     return reply;
   }
-  StartOn(call, rows);
+  StartOn(call, upstreams);
   reply.status = wire::PlaceStatus::kAccepted;
   return reply;
 }
 
-void Execution::StartOn(const wire::PlaceCall& call,
-                        const std::vector<placement::RowId>& rows) {
+void Execution::StartOn(
+    const wire::PlaceCall& call,
+    const std::vector<placement::CapacityIndex>& upstreams) {
   const wire::RequestSpec& spec = call.context.spec;
   // The upstream returns the context to its next controller. The payload is
   // already part of the task.
@@ -126,8 +128,8 @@
   context.spec.payload.clear();
   const std::string context_bytes = rpc::Encode(context);
   std::vector<std::pair<control::UpstreamSession*, wire::TaskSpec>> starts;
-  for (size_t i = 0; i < rows.size(); ++i) {
-    control::UpstreamSession* session = controller_->OnRow(rows[i]);
+  for (size_t i = 0; i < upstreams.size(); ++i) {
+    control::UpstreamSession* session = controller_->SessionAt(upstreams[i]);
     wire::TaskSpec task;
     task.task_id = TaskId(spec.id, call.attempt, call.indices[i]);
     task.request_id = spec.id;
@@ -199,7 +201,7 @@
   // For each upstream, selects the tasks with the least urgent priority whose
   // resources, together with the free capacity there, suffice for one task of
   // the call. Uses the upstream where the fewest tasks have to stop.
-  const placement::PlacementRequest ask =
+  const placement::PlacementRequest request =
       MakePlacementRequest(call.context, 1, executor_.Now());
   std::map<std::string, std::vector<const ManagedTask*>> by_upstream;
   for (const auto& [id, managed] : tasks_) {
@@ -215,8 +217,10 @@
   for (auto& [upstream, candidates] : by_upstream) {
     control::UpstreamSession* session = controller_->Find(upstream);
     if (session == nullptr || !session->usable()) continue;
-    const placement::Row& row = controller_->room().row(session->row());
-    if (!placement::Allows(ask, controller_->room().racks()[row.rack])) {
+    const placement::UpstreamCapacity& upstream_capacity =
+        controller_->capacity().upstream(session->capacity_index());
+    if (!placement::Allows(
+            request, controller_->capacity().racks()[upstream_capacity.rack])) {
       continue;
     }
     std::sort(candidates.begin(), candidates.end(),
@@ -224,14 +228,14 @@
                 return a->context.treatment.priority >
                        b->context.treatment.priority;
               });
-    placement::Amount freed = row.free;
+    placement::Amount freed = upstream_capacity.free;
     std::vector<std::string> victims;
     for (const ManagedTask* managed : candidates) {
-      if (ask.size.FitsIn(freed)) break;
+      if (request.size.FitsIn(freed)) break;
       freed += placement::TaskAmount(managed->task.size);
       victims.push_back(managed->task.task_id);
     }
-    if (!ask.size.FitsIn(freed) || victims.empty()) continue;
+    if (!request.size.FitsIn(freed) || victims.empty()) continue;
     if (best.empty() || victims.size() < best.size()) {
       best = std::move(victims);
       best_upstream = upstream;
--- a/src/execution/execution.h
+++ b/src/execution/execution.h
@@ -106,7 +106,7 @@
 
   bool IsFenced(const std::string& request_id, int32_t attempt) const;
   void StartOn(const wire::PlaceCall& call,
-               const std::vector<placement::RowId>& rows);
+               const std::vector<placement::CapacityIndex>& upstreams);
   void End(const std::string& upstream, const wire::TaskSpec& task,
            wire::TaskEnd::type end, const std::string& reason,
            const wire::TaskStatus* status, bool began = false);
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -127,10 +127,10 @@
 void Instance::FillHeartbeat(wire::Heartbeat& heartbeat) {
   heartbeat.phase = phase_;
   heartbeat.revision = config_->fold().revision();
-  const placement::Room& room = controller_->room();
-  heartbeat.free_total = placement::ToResources(room.total_free());
-  heartbeat.free_slots = room.total_free()[placement::Dimension::kSlots];
-  heartbeat.free_largest = placement::ToResources(room.MostFree());
+  const placement::CapacityTable& capacity = controller_->capacity();
+  heartbeat.free_total = placement::ToResources(capacity.total_free());
+  heartbeat.free_slots = capacity.total_free()[placement::Dimension::kSlots];
+  heartbeat.free_largest = placement::ToResources(capacity.MaxFree());
   heartbeat.upstreams = static_cast<int32_t>(controller_->sessions().size());
   heartbeat.waiting = static_cast<int32_t>(requests_->waiting());
   if (heartbeats_filled_++ % kHeartbeatsPerTeamUse != 0) return;
@@ -297,15 +297,15 @@
 
 void Instance::UpdateGauges() {
   metrics::Registry& m = ports_.metrics;
-  const placement::Room& room = controller_->room();
+  const placement::CapacityTable& capacity = controller_->capacity();
   for (size_t d = 0; d < placement::kDimensions; ++d) {
     const auto dimension = static_cast<placement::Dimension>(d);
     const std::map<std::string, std::string> labels{
         {"dimension", std::string(placement::kDimensionNames.Name(dimension))}};
     m.Set({.name = "room_capacity", .labels = labels},
-          room.total_capacity()[dimension]);
+          capacity.total_capacity()[dimension]);
     m.Set({.name = "room_free", .labels = labels},
-          room.total_free()[dimension]);
+          capacity.total_free()[dimension]);
   }
   m.Set({.name = "waiting_requests"},
         static_cast<double>(requests_->waiting()));
--- a/src/placement/amount.h
+++ b/src/placement/amount.h
@@ -26,28 +26,30 @@
 /// An amount of each resource, slots included, as used by the placement code. A
 /// value type.
 struct Amount {
-  std::array<int32_t, kDimensions> of{};
+  std::array<int32_t, kDimensions> values{};
 
-  int32_t operator[](Dimension d) const { return of[static_cast<size_t>(d)]; }
-  int32_t& operator[](Dimension d) { return of[static_cast<size_t>(d)]; }
+  int32_t operator[](Dimension d) const {
+    return values[static_cast<size_t>(d)];
+  }
+  int32_t& operator[](Dimension d) { return values[static_cast<size_t>(d)]; }
 
   bool FitsIn(const Amount& free) const {
     for (size_t d = 0; d < kDimensions; ++d) {
-      if (of[d] > free.of[d]) return false;
+      if (values[d] > free.values[d]) return false;
     }
     return true;
   }
   Amount& operator+=(const Amount& other) {
-    for (size_t d = 0; d < kDimensions; ++d) of[d] += other.of[d];
+    for (size_t d = 0; d < kDimensions; ++d) values[d] += other.values[d];
     return *this;
   }
   Amount& operator-=(const Amount& other) {
-    for (size_t d = 0; d < kDimensions; ++d) of[d] -= other.of[d];
+    for (size_t d = 0; d < kDimensions; ++d) values[d] -= other.values[d];
     return *this;
   }
   void RaiseTo(const Amount& other) {
     for (size_t d = 0; d < kDimensions; ++d) {
-      of[d] = std::max(of[d], other.of[d]);
+      values[d] = std::max(values[d], other.values[d]);
     }
   }
   friend bool operator==(const Amount&, const Amount&) = default;
--- a/src/placement/policy.h
+++ b/src/placement/policy.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "src/placement/room.h"
+#include "src/placement/capacity_table.h"
 
 namespace mimosarail::placement {
 
@@ -24,19 +24,21 @@
 };
 
 /// Whether the rack meets the constraints on failure domains and racks.
-bool Allows(const PlacementRequest& ask, const Rack& rack);
+bool Allows(const PlacementRequest& request, const Rack& rack);
 
-/// Chooses rows for tasks and reserves resources on them. Not thread-safe.
+/// Chooses upstreams for tasks and reserves resources on them. Not thread-safe.
 class Policy {
  public:
   virtual ~Policy() = default;
-  /// Reserves resources in `room` and returns one row per task. Returns an
-  /// empty list and reserves nothing if not all tasks fit.
-  std::vector<RowId> Place(Room& room, const PlacementRequest& ask);
+  /// Reserves resources in `table` and returns one upstream per task. Returns
+  /// an empty list and reserves nothing if not all tasks fit.
+  std::vector<CapacityIndex> Place(CapacityTable& table,
+                                   const PlacementRequest& request);
 
  protected:
-  /// Returns the row for one more task, or kNoRow.
-  virtual RowId ChooseOne(const Room& room, const PlacementRequest& ask) = 0;
+  /// Returns the upstream for one more task, or kNoCapacityIndex.
+  virtual CapacityIndex ChooseOne(const CapacityTable& table,
+                                  const PlacementRequest& request) = 0;
 };
 
 /// The policy used in production: approximate best fit over all dimensions.
@@ -51,6 +53,7 @@
 
 /// Explains why the request does not fit now, and names the upstream that comes
 /// closest.
-std::string ExplainNoCapacity(const Room& room, const PlacementRequest& ask);
+std::string ExplainNoCapacity(const CapacityTable& table,
+                              const PlacementRequest& request);
 
 }  // namespace mimosarail::placement
--- a/src/placement/starvation_guard.cc
+++ b/src/placement/starvation_guard.cc
@@ -17,7 +17,8 @@
   if (!reserved_for_ || item.id == *reserved_for_ || item.priority == 0) {
     return true;
   }
-  return item.declared > Millis(0) && item.declared <= options_.backfill;
+  return item.declared_run_time > Millis(0) &&
+         item.declared_run_time <= options_.max_backfill_run_time;
 }
 
 void StarvationGuard::NoteBlocked(const QueueItem& item) {
--- a/src/placement/starvation_guard.h
+++ b/src/placement/starvation_guard.h
@@ -17,7 +17,7 @@
   /// While capacity is reserved, only items with a declared run time up to this
   /// may start besides it. Since declared times are not reliable, this is a
   /// small part of max_reservation.
-  Millis backfill{4000};
+  Millis max_backfill_run_time{4000};
 };
 
 /// Prevents a stream of small items from starving a gang or another large item:
--- a/src/placement/wait_queue.cc
+++ b/src/placement/wait_queue.cc
@@ -40,23 +40,23 @@
   items_.erase(found);
 }
 
-bool WaitQueue::VisitSet(const std::set<Key>& keys,
-                         const std::function<Visit(const QueueItem&)>& visit,
-                         std::unordered_set<uint64_t>& blocked,
-                         std::set<uint64_t>& placed) {
+bool WaitQueue::VisitSet(
+    const std::set<Key>& keys,
+    const std::function<VisitResult(const QueueItem&)>& visit,
+    std::unordered_set<uint64_t>& blocked, std::set<uint64_t>& placed) {
   for (const Key& key : keys) {
     const QueueItem& item = items_.at(key.second).item;
     if (placed.contains(item.id) || blocked.contains(item.shape)) continue;
-    const Visit result = visit(item);
-    if (result == Visit::kStop) return false;
-    if (result == Visit::kBlocked) blocked.insert(item.shape);
-    if (result == Visit::kPlaced) placed.insert(item.id);
+    const VisitResult result = visit(item);
+    if (result == VisitResult::kStop) return false;
+    if (result == VisitResult::kBlocked) blocked.insert(item.shape);
+    if (result == VisitResult::kPlaced) placed.insert(item.id);
   }
   return true;
 }
 
 void WaitQueue::VisitInOrder(
-    TimePoint now, const std::function<Visit(const QueueItem&)>& visit) {
+    TimePoint now, const std::function<VisitResult(const QueueItem&)>& visit) {
   std::unordered_set<uint64_t> blocked;
   std::set<uint64_t> placed;
   bool proceed = true;
--- a/src/placement/wait_queue.h
+++ b/src/placement/wait_queue.h
@@ -26,10 +26,10 @@
   /// up indefinitely.
   bool large = false;
   /// Run time declared by the caller; 0 if none.
-  Millis declared{0};
+  Millis declared_run_time{0};
 };
 
-enum class Visit {
+enum class VisitResult {
   kPlaced,   ///< Started; leaves the queue.
   kBlocked,  ///< Does not fit; items of the same shape are skipped in this
              ///< pass.
@@ -72,7 +72,7 @@
   /// Visits items in order and removes the placed ones. `visit` must not change
   /// the queue.
   void VisitInOrder(TimePoint now,
-                    const std::function<Visit(const QueueItem&)>& visit);
+                    const std::function<VisitResult(const QueueItem&)>& visit);
 
   static constexpr int kUrgentStartsPerOther = 8;
 
@@ -85,7 +85,7 @@
 
   int64_t KeyOf(const QueueItem& item);
   bool VisitSet(const std::set<Key>& keys,
-                const std::function<Visit(const QueueItem&)>& visit,
+                const std::function<VisitResult(const QueueItem&)>& visit,
                 std::unordered_set<uint64_t>& blocked,
                 std::set<uint64_t>& placed);
 
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -163,13 +163,13 @@
 
   void Enqueue(Record& record);
   void RunPlacementPass();
-  placement::Visit TryPlace(Record& record, bool use_reserve);
+  placement::VisitResult TryPlace(Record& record, bool use_reserve);
   bool PlaceHere(Record& record, const wire::PlaceCall& call);
   bool PlaceAtPeer(Record& record, const wire::PlaceCall& call,
-                   const placement::PlacementRequest& ask);
+                   const placement::PlacementRequest& request);
   void OnPlaceReply(const std::string& id, int32_t attempt,
                     const std::string& peer,
-                    const placement::PlacementRequest& ask,
+                    const placement::PlacementRequest& request,
                     const Result<wire::PlaceReply>& reply);
   wire::PlaceCall MakePlaceCall(const Record& record, bool use_reserve) const;
   void MarkRunning(Record& record, const std::string& controller,
--- a/src/requests/requests_admission.cc
+++ b/src/requests/requests_admission.cc
@@ -73,24 +73,24 @@
     const wire::RequestSpec& spec) const {
   const auto& listed = context_.controller.listed();
   if (listed.empty()) return "";
-  placement::Room whole;
+  placement::CapacityTable idle_capacity;
   for (const auto& [name, upstream] : listed) {
-    const placement::RowId row = whole.Add(
+    const placement::CapacityIndex index = idle_capacity.Add(
         {.name = name,
          .rack = upstream.rack,
          .failure_domain = upstream.failure_domain,
          .capacity = placement::ToAmount(upstream.capacity, upstream.slots)});
-    whole.SetUsable(row, true);
+    idle_capacity.SetUsable(index, true);
   }
   wire::AttemptContext context;
   context.spec = spec;
-  const placement::PlacementRequest ask = execution::MakePlacementRequest(
+  const placement::PlacementRequest request = execution::MakePlacementRequest(
       context, spec.tasks, context_.executor.Now());
   const auto policy = placement::MakeFirstFitPolicy();
-  if (!policy->Place(whole, ask).empty()) return "";
+  if (!policy->Place(idle_capacity, request).empty()) return "";
   return "the request does not fit on the listed upstreams, even if they were "
          "empty: " +
-         placement::ExplainNoCapacity(whole, ask);
+         placement::ExplainNoCapacity(idle_capacity, request);
 }
 
 std::optional<SubmitResult> Requests::CheckAdmission(
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -41,7 +41,7 @@
            (record.treatment.preempt ? 2 : 0),
        .large = record.spec.tasks > 1 ||
                 record.spec.size.millicores >= kLargeMillicores,
-       .declared = Millis(record.spec.run_ms)},
+       .declared_run_time = Millis(record.spec.run_ms)},
       record.queue_key);
   SetCountedWaiting(record, true);
   SchedulePlacementPass();
@@ -62,18 +62,18 @@
       context_.executor.Now(), [&](const placement::QueueItem& item) {
         Record* record = FindMutable(by_serial_[item.id]);
         MR_EXPECT(record != nullptr && record->phase == Phase::kWaiting,
-                  return placement::Visit::kPlaced);
+                  return placement::VisitResult::kPlaced);
         if (!starvation_guard_.MayStart(item)) {
           record->status_message =
               "capacity is reserved for a large request that has waited long";
-          return placement::Visit::kSkipped;
+          return placement::VisitResult::kSkipped;
         }
-        const placement::Visit visit =
+        const placement::VisitResult visit =
             TryPlace(*record, starvation_guard_.IsReservedFor(item.id));
-        if (visit == placement::Visit::kBlocked) {
+        if (visit == placement::VisitResult::kBlocked) {
           starvation_guard_.NoteBlocked(item);
         }
-        if (visit == placement::Visit::kPlaced) {
+        if (visit == placement::VisitResult::kPlaced) {
           SetCountedWaiting(*record, false);
         }
         return visit;
@@ -94,7 +94,7 @@
   return call;
 }
 
-placement::Visit Requests::TryPlace(Record& record, bool use_reserve) {
+placement::VisitResult Requests::TryPlace(Record& record, bool use_reserve) {
   const auto rules = context_.rules();
   const rules::TeamLimit* limit =
       rules ? rules->LimitOf(record.spec.team) : nullptr;
@@ -104,15 +104,17 @@
       TeamMillicores(record.spec.team) + wanted > *limit->millicores) {
     record.status_message =
         "team " + record.spec.team + " has exhausted its quota of cores";
-    return placement::Visit::kSkipped;
+    return placement::VisitResult::kSkipped;
   }
   const wire::PlaceCall call = MakePlaceCall(record, use_reserve);
   const placement::PlacementRequest request = execution::MakePlacementRequest(
       call.context, record.spec.tasks, context_.executor.Now());
-  if (PlaceHere(record, call)) return placement::Visit::kPlaced;
-  if (PlaceAtPeer(record, call, request)) return placement::Visit::kPlaced;
+  if (PlaceHere(record, call)) return placement::VisitResult::kPlaced;
+  if (PlaceAtPeer(record, call, request)) {
+    return placement::VisitResult::kPlaced;
+  }
   if (record.treatment.preempt) context_.execution.Preempt(call);
-  return placement::Visit::kBlocked;
+  return placement::VisitResult::kBlocked;
 }
 
 bool Requests::PlaceHere(Record& record, const wire::PlaceCall& call) {
--- a/src/scheduling/placing.cc
+++ b/src/scheduling/placing.cc
@@ -36,8 +36,8 @@
 int32_t FitCount(const Amount& free, const Amount& size) {
   int32_t fit = kMaxStepTasks;
   for (size_t d = 0; d < placement::kDimensions; ++d) {
-    if (size.of[d] <= 0) continue;
-    fit = std::min(fit, std::max(0, free.of[d]) / size.of[d]);
+    if (size.values[d] <= 0) continue;
+    fit = std::min(fit, std::max(0, free.values[d]) / size.values[d]);
   }
   return fit;
 }
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -359,24 +359,26 @@
   }
   void Open() {
     session = std::make_shared<control::UpstreamSession>(
-        executor, port, room, listener,
+        executor, port, capacity, listener,
         control::SessionOptions{.controller = "me"}, ListedUpstream());
     session->SetPreferred(true);
     clock.RunFor(Millis(20));
   }
   void StartOneTask(Millis span = Millis(3)) {
-    room.Take(session->row(), placement::TaskAmount(MakeTask("t", 1).size),
-              control::UpstreamSession::GroupOf(MakeTask("t", 1)));
+    capacity.Reserve(session->capacity_index(),
+                     placement::TaskAmount(MakeTask("t", 1).size),
+                     control::UpstreamSession::GroupOf(MakeTask("t", 1)));
     session->Start(MakeTask("t", 1));
     clock.RunFor(span);
   }
   bool AllCapacityFree() {
-    return room.row(session->row()).free == room.row(session->row()).capacity;
+    return capacity.upstream(session->capacity_index()).free ==
+           capacity.upstream(session->capacity_index()).capacity;
   }
   ManualClock clock;
   ManualExecutor executor{clock};
   ScriptedPort port{clock};
-  placement::Room room;
+  placement::CapacityTable capacity;
   Listener listener;
   std::shared_ptr<control::UpstreamSession> session;
 };
@@ -408,8 +410,8 @@
        b.port.attach.inventory.push_back(
            Status(wire::TaskState::kRunning, "", 0));
        b.Open();
-       return b.room.row(b.session->row()).free[placement::Dimension::kCores] ==
-                  3000 &&
+       return b.capacity.upstream(b.session->capacity_index())
+                      .free[placement::Dimension::kCores] == 3000 &&
               b.listener.events == "found t;";
      }},
     {"a session attaches with a higher term than the reported one",
@@ -467,9 +469,9 @@
        b.StartOneTask();
        b.port.unresponsive = true;
        b.port.start = Result<wire::StartReply>(Errc::kTimeout);
-       b.room.Take(b.session->row(),
-                   placement::TaskAmount(MakeTask("u", 1).size),
-                   control::UpstreamSession::GroupOf(MakeTask("u", 1)));
+       b.capacity.Reserve(b.session->capacity_index(),
+                          placement::TaskAmount(MakeTask("u", 1).size),
+                          control::UpstreamSession::GroupOf(MakeTask("u", 1)));
        b.session->Start(MakeTask("u", 1));
        b.clock.RunFor(Millis(9000));
        const bool early = b.listener.events.empty();
@@ -491,9 +493,9 @@
        stale.status = CallStatus::kStaleTerm;
        stale.term = 9;
        b.port.start = stale;
-       b.room.Take(b.session->row(),
-                   placement::TaskAmount(MakeTask("u", 1).size),
-                   control::UpstreamSession::GroupOf(MakeTask("u", 1)));
+       b.capacity.Reserve(b.session->capacity_index(),
+                          placement::TaskAmount(MakeTask("u", 1).size),
+                          control::UpstreamSession::GroupOf(MakeTask("u", 1)));
        b.session->Start(MakeTask("u", 1));
        b.clock.RunFor(Millis(5));
        return b.listener.events == "not started u;moved, had begun t;" &&
@@ -533,8 +535,8 @@
        leaving.state = wire::ListedState::kLeaving;
        b.session->Update(leaving);
        return !b.session->usable() &&
-              !b.room.Take(b.session->row(),
-                           placement::TaskAmount(MakeTask("t", 1).size));
+              !b.capacity.Reserve(b.session->capacity_index(),
+                                  placement::TaskAmount(MakeTask("t", 1).size));
      }},
 };
 
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -20,18 +20,19 @@
 
 const Amount kCapacity{{16000, 32000, 1, 64, 8}};
 
-Room MakeRoom(int racks, int per_rack) {
-  Room room;
+CapacityTable MakeTable(int racks, int per_rack) {
+  CapacityTable table;
   for (int r = 0; r < racks; ++r) {
     for (int i = 0; i < per_rack; ++i) {
-      const RowId row = room.Add({.name = "u" + std::to_string(r * 100 + i),
-                                  .rack = "r" + std::to_string(r),
-                                  .failure_domain = "d" + std::to_string(r % 3),
-                                  .capacity = kCapacity});
-      room.SetUsable(row, true);
+      const CapacityIndex upstream =
+          table.Add({.name = "u" + std::to_string(r * 100 + i),
+                     .rack = "r" + std::to_string(r),
+                     .failure_domain = "d" + std::to_string(r % 3),
+                     .capacity = kCapacity});
+      table.SetUsable(upstream, true);
     }
   }
-  return room;
+  return table;
 }
 
 Amount Size(int32_t millicores) { return {{millicores, 100, 0, 0, 1}}; }
@@ -53,76 +54,79 @@
 
 BOOST_DATA_TEST_CASE(no_policy_overcommits_or_leaks,
                      boost::unit_test::data::xrange(4), which) {
-  Room room = MakeRoom(4, 4);
+  CapacityTable table = MakeTable(4, 4);
   const auto policy = MakePolicy(which);
   std::mt19937 random(7);
-  std::vector<std::pair<RowId, Amount>> running;
+  std::vector<std::pair<CapacityIndex, Amount>> running;
   for (int step = 0; step < 5000; ++step) {
     const Amount size = Size(static_cast<int32_t>(250 + random() % 9000));
     const int tasks = random() % 5 == 0 ? 3 : 1;
     const bool spread = random() % 2 == 0;
-    for (const RowId row : policy->Place(
-             room,
+    for (const CapacityIndex upstream : policy->Place(
+             table,
              {.size = size, .tasks = tasks, .spread = spread, .group = 5})) {
-      running.emplace_back(row, size);
+      running.emplace_back(upstream, size);
     }
     while (running.size() > 60) {
       const size_t i = random() % running.size();
-      room.Give(running[i].first, running[i].second, 5);
+      table.Release(running[i].first, running[i].second, 5);
       running.erase(running.begin() + static_cast<std::ptrdiff_t>(i));
     }
-    for (const Row& row : room.rows()) {
-      for (const int32_t free : row.free.of) BOOST_REQUIRE(free >= 0);
+    for (const UpstreamCapacity& upstream : table.upstreams()) {
+      for (const int32_t free : upstream.free.values) BOOST_REQUIRE(free >= 0);
     }
   }
-  for (const auto& [row, size] : running) room.Give(row, size, 5);
-  BOOST_TEST((room.total_free() == room.total_capacity()));
-  BOOST_TEST(room.GroupInDomain(5, "d0") == 0);
+  for (const auto& [upstream, size] : running) table.Release(upstream, size, 5);
+  BOOST_TEST((table.total_free() == table.total_capacity()));
+  BOOST_TEST(table.GroupTasksInDomain(5, "d0") == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_is_placed_whole_or_not_at_all) {
-  Room room = MakeRoom(1, 2);
+  CapacityTable table = MakeTable(1, 2);
   const auto policy = MakeScoredPolicy(1);
-  BOOST_TEST(policy->Place(room, {.size = Size(16000), .tasks = 3}).empty());
-  BOOST_TEST((room.total_free() == room.total_capacity()));
-  BOOST_TEST(policy->Place(room, {.size = Size(16000), .tasks = 2}).size() ==
+  BOOST_TEST(policy->Place(table, {.size = Size(16000), .tasks = 3}).empty());
+  BOOST_TEST((table.total_free() == table.total_capacity()));
+  BOOST_TEST(policy->Place(table, {.size = Size(16000), .tasks = 2}).size() ==
              2U);
 }
 
 BOOST_AUTO_TEST_CASE(spread_uses_every_failure_domain) {
-  Room room = MakeRoom(3, 4);
+  CapacityTable table = MakeTable(3, 4);
   const auto policy = MakeScoredPolicy(1);
   std::set<std::string> domains;
   for (int i = 0; i < 3; ++i) {
-    const auto rows =
-        policy->Place(room, {.size = Size(1000), .spread = true, .group = 9});
-    domains.insert(room.racks()[room.row(rows.at(0)).rack].failure_domain);
+    const auto upstreams =
+        policy->Place(table, {.size = Size(1000), .spread = true, .group = 9});
+    domains.insert(
+        table.racks()[table.upstream(upstreams.at(0)).rack].failure_domain);
   }
   BOOST_TEST(domains.size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(accelerators_are_kept_for_tasks_that_need_them) {
-  Room room;
-  const RowId with =
-      room.Add({.name = "with", .rack = "r", .capacity = kCapacity});
+  CapacityTable table;
+  const CapacityIndex with =
+      table.Add({.name = "with", .rack = "r", .capacity = kCapacity});
   Amount plain = kCapacity;
   plain[Dimension::kAccelerators] = 0;
-  const RowId without =
-      room.Add({.name = "without", .rack = "r", .capacity = plain});
-  room.SetUsable(with, true);
-  room.SetUsable(without, true);
+  const CapacityIndex without =
+      table.Add({.name = "without", .rack = "r", .capacity = plain});
+  table.SetUsable(with, true);
+  table.SetUsable(without, true);
   const auto policy = MakeScoredPolicy(1);
-  BOOST_TEST(policy->Place(room, {.size = Size(1000)}).at(0) == without);
+  BOOST_TEST(policy->Place(table, {.size = Size(1000)}).at(0) == without);
 }
 
 BOOST_AUTO_TEST_CASE(constraints_are_met_and_the_closest_upstream_is_named) {
-  Room room = MakeRoom(3, 2);
+  CapacityTable table = MakeTable(3, 2);
   const auto policy = MakeScoredPolicy(1);
   const std::vector<std::string> domains{"d1"};
-  const auto rows =
-      policy->Place(room, {.size = Size(1000), .failure_domains = &domains});
-  BOOST_TEST(room.racks()[room.row(rows.at(0)).rack].failure_domain == "d1");
-  const std::string why = ExplainNoCapacity(room, {.size = Size(17000)});
+  const auto upstreams =
+      policy->Place(table, {.size = Size(1000), .failure_domains = &domains});
+  BOOST_TEST(
+      table.racks()[table.upstream(upstreams.at(0)).rack].failure_domain ==
+      "d1");
+  const std::string why = ExplainNoCapacity(table, {.size = Size(17000)});
   BOOST_TEST(
       why.find("needs 17000 millicores, free 16000") != std::string::npos, why);
 }
@@ -131,22 +135,23 @@
 // always looks idle, so without single probes it would attract all work of the
 // cell and fail it.
 BOOST_AUTO_TEST_CASE(an_upstream_that_fails_everything_gets_single_probes) {
-  Room room = MakeRoom(1, 1);
+  CapacityTable table = MakeTable(1, 1);
   const auto policy = MakeScoredPolicy(1);
   TimePoint now = TimePoint() + std::chrono::hours(1);
   int placed = 0;
   for (int second = 0; second < 600; ++second) {
     now += std::chrono::seconds(1);
-    const auto rows = policy->Place(room, {.size = Size(1000), .now = now});
-    if (rows.empty()) continue;
+    const auto upstreams =
+        policy->Place(table, {.size = Size(1000), .now = now});
+    if (upstreams.empty()) continue;
     ++placed;
-    room.NoteFailure(rows[0], now);
-    room.Give(rows[0], Size(1000));
+    table.NoteFailure(upstreams[0], now);
+    table.Release(upstreams[0], Size(1000));
   }
   BOOST_TEST(placed < 30);
   BOOST_TEST(placed > 5);
-  room.NoteSuccess(0);
-  BOOST_TEST(policy->Place(room, {.size = Size(1000), .now = now}).size() ==
+  table.NoteSuccess(0);
+  BOOST_TEST(policy->Place(table, {.size = Size(1000), .now = now}).size() ==
              1U);
 }
 
@@ -165,10 +170,10 @@
         {.id = id, .priority = 5, .team = "b", .since = now, .shape = id});
     bool placed_one = false;
     queue.VisitInOrder(now, [&](const QueueItem& item) {
-      if (placed_one) return Visit::kStop;
+      if (placed_one) return VisitResult::kStop;
       placed_one = true;
       done |= item.id == 1;
-      return Visit::kPlaced;
+      return VisitResult::kPlaced;
     });
   }
   BOOST_TEST(done);
@@ -183,7 +188,7 @@
   std::vector<uint64_t> order;
   queue.VisitInOrder(now, [&](const QueueItem& item) {
     order.push_back(item.id);
-    return Visit::kBlocked;
+    return VisitResult::kBlocked;
   });
   BOOST_TEST((order == std::vector<uint64_t>{3, 1, 2}));
 }
@@ -197,7 +202,7 @@
   int visits = 0;
   queue.VisitInOrder(now, [&](const QueueItem&) {
     ++visits;
-    return Visit::kBlocked;
+    return VisitResult::kBlocked;
   });
   BOOST_TEST(visits == 3);
 }
@@ -315,7 +320,7 @@
 // jobs of one slot take each slot that becomes free. Without the guard the gang
 // waits for as long as they keep arriving.
 BOOST_AUTO_TEST_CASE(small_jobs_do_not_starve_a_gang) {
-  Room room = MakeRoom(1, 1);
+  CapacityTable table = MakeTable(1, 1);
   WaitQueue queue;
   StarvationGuard guard;
   const auto policy = MakeScoredPolicy(1);
@@ -332,22 +337,22 @@
     }
     queue.Push({.id = ++id, .priority = 4, .since = now, .shape = 2});
     while (!running.empty() && running.front().first <= now) {
-      room.Give(0, running.front().second);
+      table.Release(0, running.front().second);
       running.erase(running.begin());
     }
     guard.BeginPass(now);
     queue.VisitInOrder(now, [&](const QueueItem& item) {
-      if (!guard.MayStart(item)) return Visit::kSkipped;
+      if (!guard.MayStart(item)) return VisitResult::kSkipped;
       const int tasks = item.large ? 8 : 1;
-      const auto rows =
-          policy->Place(room, {.size = small, .tasks = tasks, .urgent = true});
-      if (rows.empty()) {
+      const auto upstreams =
+          policy->Place(table, {.size = small, .tasks = tasks, .urgent = true});
+      if (upstreams.empty()) {
         guard.NoteBlocked(item);
-        return Visit::kBlocked;
+        return VisitResult::kBlocked;
       }
       gang_started |= item.large;
       running.emplace_back(now + std::chrono::seconds(20), small);
-      return Visit::kPlaced;
+      return VisitResult::kPlaced;
     });
     guard.EndPass();
   }
@@ -355,12 +360,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(work_that_is_not_urgent_leaves_a_reserve) {
-  Room room = MakeRoom(2, 4);
+  CapacityTable table = MakeTable(2, 4);
   const auto policy = MakeScoredPolicy(1);
   int placed = 0;
-  while (!policy->Place(room, {.size = Size(500)}).empty()) ++placed;
+  while (!policy->Place(table, {.size = Size(500)}).empty()) ++placed;
   BOOST_TEST(placed == 63);  // of 64 slots
-  BOOST_TEST(policy->Place(room, {.size = Size(500), .urgent = true}).size() ==
+  BOOST_TEST(policy->Place(table, {.size = Size(500), .urgent = true}).size() ==
              1U);
 }
 
@@ -368,14 +373,14 @@
 
 namespace mimosarail::placement {
 
-// A policy may choose a row on which the task does not fit; the reservation
-// itself must be refused.
+// A policy may choose an upstream on which the task does not fit; the
+// reservation itself must be refused.
 BOOST_AUTO_TEST_CASE(a_reservation_that_does_not_fit_is_refused) {
-  Room room = MakeRoom(1, 1);
-  BOOST_TEST(!room.Take(0, Size(16001)));
-  BOOST_TEST(room.Take(0, Size(16000)));
-  BOOST_TEST(!room.Take(0, Size(1)));
-  BOOST_TEST(room.row(0).tasks == 1);
+  CapacityTable table = MakeTable(1, 1);
+  BOOST_TEST(!table.Reserve(0, Size(16001)));
+  BOOST_TEST(table.Reserve(0, Size(16000)));
+  BOOST_TEST(!table.Reserve(0, Size(1)));
+  BOOST_TEST(table.upstream(0).tasks == 1);
 }
 
 }  // namespace mimosarail::placement
--- a/tests/request_fault_injection_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -187,10 +187,11 @@
       if (revision != cell_.node(0).instance->config().fold().revision()) {
         return false;
       }
-      const placement::Room& room = instance.controller().room();
+      const placement::CapacityTable& capacity =
+          instance.controller().capacity();
       if (instance.requests().unfinished() > 0) return false;
       // Tasks of owners that died run to completion.
-      if (room.total_free() != room.total_capacity()) return false;
+      if (capacity.total_free() != capacity.total_capacity()) return false;
     }
     return true;
   }
@@ -248,8 +249,9 @@
           view.status_message + " " +
           (view.task_states.empty() ? "" : view.task_states.back()));
     }
-    const placement::Room& room = node.instance->controller().room();
-    if (room.total_free() != room.total_capacity()) {
+    const placement::CapacityTable& capacity =
+        node.instance->controller().capacity();
+    if (capacity.total_free() != capacity.total_capacity()) {
       std::string held;
       for (const auto& [name, session] :
            node.instance->controller().sessions()) {
