--- a/src/placement/amount.h
+++ b/src/placement/amount.h
@@ -23,8 +23,8 @@
     EnumName{Dimension::kSlots, "slots"},
 }};
 
-/// An amount of each resource, slots included, as used by the placement code. A
-/// value type.
+/// One amount per kind of resource, slots included: a demand, a capacity, or
+/// free capacity.
 struct Amount {
   std::array<int32_t, kDimensions> values{};
 
@@ -47,6 +47,7 @@
     for (size_t d = 0; d < kDimensions; ++d) values[d] -= other.values[d];
     return *this;
   }
+  /// Sets each amount to the maximum of its own and the other's.
   void RaiseTo(const Amount& other) {
     for (size_t d = 0; d < kDimensions; ++d) {
       values[d] = std::max(values[d], other.values[d]);
@@ -55,6 +56,7 @@
   friend bool operator==(const Amount&, const Amount&) = default;
 };
 
+/// `slots` is separate since wire::Resources does not contain it.
 inline Amount ToAmount(const wire::Resources& resources, int32_t slots) {
   return {{resources.millicores, resources.memory_mb, resources.accelerators,
            resources.connections, slots}};
@@ -65,6 +67,7 @@
   return ToAmount(size, 1);
 }
 
+/// Converts all amounts but the slots, which wire::Resources does not contain.
 inline wire::Resources ToResources(const Amount& amount) {
   wire::Resources out;
   out.millicores = amount[Dimension::kCores];
--- a/src/placement/capacity_table.cc
+++ b/src/placement/capacity_table.cc
@@ -9,13 +9,15 @@
 constexpr Millis kInitialProbeBackoff{1000};
 constexpr int32_t kMaxProbeDoublings = 6;
 
+/// What a number of tasks of a group is counted for.
 enum class Scope : uint64_t { kUpstream = 1, kRack = 2, kDomain = 3 };
 
-uint64_t GroupKey(uint64_t group, Scope scope, uint64_t where) {
-  constexpr uint64_t kMix = 0x9E3779B97F4A7C15ULL;
-  uint64_t key = group * kMix ^ (static_cast<uint64_t>(scope) << 60U) ^ where;
+uint64_t GroupKey(uint64_t group, Scope scope, uint64_t location) {
+  constexpr uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;
+  uint64_t key =
+      group * kGoldenRatio ^ (static_cast<uint64_t>(scope) << 60U) ^ location;
   key ^= key >> 31U;
-  return key * kMix;
+  return key * kGoldenRatio;
 }
 
 }  // namespace
@@ -122,23 +124,23 @@
 }
 
 void CapacityTable::AddGroupTasks(CapacityIndex index, uint64_t group,
-                                  int32_t by) {
+                                  int32_t change) {
   const UpstreamCapacity& upstream = upstreams_[index];
   const uint64_t domain = Hash64(racks_[upstream.rack].failure_domain);
   for (const uint64_t key : {GroupKey(group, Scope::kUpstream, index),
                              GroupKey(group, Scope::kRack, upstream.rack),
                              GroupKey(group, Scope::kDomain, domain)}) {
     int32_t& count = group_tasks_[key];
-    count += by;
+    count += change;
     if (count <= 0) group_tasks_.erase(key);
   }
 }
 
 namespace {
-int32_t CountOf(const std::unordered_map<uint64_t, int32_t>& groups,
+int32_t CountOf(const std::unordered_map<uint64_t, int32_t>& counts,
                 uint64_t key) {
-  const auto found = groups.find(key);
-  return found == groups.end() ? 0 : found->second;
+  const auto found = counts.find(key);
+  return found == counts.end() ? 0 : found->second;
 }
 }  // namespace
 
@@ -175,9 +177,9 @@
 }
 
 Amount CapacityTable::MaxFree() const {
-  Amount most;
-  for (const Rack& rack : racks_) most.RaiseTo(rack.max_free);
-  return most;
+  Amount max_free;
+  for (const Rack& rack : racks_) max_free.RaiseTo(rack.max_free);
+  return max_free;
 }
 
 }  // namespace mimosarail::placement
--- a/src/placement/capacity_table.h
+++ b/src/placement/capacity_table.h
@@ -10,22 +10,26 @@
 
 namespace mimosarail::placement {
 
+/// Identifies an upstream in a CapacityTable; reused after its removal.
 using CapacityIndex = uint32_t;
 inline constexpr CapacityIndex kNoCapacityIndex = UINT32_MAX;
 
-/// An upstream as seen by the placement code.
+/// Capacity of an upstream and whether it may get new tasks.
 struct UpstreamCapacity {
   std::string name;
+  /// Index into CapacityTable::racks().
   uint32_t rack = 0;
   Amount capacity;
   Amount free;
   /// Whether the upstream may get new tasks: it is attached, its tasks are
   /// known and it is not leaving.
   bool usable = false;
+  /// Number of tasks with a reservation here.
   int32_t tasks = 0;
   /// Consecutive failures since the last success; see
   /// CapacityTable::NoteFailure().
   int32_t failures = 0;
+  /// Earliest time of the next probe; see CapacityTable::NoteFailure().
   TimePoint probe_after{};
 };
 
@@ -37,6 +41,7 @@
   Amount max_free;
 };
 
+/// An upstream to add to a CapacityTable.
 struct UpstreamSpec {
   std::string name;
   std::string rack;
@@ -46,12 +51,14 @@
 
 /// Free capacity of the upstreams of one controller, indexed by rack. All
 /// reservations of policies go through Reserve(), which refuses amounts that do
-/// not fit, so that no policy can overcommit. Not thread-safe.
+/// not fit, so that no policy can overcommit. Precondition of every method with
+/// an index: Add() returned it, and Remove() was not called for it since. Not
+/// thread-safe.
 class CapacityTable {
  public:
+  /// Adds an upstream, which is not usable yet.
   CapacityIndex Add(UpstreamSpec spec);
-  /// Removes an upstream with its reservations. Precondition: the upstream
-  /// exists.
+  /// Removes an upstream with its reservations.
   void Remove(CapacityIndex index);
   void SetUsable(CapacityIndex index, bool usable);
   void SetCapacity(CapacityIndex index, const Amount& capacity);
@@ -63,15 +70,17 @@
   /// capacity.
   void ForceReserve(CapacityIndex index, const Amount& amount,
                     uint64_t group = 0);
-  /// Releases a reservation.
+  /// Releases a reservation of the same amount and group.
   void Release(CapacityIndex index, const Amount& amount, uint64_t group = 0);
 
   /// Counts a failure. An upstream on which tasks fail quickly looks idle and
   /// would attract all work, so after kProbeAfterFailures consecutive failures
-  /// it gets only one task at a time, after exponentially growing pauses.
+  /// it gets only one task at a time, as a probe, after exponentially growing
+  /// pauses.
   void NoteFailure(CapacityIndex index, TimePoint now);
+  /// Resets the count of consecutive failures.
   void NoteSuccess(CapacityIndex index);
-  /// Whether the upstream may get a task now, with regard to its failures.
+  /// Whether the failures of the upstream permit another task now.
   bool MayReceiveTask(CapacityIndex index, TimePoint now) const;
 
   const UpstreamCapacity& upstream(CapacityIndex index) const {
@@ -94,13 +103,15 @@
  private:
   uint32_t RackIndex(const std::string& rack, const std::string& domain);
   void RecomputeMaxFree(uint32_t rack_index);
+  /// Adds the upstream to the totals if `sign` is positive, else subtracts it.
   void AddToTotals(const UpstreamCapacity& upstream, int sign);
-  void AddGroupTasks(CapacityIndex index, uint64_t group, int32_t by);
+  void AddGroupTasks(CapacityIndex index, uint64_t group, int32_t change);
 
   std::vector<UpstreamCapacity> upstreams_;
   std::vector<Rack> racks_;
   std::vector<CapacityIndex> unused_indices_;
   std::unordered_map<std::string, uint32_t> rack_index_;
+  /// Number of tasks by a hash of group and upstream, rack or failure domain.
   std::unordered_map<uint64_t, int32_t> group_tasks_;
   Amount total_free_;
   Amount total_capacity_;
--- a/src/placement/policy.cc
+++ b/src/placement/policy.cc
@@ -10,6 +10,7 @@
 /// The total capacity divided by this number is reserved for urgent work.
 constexpr int32_t kReserveDivisor = 40;
 
+/// An absent or empty list permits every value.
 bool Permits(const std::vector<std::string>* list, const std::string& value) {
   if (list == nullptr || list->empty()) return true;
   return std::find(list->begin(), list->end(), value) != list->end();
@@ -22,7 +23,7 @@
          table.MayReceiveTask(index, request.now);
 }
 
-/// Rates upstreams for a task; the upstream with the lowest score is the best.
+/// Scores upstreams for a task; the upstream with the lowest score is the best.
 class Scorer {
  public:
   Scorer(const CapacityTable& table, const PlacementRequest& request)
@@ -47,6 +48,8 @@
            upstream.capacity[d];
   }
 
+  /// Lower the less capacity is left after the task is placed, and the more
+  /// evenly over the dimensions.
   double PackScore(CapacityIndex index) const {
     const UpstreamCapacity& upstream = table_.upstream(index);
     const double cores = FreeShareAfter(upstream, Dimension::kCores);
@@ -67,6 +70,8 @@
                                                        : 0.0;
   }
 
+  /// Lower for failure domains, then racks, then upstreams with fewer tasks of
+  /// the group, and for upstreams with more capacity left.
   double SpreadScore(CapacityIndex index) const {
     const UpstreamCapacity& upstream = table_.upstream(index);
     const Rack& rack = table_.racks()[upstream.rack];
@@ -93,8 +98,8 @@
   explicit ScoredPolicy(uint64_t seed) : random_(seed) {}
 
  protected:
-  CapacityIndex ChooseOne(const CapacityTable& table,
-                          const PlacementRequest& request) override {
+  CapacityIndex ChooseUpstream(const CapacityTable& table,
+                               const PlacementRequest& request) override {
     const auto& racks = table.racks();
     if (racks.empty()) return kNoCapacityIndex;
     const Scorer scorer(table, request);
@@ -127,8 +132,8 @@
 
 class FirstFitPolicy final : public Policy {
  protected:
-  CapacityIndex ChooseOne(const CapacityTable& table,
-                          const PlacementRequest& request) override {
+  CapacityIndex ChooseUpstream(const CapacityTable& table,
+                               const PlacementRequest& request) override {
     for (const Rack& rack : table.racks()) {
       if (!Allows(request, rack)) continue;
       for (const CapacityIndex index : rack.upstreams) {
@@ -156,8 +161,8 @@
   explicit RandomFitPolicy(uint64_t seed) : random_(seed) {}
 
  protected:
-  CapacityIndex ChooseOne(const CapacityTable& table,
-                          const PlacementRequest& request) override {
+  CapacityIndex ChooseUpstream(const CapacityTable& table,
+                               const PlacementRequest& request) override {
     const std::vector<CapacityIndex> fitting = AllFitting(table, request);
     return fitting.empty() ? kNoCapacityIndex
                            : fitting[random_() % fitting.size()];
@@ -172,8 +177,8 @@
   explicit BestOfTwoPolicy(uint64_t seed) : random_(seed) {}
 
  protected:
-  CapacityIndex ChooseOne(const CapacityTable& table,
-                          const PlacementRequest& request) override {
+  CapacityIndex ChooseUpstream(const CapacityTable& table,
+                               const PlacementRequest& request) override {
     const std::vector<CapacityIndex> fitting = AllFitting(table, request);
     if (fitting.empty()) return kNoCapacityIndex;
     const CapacityIndex a = fitting[random_() % fitting.size()];
@@ -192,20 +197,20 @@
          Permits(request.racks, rack.name);
 }
 
-/// Whether the request leaves the reserve for urgent work free. Work that is
-/// not urgent leaves a small share of cores and slots, so that an urgent
-/// request need not wait for a task to end.
+/// Whether the request leaves the reserve for urgent work free: a small share
+/// of cores and slots that other work may not use, so that an urgent request
+/// need not wait for a task to end.
 bool LeavesReserve(const CapacityTable& table,
                    const PlacementRequest& request) {
   if (request.urgent) return true;
   const Amount free = table.total_free();
   const Amount capacity = table.total_capacity();
   for (const Dimension d : {Dimension::kCores, Dimension::kSlots}) {
-    const int64_t wanted = int64_t{request.size[d]} * request.tasks;
+    const int64_t demand = int64_t{request.size[d]} * request.tasks;
     // A request for more than half of the capacity is exempt, since it could
     // otherwise never start.
-    if (2 * wanted > capacity[d]) continue;
-    const int64_t left = free[d] - wanted;
+    if (2 * demand > capacity[d]) continue;
+    const int64_t left = free[d] - demand;
     if (left < capacity[d] / kReserveDivisor) return false;
   }
   return true;
@@ -216,7 +221,7 @@
   std::vector<CapacityIndex> out;
   if (!LeavesReserve(table, request)) return out;
   for (int32_t i = 0; i < request.tasks; ++i) {
-    const CapacityIndex index = ChooseOne(table, request);
+    const CapacityIndex index = ChooseUpstream(table, request);
     if (index == kNoCapacityIndex ||
         !table.Reserve(index, request.size, request.group)) {
       break;
@@ -248,8 +253,8 @@
 
 std::string ExplainNoCapacity(const CapacityTable& table,
                               const PlacementRequest& request) {
-  CapacityIndex nearest = kNoCapacityIndex;
-  size_t nearest_short = kDimensions + 1;
+  CapacityIndex closest = kNoCapacityIndex;
+  size_t fewest_missing = kDimensions + 1;
   int32_t allowed = 0;
   for (const Rack& rack : table.racks()) {
     if (!Allows(request, rack)) continue;
@@ -257,32 +262,32 @@
       const UpstreamCapacity& upstream = table.upstream(index);
       if (!upstream.usable) continue;
       ++allowed;
-      size_t short_of = 0;
+      size_t missing = 0;
       for (size_t d = 0; d < kDimensions; ++d) {
-        if (request.size.values[d] > upstream.free.values[d]) ++short_of;
+        if (request.size.values[d] > upstream.free.values[d]) ++missing;
       }
-      if (short_of < nearest_short) {
-        nearest_short = short_of;
-        nearest = index;
+      if (missing < fewest_missing) {
+        fewest_missing = missing;
+        closest = index;
       }
     }
   }
-  if (nearest == kNoCapacityIndex) {
+  if (closest == kNoCapacityIndex) {
     return "no usable upstream meets the constraints";
   }
-  const UpstreamCapacity& upstream = table.upstream(nearest);
-  if (nearest_short == 0 && !request.urgent && request.tasks == 1) {
-    return "the remaining free capacity is reserved for urgent work, or its "
-           "upstreams are on probation after failures";
+  const UpstreamCapacity& upstream = table.upstream(closest);
+  if (fewest_missing == 0 && !request.urgent && request.tasks == 1) {
+    return "the remaining free capacity is reserved for urgent work, or "
+           "belongs to upstreams on probation after failures";
   }
-  if (nearest_short == 0) {
+  if (fewest_missing == 0) {
     return request.tasks > 1
                ? "not all " + std::to_string(request.tasks) +
                      " tasks fit at once on " + std::to_string(allowed) +
                      " upstreams"
                : "fitting upstreams are on probation after failures";
   }
-  std::string out = "nearest is " + upstream.name + ":";
+  std::string out = "closest upstream is " + upstream.name + ":";
   for (size_t d = 0; d < kDimensions; ++d) {
     if (request.size.values[d] <= upstream.free.values[d]) continue;
     out += " needs " + std::to_string(request.size.values[d]) + " " +
--- a/src/placement/policy.h
+++ b/src/placement/policy.h
@@ -11,11 +11,13 @@
 
 /// A request to place `tasks` equal tasks, either all of them or none.
 struct PlacementRequest {
+  /// Resources of each task.
   Amount size;
   int32_t tasks = 1;
   bool spread = false;
   /// Tasks of the same group are spread if `spread` is set; 0 for no group.
   uint64_t group = 0;
+  /// Allowed failure domains and racks; null or empty for all. Not owned.
   const std::vector<std::string>* failure_domains = nullptr;
   const std::vector<std::string>* racks = nullptr;
   TimePoint now{};
@@ -37,8 +39,8 @@
 
  protected:
   /// Returns the upstream for one more task, or kNoCapacityIndex.
-  virtual CapacityIndex ChooseOne(const CapacityTable& table,
-                                  const PlacementRequest& request) = 0;
+  virtual CapacityIndex ChooseUpstream(const CapacityTable& table,
+                                       const PlacementRequest& request) = 0;
 };
 
 /// The policy used in production: approximate best fit over all dimensions.
--- a/src/placement/starvation_guard.cc
+++ b/src/placement/starvation_guard.cc
@@ -28,9 +28,9 @@
 }
 
 void StarvationGuard::EndPass() {
+  // The reservation stays with its item while the item is the candidate of each
+  // pass, up to max_reservation.
   if (candidate_ == reserved_for_) return;
-  // The reservation stays with its item until the item has started or
-  // max_reservation has passed.
   reserved_for_ = candidate_;
   reserved_since_ = now_;
 }
--- a/src/placement/wait_queue.h
+++ b/src/placement/wait_queue.h
@@ -17,6 +17,7 @@
   uint64_t id = 0;
   int32_t priority = 0;
   std::string team;
+  /// When the item began to wait.
   TimePoint since{};
   /// Declared core-seconds; counted against the share of the team.
   double core_seconds = 0;
@@ -29,6 +30,7 @@
   Millis declared_run_time{0};
 };
 
+/// What became of a visited item.
 enum class VisitResult {
   kPlaced,   ///< Started; leaves the queue.
   kBlocked,  ///< Does not fit; items of the same shape are skipped in this
@@ -77,6 +79,7 @@
   static constexpr int kUrgentStartsPerOther = 8;
 
  private:
+  /// Key returned by Push(), and the id of the item to break ties.
   using Key = std::pair<int64_t, uint64_t>;
   struct Entry {
     QueueItem item;
@@ -93,6 +96,8 @@
   std::unordered_map<uint64_t, Entry> items_;
   std::set<Key> urgent_;
   std::set<Key> others_;
+  /// Virtual time of each team in milliseconds; advances by the declared
+  /// core-seconds of its items at team_rate.
   std::unordered_map<std::string, double> team_clock_;
   /// Starts of priority 0 since an item of lower priority was visited first.
   int urgent_starts_ = 0;
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,5 +1,6 @@
 // Tests of placement: no upstream is overcommitted, gangs are placed completely
-// or not at all, waiting requests age, failing upstreams are probed.
+// or not at all, waiting requests age, failing upstreams are probed. Also tests
+// the retry budget, the assignment of racks and the resolution of tasks.
 
 #define BOOST_TEST_MODULE placement
 #include <boost/test/data/test_case.hpp>
@@ -254,23 +255,23 @@
 namespace mimosarail::requests {
 namespace {
 
-/// The inputs and the expected result of one settlement.
-struct SettleCase {
+/// The inputs and the expected result of one ResolveTask() call.
+struct ResolutionCase {
   const char* name;
   bool reported_running;
   bool reported_moved;
   bool covered;
   bool fenced;
-  bool vanished;
+  bool upstream_removed;
   bool lease_expiry_proved;
   ResolutionResult expected;
 };
 
-std::ostream& operator<<(std::ostream& out, const SettleCase& c) {
+std::ostream& operator<<(std::ostream& out, const ResolutionCase& c) {
   return out << c.name;
 }
 
-const std::vector<SettleCase> kSettleCases{
+const std::vector<ResolutionCase> kResolutionCases{
     {"held by another entry", true, false, false, false, false, false,
      ResolutionResult::kRunning},
     {"moved, so its outcome is unknown", false, true, true, false, false, false,
@@ -283,14 +284,14 @@
      ResolutionResult::kNotStarted},
     {"absent, but an upstream left with its inventory", false, false, true,
      true, true, false, ResolutionResult::kNotRunning},
-    {"lapse proved, not covered", false, true, false, true, false, true,
+    {"lease expiry proved, not covered", false, true, false, true, false, true,
      ResolutionResult::kNotRunning},
 };
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(settlements, boost::unit_test::data::make(kSettleCases),
-                     c) {
+BOOST_DATA_TEST_CASE(tasks_are_resolved_by_the_answers,
+                     boost::unit_test::data::make(kResolutionCases), c) {
   std::map<std::string, wire::FindReply> answers;
   wire::FindReply& reply = answers["entry"];
   reply.attached = {"up-1"};
@@ -307,7 +308,7 @@
                    .answers = &answers,
                    .listed_upstreams = {"up-1", "up-2"},
                    .fenced = c.fenced,
-                   .upstream_removed = c.vanished,
+                   .upstream_removed = c.upstream_removed,
                    .lease_expiry_proved = c.lease_expiry_proved});
   BOOST_TEST(static_cast<int>(result.result) == static_cast<int>(c.expected));
 }
