--- a/bench/arrivals.h
+++ b/bench/arrivals.h
@@ -10,7 +10,7 @@
 
 namespace mimosarail::bench {
 
-/// Kinds of jobs in the users' load.
+/// Kinds of jobs that users submit.
 enum class JobKind { kUrgent, kBatch, kGang, kService };
 
 struct Job {
@@ -25,17 +25,19 @@
   bool repeatable = true;
 };
 
-/// A load modelled on one of the users.
+/// Parameters of a load modelled on that of a user.
 struct Load {
   std::string name;
   double utilisation = 0.9;  ///< Offered core-seconds / capacity.
   double seconds = 3600;
-  double declared_spread = 1;  ///< Maximum error factor of declared times.
-  bool burst = false;          ///< 400 urgent jobs within 0.5 s, halfway.
-  bool overnight = false;      ///< Half of the batch jobs in one minute.
-  double gang_share = 0.1;     ///< Share of gangs in the core-seconds.
-  double failing = 0;          ///< Share of upstreams that fail all tasks.
-  bool rack_outage = false;    ///< One rack is lost halfway.
+  /// Declared run times are 0.3 to this many times the actual ones if this is
+  /// above 1, else exact.
+  double declared_spread = 1;
+  bool burst = false;        ///< 400 urgent jobs within 0.5 s, halfway.
+  bool overnight = false;    ///< Half of the batch jobs in one minute.
+  double gang_share = 0.1;   ///< Share of gangs in the core-seconds.
+  double failing = 0;        ///< Share of upstreams that fail all tasks.
+  bool rack_outage = false;  ///< One rack is lost halfway.
 };
 
 /// Generates the jobs of a load on `cores` cores, in order of arrival. The same
@@ -47,9 +49,9 @@
     return std::uniform_real_distribution<double>(low, high)(random);
   };
   std::vector<Job> jobs;
-  const double wanted = load.utilisation * cores * load.seconds;
+  const double target = load.utilisation * cores * load.seconds;
   double offered = 0;
-  while (offered < wanted) {
+  while (offered < target) {
     Job job;
     const double pick = uniform(0, 1);
     job.arrival_time = uniform(0, load.seconds);
--- a/bench/leader_bench.cc
+++ b/bench/leader_bench.cc
@@ -19,8 +19,8 @@
 constexpr Millis kStep{20};
 constexpr int kStepsPerSecond = 50;
 
-/// A kind of job that users submit.
-struct Kind {
+/// A type of job that users submit.
+struct JobType {
   const char* queue;
   int32_t priority;
   bool gang;
@@ -34,7 +34,7 @@
 
 /// Rates are for 540 upstreams with 16 cores; they scale with the number of
 /// upstreams.
-const std::vector<Kind> kKinds{
+const std::vector<JobType> kJobTypes{
     {"render", 1, true, 7.3, 24, 4500, 5000, 455, 6.5},
     {"report", 2, false, 12.2, 22, 2800, 3400, 104, 1.43},
     {"push", 0, false, 135, 3, 3900, 640, 11.7, 0.17}};
@@ -43,22 +43,22 @@
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-void Submit(jobsim::JobCell& cell, const Kind& kind, JobId id,
+void Submit(jobsim::JobCell& cell, const JobType& type, JobId id,
             std::mt19937_64& random) {
   wire::JobSpec spec =
-      jobsim::OneStepJob(id, kind.tasks, kind.millicores, kind.gang);
+      jobsim::OneStepJob(id, type.tasks, type.millicores, type.gang);
   spec.payload = std::string(200, 'x');
-  spec.queue.name = kind.queue;
-  spec.queue.priority = kind.priority;
+  spec.queue.name = type.queue;
+  spec.queue.priority = type.priority;
   spec.queue.slack_factor = 2;
   spec.queue.advised = true;
-  spec.queue.advice_base_ms = kind.advice_base_ms;
-  spec.queue.advice_each_ms = kind.advice_each_ms;
+  spec.queue.advice_base_ms = type.advice_base_ms;
+  spec.queue.advice_each_ms = type.advice_each_ms;
   spec.queue.ticket_valid_ms = 1500;
-  spec.steps[0].estimate_ms = kind.millis;
-  for (int32_t i = 0; i < kind.tasks; ++i) {
-    const auto run_time = static_cast<int64_t>(kind.millis / 2) +
-                          static_cast<int64_t>(random() % kind.millis);
+  spec.steps[0].estimate_ms = type.millis;
+  for (int32_t i = 0; i < type.tasks; ++i) {
+    const auto run_time = static_cast<int64_t>(type.millis / 2) +
+                          static_cast<int64_t>(random() % type.millis);
     cell.upstreams().behavior({id, 0, 0, i}).run_time = Millis(run_time);
   }
   const auto names = cell.names();
@@ -74,13 +74,13 @@
   int64_t tasks = 0;
   const double before = ProcessorSeconds();
   for (int step = 0; step < seconds * kStepsPerSecond; ++step) {
-    for (const Kind& kind : kKinds) {
+    for (const JobType& type : kJobTypes) {
       const double mean =
-          kind.per_second * upstreams / kUpstreams / kStepsPerSecond;
+          type.per_second * upstreams / kUpstreams / kStepsPerSecond;
       int count = std::poisson_distribution<int>(mean)(random);
       for (; count > 0; --count) {
-        Submit(cell, kind, next++, random);
-        tasks += kind.tasks;
+        Submit(cell, type, next++, random);
+        tasks += type.tasks;
       }
     }
     cell.RunFor(kStep);
--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -1,6 +1,6 @@
-// Compares the placement policy with baselines in the same run: seeded arrivals
-// modelled on both users, a manual clock, and a CapacityTable in place of the
-// upstreams.
+// Compares the queue and the placement policy with baselines in the same run:
+// seeded arrivals modelled on the users' loads, simulated time, and only a
+// CapacityTable in place of upstreams.
 
 #include <algorithm>
 #include <chrono>
@@ -23,7 +23,7 @@
 using placement::CapacityIndex;
 using placement::Dimension;
 
-constexpr double kFailAfter = 0.01;
+constexpr double kFailAfterSeconds = 0.01;
 const TimePoint kStart = TimePoint() + std::chrono::hours(1);
 
 TimePoint At(double seconds) {
@@ -32,14 +32,18 @@
 }
 
 /// Queue order and placement policy under test.
-struct Contender {
+struct Variant {
   std::string name;
   std::function<std::unique_ptr<placement::Policy>()> policy;
-  bool product = false;  ///< Priorities, ageing, reserve, guard.
+  /// Whether priorities, ageing, the reserve for urgent work and the starvation
+  /// guard are used as in the product.
+  bool product = false;
 };
 
-struct Figures {
+struct Results {
   std::map<JobKind, std::vector<double>> waits;
+  /// Integral over time of the used share of the fullest dimension, and the
+  /// time that it covers.
   double packed = 0;
   double packed_time = 0;
   int64_t decisions = 0;
@@ -49,14 +53,14 @@
   int overcommits = 0;
 };
 
-/// Simulates one load with one contender.
+/// Simulates one load with one variant. Times are in seconds.
 class Simulation {
  public:
-  Simulation(const Load& load, const Contender& contender, int racks,
-             double cores, uint64_t seed)
+  Simulation(const Load& load, const Variant& variant, int racks, double cores,
+             uint64_t seed)
       : load_(load),
-        contender_(contender),
-        policy_(contender.policy()),
+        variant_(variant),
+        policy_(variant.policy()),
         jobs_(MakeJobs(load, racks * 8 * cores, seed)) {
     for (int rack = 0; rack < racks; ++rack) {
       for (int i = 0; i < 8; ++i) {
@@ -71,66 +75,69 @@
       }
     }
     const auto upstreams = static_cast<double>(capacity_.upstreams().size());
-    failing_ = static_cast<CapacityIndex>(load.failing * upstreams);
+    failing_upstreams_ = static_cast<CapacityIndex>(load.failing * upstreams);
   }
 
-  Figures Run() {
+  Results Run() {
     size_t next = 0;
     bool rack_outage = false;
-    while (next < jobs_.size() || !ends_.empty()) {
-      double when = next < jobs_.size() ? jobs_[next].arrival_time : 1e18;
-      if (!ends_.empty()) when = std::min(when, ends_.top().when);
-      Advance(when);
-      if (when > load_.seconds * 4) break;
-      if (load_.rack_outage && !rack_outage && when > load_.seconds / 2) {
+    while (next < jobs_.size() || !running_.empty()) {
+      double time = next < jobs_.size() ? jobs_[next].arrival_time : 1e18;
+      if (!running_.empty()) time = std::min(time, running_.top().end_time);
+      AdvanceTo(time);
+      if (time > load_.seconds * 4) break;
+      if (load_.rack_outage && !rack_outage && time > load_.seconds / 2) {
         rack_outage = true;
         LoseRack();
       }
       while (next < jobs_.size() && jobs_[next].arrival_time <= now_) {
-        Arrive(next++);
+        Enqueue(next++);
       }
-      while (!ends_.empty() && ends_.top().when <= now_) End();
-      Drain();
+      while (!running_.empty() && running_.top().end_time <= now_) EndNext();
+      PlaceWaiting();
     }
-    figures_.unstarted = static_cast<int>(queue_.size());
-    return figures_;
+    results_.unstarted = static_cast<int>(queue_.size());
+    return results_;
   }
 
  private:
   struct Running {
-    double when = 0;
+    double end_time = 0;
     size_t job = 0;
     std::vector<CapacityIndex> upstreams;
     bool fails = false;
     uint64_t serial = 0;
-    bool operator<(const Running& other) const { return when > other.when; }
+    bool operator<(const Running& other) const {
+      return end_time > other.end_time;
+    }
   };
 
-  void Advance(double when) {
-    // Packing is measured only while jobs wait and new ones still arrive.
+  void AdvanceTo(double time) {
+    // Packing is measured only while jobs wait and others still arrive.
     if (queue_.size() > 0 && now_ < load_.seconds) {
-      const double span = std::min(when, load_.seconds) - now_;
+      const double span = std::min(time, load_.seconds) - now_;
       const Amount free = capacity_.total_free();
       const Amount capacity = capacity_.total_capacity();
-      double best = 0;
+      double fullest = 0;
       for (const Dimension d :
            {Dimension::kCores, Dimension::kMemory, Dimension::kSlots}) {
-        best = std::max(best, 1.0 - static_cast<double>(free[d]) / capacity[d]);
+        fullest =
+            std::max(fullest, 1.0 - static_cast<double>(free[d]) / capacity[d]);
       }
-      figures_.packed += best * span;
-      figures_.packed_time += span;
+      results_.packed += fullest * span;
+      results_.packed_time += span;
     }
-    now_ = when;
+    now_ = time;
   }
 
-  void Arrive(size_t index) {
+  void Enqueue(size_t index) {
     const Job& job = jobs_[index];
     placement::QueueItem item;
     item.id = index;
-    item.priority = contender_.product ? job.priority : 4;
-    item.team = contender_.product ? job.team : "all";
+    item.priority = variant_.product ? job.priority : 4;
+    item.team = variant_.product ? job.team : "all";
     item.since = At(job.arrival_time);
-    item.core_seconds = contender_.product
+    item.core_seconds = variant_.product
                             ? job.size[Dimension::kCores] / 1000.0 * job.tasks *
                                   job.declared_run_time
                             : 0;
@@ -145,8 +152,8 @@
     uint64_t shape = static_cast<uint64_t>(job.tasks) * 7 +
                      (job.kind == JobKind::kService ? 1 : 0) +
                      (job.priority == 0 ? 2 : 0);
-    for (const int32_t part : job.size.values) {
-      shape = shape * 1000003 + static_cast<uint64_t>(part);
+    for (const int32_t amount : job.size.values) {
+      shape = shape * 1000003 + static_cast<uint64_t>(amount);
     }
     return shape;
   }
@@ -155,7 +162,7 @@
     const Job& job = jobs_[index];
     placement::PlacementRequest request{
         .size = job.size, .tasks = job.tasks, .now = At(now_)};
-    if (contender_.product) {
+    if (variant_.product) {
       request.spread = job.kind == JobKind::kService;
       request.group = request.spread ? 1 : 0;
       request.urgent = job.priority == 0 || guard_.IsReservedFor(index);
@@ -165,27 +172,27 @@
     return request;
   }
 
-  void Drain() {
-    if (contender_.product) guard_.BeginPass(At(now_));
+  void PlaceWaiting() {
+    if (variant_.product) guard_.BeginPass(At(now_));
     queue_.VisitInOrder(At(now_), [&](const placement::QueueItem& item) {
-      if (contender_.product && !guard_.MayStart(item)) {
+      if (variant_.product && !guard_.MayStart(item)) {
         return placement::VisitResult::kSkipped;
       }
       const auto before = std::chrono::steady_clock::now();
       auto upstreams = policy_->Place(capacity_, PlacementRequestOf(item.id));
-      figures_.decision_seconds +=
+      results_.decision_seconds +=
           std::chrono::duration<double>(std::chrono::steady_clock::now() -
                                         before)
               .count();
-      ++figures_.decisions;
+      ++results_.decisions;
       if (upstreams.empty()) {
-        if (contender_.product) guard_.NoteBlocked(item);
+        if (variant_.product) guard_.NoteBlocked(item);
         return placement::VisitResult::kBlocked;
       }
       Start(item.id, std::move(upstreams));
       return placement::VisitResult::kPlaced;
     });
-    if (contender_.product) guard_.EndPass();
+    if (variant_.product) guard_.EndPass();
     CheckOvercommit();
   }
 
@@ -195,40 +202,41 @@
         .job = index, .upstreams = std::move(upstreams), .serial = ++serial_};
     running.fails = std::any_of(
         running.upstreams.begin(), running.upstreams.end(),
-        [&](CapacityIndex upstream) { return upstream < failing_; });
-    running.when = now_ + (running.fails ? kFailAfter : job.run_time);
+        [&](CapacityIndex upstream) { return upstream < failing_upstreams_; });
+    running.end_time =
+        now_ + (running.fails ? kFailAfterSeconds : job.run_time);
     if (!running.fails) {
-      figures_.waits[job.kind].push_back(now_ - job.arrival_time);
+      results_.waits[job.kind].push_back(now_ - job.arrival_time);
     }
-    ends_.push(std::move(running));
+    running_.push(std::move(running));
   }
 
-  void End() {
-    const Running running = ends_.top();
-    ends_.pop();
+  void EndNext() {
+    const Running running = running_.top();
+    running_.pop();
     const Job& job = jobs_[running.job];
     bool lost = false;
     for (const CapacityIndex upstream : running.upstreams) {
-      if (lost_.contains(upstream)) {
+      if (lost_upstreams_.contains(upstream)) {
         lost = true;
         continue;
       }
       capacity_.Release(upstream, job.size,
                         PlacementRequestOf(running.job).group);
-      if (running.fails && upstream < failing_) {
+      if (running.fails && upstream < failing_upstreams_) {
         capacity_.NoteFailure(upstream, At(now_));
       }
       if (!running.fails) capacity_.NoteSuccess(upstream);
     }
     if (!running.fails || lost) return;
-    ++figures_.failures;
-    Arrive(running.job);
+    ++results_.failures;
+    Enqueue(running.job);
   }
 
   void LoseRack() {
     for (const CapacityIndex upstream :
          std::vector<CapacityIndex>(capacity_.racks()[1].upstreams)) {
-      lost_.insert(upstream);
+      lost_upstreams_.insert(upstream);
       capacity_.SetUsable(upstream, false);
     }
   }
@@ -236,24 +244,24 @@
   void CheckOvercommit() {
     for (const placement::UpstreamCapacity& upstream : capacity_.upstreams()) {
       for (const int32_t free : upstream.free.values) {
-        if (free < 0) ++figures_.overcommits;
+        if (free < 0) ++results_.overcommits;
       }
     }
   }
 
   Load load_;
-  Contender contender_;
+  Variant variant_;
   std::unique_ptr<placement::Policy> policy_;
   std::vector<Job> jobs_;
   placement::CapacityTable capacity_;
   placement::WaitQueue queue_;
   placement::StarvationGuard guard_;
-  std::priority_queue<Running> ends_;
-  std::set<CapacityIndex> lost_;
+  std::priority_queue<Running> running_;
+  std::set<CapacityIndex> lost_upstreams_;
   double now_ = 0;
-  CapacityIndex failing_ = 0;
+  CapacityIndex failing_upstreams_ = 0;
   uint64_t serial_ = 0;
-  Figures figures_;
+  Results results_;
 };
 
 double Percentile(std::vector<double> values, double p) {
@@ -266,12 +274,12 @@
   return values[at];
 }
 
-double MaxWait(const Figures& figures) {
-  double most = 0;
-  for (const auto& [kind, waits] : figures.waits) {
-    most = std::max(most, Percentile(waits, 1.0));
+double MaxWait(const Results& results) {
+  double longest = 0;
+  for (const auto& [kind, waits] : results.waits) {
+    longest = std::max(longest, Percentile(waits, 1.0));
   }
-  return most;
+  return longest;
 }
 
 const char* KindName(JobKind kind) {
@@ -288,10 +296,10 @@
   return "?";
 }
 
-void PrintFigures(const std::string& load, const std::string& name,
-                  const Figures& f) {
+void PrintResults(const std::string& load, const std::string& name,
+                  const Results& results) {
   const std::string prefix = load + "." + name + ".";
-  for (const auto& [kind, waits] : f.waits) {
+  for (const auto& [kind, waits] : results.waits) {
     for (const auto& [label, p] :
          {std::pair("p50", 0.5), std::pair("p99", 0.99),
           std::pair("max", 1.0)}) {
@@ -299,17 +307,20 @@
                   label, Percentile(waits, p));
     }
   }
-  std::printf("%spacking_while_waiting=%.4f share\n", prefix.c_str(),
-              f.packed_time > 0 ? f.packed / f.packed_time : 0);
-  std::printf("%sdecision=%.2f us\n", prefix.c_str(),
-              1e6 * f.decision_seconds / static_cast<double>(f.decisions));
-  std::printf("%sfailed_tries=%d tasks\n", prefix.c_str(), f.failures);
-  std::printf("%snever_started=%d jobs\n", prefix.c_str(), f.unstarted);
-  std::printf("%sovercommits=%d rows\n", prefix.c_str(), f.overcommits);
+  std::printf(
+      "%spacking_while_waiting=%.4f share\n", prefix.c_str(),
+      results.packed_time > 0 ? results.packed / results.packed_time : 0);
+  std::printf(
+      "%sdecision=%.2f us\n", prefix.c_str(),
+      1e6 * results.decision_seconds / static_cast<double>(results.decisions));
+  std::printf("%sfailed_tries=%d tasks\n", prefix.c_str(), results.failures);
+  std::printf("%snever_started=%d jobs\n", prefix.c_str(), results.unstarted);
+  std::printf("%sovercommits=%d upstreams\n", prefix.c_str(),
+              results.overcommits);
 }
 
 void RunLoad(const Load& load, int racks, double cores) {
-  const std::vector<Contender> contenders{
+  const std::vector<Variant> variants{
       {"first_fit", [] { return placement::MakeFirstFitPolicy(); }},
       {"random_fit", [] { return placement::MakeRandomFitPolicy(3); }},
       {"best_of_two", [] { return placement::MakeBestOfTwoPolicy(3); }},
@@ -317,15 +328,16 @@
   double best_urgent = 1e18;
   double best_packing = 0;
   double best_max = 1e18;
-  for (const Contender& contender : contenders) {
-    const Figures f = Simulation(load, contender, racks, cores, 42).Run();
-    PrintFigures(load.name, contender.name, f);
-    const double urgent = Percentile(f.waits.at(JobKind::kUrgent), 0.99);
-    const double packing = f.packed_time > 0 ? f.packed / f.packed_time : 0;
-    if (!contender.product) {
+  for (const Variant& variant : variants) {
+    const Results results = Simulation(load, variant, racks, cores, 42).Run();
+    PrintResults(load.name, variant.name, results);
+    const double urgent = Percentile(results.waits.at(JobKind::kUrgent), 0.99);
+    const double packing =
+        results.packed_time > 0 ? results.packed / results.packed_time : 0;
+    if (!variant.product) {
       best_urgent = std::min(best_urgent, urgent);
       best_packing = std::max(best_packing, packing);
-      best_max = std::min(best_max, MaxWait(f));
+      best_max = std::min(best_max, MaxWait(results));
       continue;
     }
     std::printf("%s.ratio.urgent_p99=%.3f of best baseline\n",
@@ -336,7 +348,7 @@
     std::printf("%s.ratio.packing=%.3f of best baseline\n", load.name.c_str(),
                 best_packing > 0 ? packing / best_packing : 1);
     std::printf("%s.ratio.longest_wait=%.3f of best baseline\n",
-                load.name.c_str(), MaxWait(f) / std::max(best_max, 1e-9));
+                load.name.c_str(), MaxWait(results) / std::max(best_max, 1e-9));
   }
 }
 
@@ -373,9 +385,9 @@
   std::vector<double> micros;
   constexpr int kDecisions = 50000;
   for (int i = 0; i < kDecisions; ++i) {
-    const size_t victim = random() % placed.size();
-    table.Release(placed[victim].first, placed[victim].second.size,
-                  placed[victim].second.group);
+    const size_t ended = random() % placed.size();
+    table.Release(placed[ended].first, placed[ended].second.size,
+                  placed[ended].second.group);
     const placement::PlacementRequest request = make_request();
     const auto before = std::chrono::steady_clock::now();
     const auto chosen = policy->Place(table, request);
@@ -383,10 +395,10 @@
                          std::chrono::steady_clock::now() - before)
                          .count());
     if (chosen.empty()) {
-      placed[victim] = placed.back();
+      placed[ended] = placed.back();
       placed.pop_back();
     } else {
-      placed[victim] = {chosen[0], request};
+      placed[ended] = {chosen[0], request};
     }
   }
   double sum = 0;
--- a/bench/system_bench.cc
+++ b/bench/system_bench.cc
@@ -40,8 +40,8 @@
 }
 
 template <typename State>
-bool Eventually(const State& state, double limit = 60) {
-  const double until = Now() + limit;
+bool Eventually(const State& state, double limit_seconds = 60) {
+  const double until = Now() + limit_seconds;
   while (Now() < until) {
     if (state()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -177,8 +177,8 @@
   std::fflush(stdout);
 }
 
-/// The shipped settings, instead of the shorter times of the scenarios.
-json ShippedTimes() {
+/// The default settings, instead of the shorter times of the scenarios.
+json DefaultTimes() {
   return {{"heartbeat_ms", 500},      {"suspect_ms", 1500},
           {"dead_ms", 2500},          {"return_ms", 2000},
           {"list_refresh_ms", 1000},  {"lease_ms", 8000},
@@ -187,8 +187,8 @@
           {"checkpoint_ms", 60000},   {"shutdown_ms", 20000}};
 }
 
-/// Measures the cost of one idle daemon, by its upstreams and by the number of
-/// entries.
+/// Measures the cost of one daemon that neither starts nor ends tasks, with the
+/// given numbers of entries, upstreams and running tasks.
 void MeasureIdleCost(const std::string& bin, int entries, int racks,
                      int per_rack, int tasks) {
   RealCell cell(bin, {{"entries", entries},
@@ -196,26 +196,26 @@
                       {"upstreams_per_rack", per_rack},
                       {"cores", 64},
                       {"slots", 64},
-                      {"settings", ShippedTimes()}});
+                      {"settings", DefaultTimes()}});
   WaitUntilReady(cell,
                  static_cast<size_t>(racks) * static_cast<size_t>(per_rack));
   for (int i = 0; i < tasks; ++i) {
     cell.Http("entry-0", "POST", "/v1/requests", Request(600000, ""));
   }
   std::this_thread::sleep_for(std::chrono::seconds(1));
-  constexpr double kSpan = 12;
+  constexpr double kSpanSeconds = 12;
   const Cost before = CostOf(cell, "entry-0");
-  std::this_thread::sleep_for(Seconds(kSpan));
+  std::this_thread::sleep_for(Seconds(kSpanSeconds));
   const std::string name = "rest." + std::to_string(entries) + "_entries." +
                            std::to_string(racks * per_rack) + "_upstreams." +
                            std::to_string(tasks) + "_tasks";
   std::printf("%s.attached=%zu upstreams\n", name.c_str(),
               Attached(cell, "entry-0").size());
-  PrintCost(cell, name, before, kSpan);
+  PrintCost(cell, name, before, kSpanSeconds);
 }
 
-/// Measures the latency of the fake upstream without the system: a start, then
-/// the end reported by a renewal.
+/// Measures the latency of the fake upstream called directly, without a daemon:
+/// a start, then the end reported by a renewal.
 void MeasureDirectCalls(const std::string& bin) {
   asio::io_context io;
   rpc::AsioExecutor executor(io);
@@ -228,7 +228,7 @@
       out, R"({"upstreams": [{"name": "u", "rack": "r", "address": "%s"}]})",
       address.c_str());
   std::fclose(out);
-  scenarios::Process standin(
+  scenarios::Process fake(
       {bin + "/tests/standins/mimosarail_standin", "--cell", file,
        "--upstreams", address, "--control",
        "127.0.0.1:" + std::to_string(scenarios::FreePort())},
@@ -284,9 +284,9 @@
 }
 
 void MeasurePeak(const std::string& bin) {
-  json settings = ShippedTimes();
-  // The benchmark produces more outcomes within their window than a daemon
-  // should keep.
+  json settings = DefaultTimes();
+  // The benchmark produces more outcomes within their retention period than the
+  // default limits let a daemon keep.
   settings["max_requests"] = 1000000;
   settings["max_answer_bytes"] = 1 << 28;
   RealCell cell(bin, {{"entries", 6},
@@ -316,7 +316,7 @@
                       {"upstreams_per_rack", 8},
                       {"cores", 16},
                       {"slots", 8},
-                      {"settings", ShippedTimes()}});
+                      {"settings", DefaultTimes()}});
   WaitUntilReady(cell, 48);
   const double before = Now();
   cell.Signal("entry-5", signal);
@@ -352,7 +352,7 @@
   RealCell cell(bin, {{"entries", 6},
                       {"racks", 6},
                       {"upstreams_per_rack", 1},
-                      {"settings", ShippedTimes()}});
+                      {"settings", DefaultTimes()}});
   WaitUntilReady(cell, 6);
   std::vector<double> times;
   for (int64_t base = 1; base <= 100; ++base) {
