--- a/src/app/daemon.cc
+++ b/src/app/daemon.cc
@@ -34,7 +34,7 @@
                     .address = s.advertise.empty() ? s.listen : s.advertise,
                     .failure_domain = s.failure_domain,
                     .seeds = s.peers,
-                    .heartbeat = Millis(s.heartbeat_ms),
+                    .heartbeat_interval = Millis(s.heartbeat_ms),
                     .suspect_after = Millis(s.suspect_ms),
                     .dead_after = Millis(s.dead_ms),
                     .return_after = Millis(s.return_ms)};
@@ -59,8 +59,8 @@
                   .max_delay = Millis(s.max_delay_ms),
                   .place_validity = Millis(s.dead_ms),
                   .seed = out.seed};
-  out.list_refresh = Millis(s.list_refresh_ms);
-  out.cost_flush = Millis(s.cost_flush_ms);
+  out.list_refresh_interval = Millis(s.list_refresh_ms);
+  out.cost_flush_interval = Millis(s.cost_flush_ms);
   out.shutdown_limit = Millis(s.shutdown_ms);
   return out;
 }
--- a/src/callers/http_api.cc
+++ b/src/callers/http_api.cc
@@ -303,7 +303,7 @@
   void Ready(Response& response) {
     const auto blockers =
         CallControl<std::vector<std::string>>([this](auto done) {
-          auto list = instance.Blockers();
+          auto list = instance.ReadinessBlockers();
           if (list.empty() && !instance.ready()) list.emplace_back("starting");
           done(std::move(list));
         });
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -79,12 +79,12 @@
   for (const auto& [name, peer] : members.peers()) {
     out.push_back({{"name", name},
                    {"state", membership::PeerStateName(peer.state)},
-                   {"phase", kEntryPhaseNames.Name(peer.last.phase)},
+                   {"phase", kEntryPhaseNames.Name(peer.last_heartbeat.phase)},
                    {"failure_domain", peer.failure_domain},
                    {"address", peer.address},
-                   {"revision", peer.last.revision},
-                   {"upstreams", peer.last.upstreams},
-                   {"waiting", peer.last.waiting}});
+                   {"revision", peer.last_heartbeat.revision},
+                   {"upstreams", peer.last_heartbeat.upstreams},
+                   {"waiting", peer.last_heartbeat.waiting}});
   }
   return {{"seen_from", members.options().name}, {"instances", out}};
 }
--- a/src/control/controller.cc
+++ b/src/control/controller.cc
@@ -11,7 +11,8 @@
       listener_(listener),
       options_(std::move(options)) {}
 
-void Controller::SetListed(const std::vector<wire::ListedInstance>& instances) {
+void Controller::ApplyInstanceList(
+    const std::vector<wire::ListedInstance>& instances) {
   std::map<std::string, wire::ListedInstance> before = std::move(listed_);
   listed_.clear();
   for (const wire::ListedInstance& listed : instances) {
@@ -20,7 +21,7 @@
     }
   }
   if (before != listed_) ++list_version_;
-  for (const auto& [name, was] : before) {
+  for (const auto& [name, old_listed] : before) {
     if (!listed_.contains(name)) last_delisting_ = executor_.Now();
   }
   for (const auto& [name, listed] : listed_) {
@@ -90,7 +91,7 @@
   std::vector<std::string> out;
   for (const auto& [name, session] : sessions_) {
     if (session->phase() != SessionPhase::kReady) continue;
-    if (session->confirmed_since() >= since) out.push_back(name);
+    if (session->last_confirmed_renewal() >= since) out.push_back(name);
   }
   return out;
 }
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -10,9 +10,8 @@
 
 namespace mimosarail::control {
 
-/// The upstreams of the cell: sessions for the upstreams on racks assigned to
-/// this entry, and the instance list entries of all upstreams. Control thread
-/// only.
+/// Keeps a session for each upstream on the racks assigned to this entry, and
+/// the instance list entries of all upstreams. Control thread only.
 class Controller {
  public:
   /// The executor, the port and the listener must outlive it.
@@ -20,9 +19,10 @@
              SessionListener& listener, SessionOptions options);
 
   /// Applies a new version of the instance list.
-  void SetListed(const std::vector<wire::ListedInstance>& instances);
-  /// `controller_of` maps each rack to its preferred controller; `minority` is
-  /// the result of Membership::InMinority().
+  void ApplyInstanceList(const std::vector<wire::ListedInstance>& instances);
+  /// Applies a new assignment of racks. `controller_of` maps each rack to its
+  /// preferred controller; `minority` is the result of
+  /// Membership::InMinority().
   void SetAssignment(std::map<std::string, std::string> controller_of,
                      bool minority);
 
@@ -41,14 +41,14 @@
   const std::map<std::string, wire::ListedInstance>& listed() const {
     return listed_;
   }
-  /// Incremented when the list of upstreams changes.
+  /// Incremented when listed() changes.
   int64_t list_version() const { return list_version_; }
   /// Preferred controller of a rack, or "" while unknown.
   std::string ControllerOf(const std::string& rack) const;
   /// Names of the upstreams attached here whose inventory has been adopted.
   std::vector<std::string> Attached() const;
-  /// Names of the attached upstreams that have confirmed control of this entry
-  /// after `since`.
+  /// Names of the attached upstreams that have confirmed at some time after
+  /// `since` that this entry controls them.
   std::vector<std::string> AttachedSince(TimePoint since) const;
   /// When an upstream last left the instance list; TimePoint{} if never.
   TimePoint last_delisting() const { return last_delisting_; }
--- a/src/control/upstream_session.cc
+++ b/src/control/upstream_session.cc
@@ -48,7 +48,7 @@
       options_(std::move(options)),
       listed_(std::move(listed)),
       attach_retry_(options_.attach_retry),
-      contest_backoff_(options_.contest_backoff_initial),
+      contention_backoff_(options_.contention_backoff_initial),
       random_(options_.seed ^ Hash64(listed_.name)) {
   row_ = room_.Add(
       {.name = listed_.name,
@@ -67,11 +67,12 @@
   return delisted_ || phase_ == SessionPhase::kIdle;
 }
 
-/// Drops replies to calls made before the last attach or loss of control: a
+/// Wraps `handle` to drop replies to calls made before the last attach or loss
+/// of contact or control: a
 /// delayed renewal reply would restore tasks that the new inventory has already
 /// resolved.
 template <typename Reply>
-Callback<Reply> UpstreamSession::Guard(
+Callback<Reply> UpstreamSession::ForCurrentGeneration(
     std::function<void(const Result<Reply>&)> handle) {
   return [weak = weak_from_this(), generation = generation_,
           handle = std::move(handle)](const Result<Reply>& reply) {
@@ -95,29 +96,30 @@
 }
 
 void UpstreamSession::UpdateUsable() {
-  const bool was = room_.row(row_).usable;
+  const bool was_usable = room_.row(row_).usable;
   room_.SetUsable(row_, usable());
-  if (was != usable()) listener_.OnCapacityChanged();
+  if (was_usable != usable()) listener_.OnCapacityChanged();
 }
 
 void UpstreamSession::Attach() {
   // Attaching without being the preferred controller would take the upstream
-  // from the entry that is. The owners of the tasks find them there.
+  // from the entry that is. The owners of the tasks query that entry for them.
   if (!preferred_) return HandOver();
   phase_ = SessionPhase::kAttaching;
   UpdateUsable();
   ++generation_;
-  // The term is also increased after a lost reply: that attach may have taken
-  // effect, and only a higher term fences calls sent under it.
-  term_ = std::max(seen_term_, term_) + 1;
-  seen_term_ = term_;
+  // The term is also increased if the reply to the last attach was lost: that
+  // attach may have taken effect, and only a higher term fences the calls sent
+  // under its term.
+  term_ = std::max(highest_seen_term_, term_) + 1;
+  highest_seen_term_ = term_;
   wire::AttachCall call;
   call.upstream = listed_.name;
   call.controller = options_.controller;
   call.term = term_;
-  port_.Attach(
-      listed_.address, call,
-      Guard<wire::AttachReply>([this](const auto& reply) { OnAttach(reply); }));
+  port_.Attach(listed_.address, call,
+               ForCurrentGeneration<wire::AttachReply>(
+                   [this](const auto& reply) { OnAttach(reply); }));
 }
 
 void UpstreamSession::AttachLater(Millis delay) {
@@ -142,9 +144,9 @@
   }
   attach_retry_ = options_.attach_retry;
   if (reply.value().status != wire::CallStatus::kOk) {
-    seen_term_ = std::max(seen_term_, reply.value().term);
-    if (executor_.Now() < contest_backoff_until_) {
-      return AttachLater(contest_backoff_);
+    highest_seen_term_ = std::max(highest_seen_term_, reply.value().term);
+    if (executor_.Now() < contention_backoff_until_) {
+      return AttachLater(contention_backoff_);
     }
     return Attach();
   }
@@ -156,13 +158,13 @@
   AdoptInventory(reply.value());
 }
 
-/// Adopts the tasks left by older terms. Every start of an older term is fenced
-/// from now on, so a start in doubt that is absent from the inventory cannot
-/// take effect any more.
+/// Adopts the tasks that were started under older terms. Every start of an
+/// older term is fenced from now on, so a start in doubt whose task is absent
+/// from the inventory can no longer take effect.
 void UpstreamSession::AdoptInventory(const wire::AttachReply& reply) {
   room_.SetCapacity(row_, placement::ToAmount(reply.capacity, reply.slots));
-  std::map<std::string, Task> before = ReleaseTasks();
-  seen_end_ = 0;
+  std::map<std::string, Task> before = RemoveAllTasks();
+  last_result_sequence_ = 0;
   const uint64_t generation = generation_;
   std::vector<std::string> unwanted;
   for (const wire::TaskStatus& status : reply.inventory) {
@@ -178,13 +180,13 @@
     }
   }
   if (generation != generation_) return;
-  StopBeforeRenew(unwanted);
+  StopUnwantedThenRenew(unwanted);
 }
 
 void UpstreamSession::AdoptTask(const wire::TaskStatus& status,
                                 std::vector<std::string>& unwanted) {
   if (status.state != wire::TaskState::kRunning) {
-    return HandleEnd(status);
+    return HandleTaskEnd(status);
   }
   tasks_[status.spec.task_id] = {status.spec, TaskPhase::kRunning};
   room_.ForceTake(row_, placement::TaskAmount(status.spec.size),
@@ -197,7 +199,7 @@
 /// The lease of a task whose attempt was abandoned must not be renewed: its
 /// owner may have started it elsewhere once the lease was certain to have
 /// expired.
-void UpstreamSession::StopBeforeRenew(
+void UpstreamSession::StopUnwantedThenRenew(
     const std::vector<std::string>& unwanted) {
   if (unwanted.empty()) {
     UpdateUsable();
@@ -210,7 +212,7 @@
   call.action = wire::SteerAction::kStop;
   call.tasks = unwanted;
   port_.Steer(listed_.address, call,
-              Guard<wire::SteerReply>([this](const auto& reply) {
+              ForCurrentGeneration<wire::SteerReply>([this](const auto& reply) {
                 if (!reply.ok()) return LoseContact();
                 if (reply.value().status != wire::CallStatus::kOk) {
                   return LoseControl(reply.value().term);
@@ -231,11 +233,11 @@
   call.term = term_;
   call.lease_ms = options_.lease.count();
   call.wait_ms = options_.lease.count() / kRenewalsPerLease;
-  call.seen = seen_end_;
-  call.release = std::exchange(release_, {});
+  call.seen = last_result_sequence_;
+  call.release = std::exchange(pending_releases_, {});
   RecordLeaseExtension();
   port_.Renew(listed_.address, call,
-              Guard<wire::RenewReply>(
+              ForCurrentGeneration<wire::RenewReply>(
                   [this, released = call.release, sent = executor_.Now()](
                       const auto& reply) { OnRenew(reply, released, sent); }));
 }
@@ -244,18 +246,19 @@
                               const std::vector<std::string>& released,
                               TimePoint sent) {
   if (!reply.ok()) {
-    // Releasing twice is harmless. Without a release, the upstream would keep
-    // the results and run full.
-    release_.insert(release_.end(), released.begin(), released.end());
+    // Releasing a task twice has no effect. If it were never released, the
+    // upstream would keep its result and run out of space.
+    pending_releases_.insert(pending_releases_.end(), released.begin(),
+                             released.end());
     return LoseContact();
   }
   if (reply.value().status != wire::CallStatus::kOk) {
     return LoseControl(reply.value().term);
   }
-  contest_backoff_ = options_.contest_backoff_initial;
-  confirmed_since_ = sent;
+  contention_backoff_ = options_.contention_backoff_initial;
+  last_confirmed_renewal_ = sent;
   for (const wire::TaskStatus& status : reply.value().ended) {
-    HandleEnd(status);
+    HandleTaskEnd(status);
   }
   Renew();
 }
@@ -271,17 +274,18 @@
   call.lease_ms = options_.lease.count();
   call.task = task;
   RecordLeaseExtension();
-  port_.Start(
-      listed_.address, call,
-      Guard<wire::StartReply>([this, id = task.task_id](const auto& reply) {
-        OnStart(id, reply);
-      }));
+  port_.Start(listed_.address, call,
+              ForCurrentGeneration<wire::StartReply>(
+                  [this, id = task.task_id](const auto& reply) {
+                    OnStart(id, reply);
+                  }));
 }
 
 void UpstreamSession::OnStart(const std::string& task_id,
                               const Result<wire::StartReply>& reply) {
   const auto found = tasks_.find(task_id);
-  if (found == tasks_.end()) return;  // it ended before the reply arrived
+  if (found == tasks_.end())
+    return;  // The task ended before the reply arrived.
   if (!reply.ok() && reply.error().code != Errc::kUnavailable) {
     // The start is in doubt: the capacity stays reserved until an attach with a
     // higher term resolves it.
@@ -293,7 +297,7 @@
     return;
   }
   const wire::TaskSpec spec = found->second.spec;
-  Drop(task_id);
+  RemoveTask(task_id);
   if (!reply.ok()) {
     listener_.OnNotStarted(listed_.name, spec, reply.error().message);
     return LoseContact();
@@ -304,7 +308,7 @@
   }
 }
 
-void UpstreamSession::Drop(const std::string& task_id) {
+void UpstreamSession::RemoveTask(const std::string& task_id) {
   const auto found = tasks_.find(task_id);
   if (found == tasks_.end()) return;
   room_.Give(row_, placement::TaskAmount(found->second.spec.size),
@@ -312,13 +316,13 @@
   tasks_.erase(found);
 }
 
-void UpstreamSession::HandleEnd(const wire::TaskStatus& status) {
-  seen_end_ = std::max(seen_end_, status.sequence);
+void UpstreamSession::HandleTaskEnd(const wire::TaskStatus& status) {
+  last_result_sequence_ = std::max(last_result_sequence_, status.sequence);
   const bool answered = status.state == wire::TaskState::kFinished;
   if (answered && !IsComplete(status)) {
-    return CollectEnd(status, kCollectAttempts);
+    return CollectAnswer(status, kCollectAttempts);
   }
-  Drop(status.spec.task_id);
+  RemoveTask(status.spec.task_id);
   if (answered) room_.NoteSuccess(row_);
   if (status.state == wire::TaskState::kFailed) {
     room_.NoteFailure(row_, executor_.Now());
@@ -327,27 +331,29 @@
   listener_.OnCapacityChanged();
 }
 
-/// Fetches an answer that was too long for the reply or arrived truncated,
-/// until length and digest match. A truncated answer is never passed on.
-void UpstreamSession::CollectEnd(wire::TaskStatus status, int attempts_left) {
+/// Fetches an answer that was too long for the renewal reply or arrived
+/// truncated, until its length and digest match. A truncated answer is never
+/// reported.
+void UpstreamSession::CollectAnswer(wire::TaskStatus status,
+                                    int attempts_left) {
   if (attempts_left == 0) {
     status.state = wire::TaskState::kLapsed;
     status.answer.clear();
-    return HandleEnd(status);
+    return HandleTaskEnd(status);
   }
   wire::CollectCall call;
   call.upstream = listed_.name;
   call.task_id = status.spec.task_id;
-  port_.Collect(
-      listed_.address, call,
-      Guard<wire::CollectReply>([this, status = std::move(status),
-                                 attempts_left](const auto& reply) mutable {
-        if (reply.ok() && reply.value().found) {
-          status.answer = reply.value().answer;
-          if (IsComplete(status)) return HandleEnd(status);
-        }
-        CollectEnd(std::move(status), attempts_left - 1);
-      }));
+  port_.Collect(listed_.address, call,
+                ForCurrentGeneration<wire::CollectReply>(
+                    [this, status = std::move(status),
+                     attempts_left](const auto& reply) mutable {
+                      if (reply.ok() && reply.value().found) {
+                        status.answer = reply.value().answer;
+                        if (IsComplete(status)) return HandleTaskEnd(status);
+                      }
+                      CollectAnswer(std::move(status), attempts_left - 1);
+                    }));
 }
 
 void UpstreamSession::Stop(const std::vector<std::string>& task_ids) {
@@ -365,7 +371,7 @@
   call.tasks = task_ids;
   call.percent = percent;
   port_.Steer(listed_.address, call,
-              Guard<wire::SteerReply>([this](const auto& reply) {
+              ForCurrentGeneration<wire::SteerReply>([this](const auto& reply) {
                 if (!reply.ok()) return LoseContact();
                 if (reply.value().status == wire::CallStatus::kStaleTerm) {
                   LoseControl(reply.value().term);
@@ -374,42 +380,42 @@
 }
 
 void UpstreamSession::Release(const std::string& task_id) {
-  release_.push_back(task_id);
+  pending_releases_.push_back(task_id);
 }
 
 /// Another controller has attached with a higher term and is now responsible
 /// for the tasks of the upstream. This entry no longer renews their leases or
 /// determines their results.
 void UpstreamSession::LoseControl(int64_t term) {
-  seen_term_ = std::max(seen_term_, term);
+  highest_seen_term_ = std::max(highest_seen_term_, term);
   logging::Event(logging::Level::kInfo, "upstream_moved",
                  {{"upstream", listed_.name}, {"term", std::to_string(term)}});
   HandOver();
   if (!preferred_) return;
   // Two entries with different views of the membership would take the upstream
-  // from each other again and again, and the outcome of its tasks could never
-  // be resolved. Each of them therefore waits longer after every loss, and an
-  // entry that is probably partitioned uses the maximum backoff immediately.
-  if (minority_) contest_backoff_ = options_.contest_backoff_max;
-  contest_backoff_until_ = executor_.Now() + contest_backoff_;
-  AttachLater(contest_backoff_);
-  contest_backoff_ =
-      std::min(contest_backoff_ * 2, options_.contest_backoff_max);
+  // from each other repeatedly, and the outcome of its tasks could never be
+  // resolved. Each of them therefore waits longer after every loss of control,
+  // and an entry that is probably partitioned uses the maximum backoff at once.
+  if (minority_) contention_backoff_ = options_.contention_backoff_max;
+  contention_backoff_until_ = executor_.Now() + contention_backoff_;
+  AttachLater(contention_backoff_);
+  contention_backoff_ =
+      std::min(contention_backoff_ * 2, options_.contention_backoff_max);
 }
 
 void UpstreamSession::HandOver() {
   ++generation_;
   phase_ = SessionPhase::kIdle;
-  release_.clear();
-  const std::map<std::string, Task> tasks = ReleaseTasks();
+  pending_releases_.clear();
+  const std::map<std::string, Task> tasks = RemoveAllTasks();
   UpdateUsable();
   for (const auto& [id, task] : tasks) {
-    listener_.OnMoved(listed_.name, task.spec,
-                      task.phase == TaskPhase::kRunning);
+    listener_.OnControlMoved(listed_.name, task.spec,
+                             task.phase == TaskPhase::kRunning);
   }
 }
 
-std::map<std::string, UpstreamSession::Task> UpstreamSession::ReleaseTasks() {
+std::map<std::string, UpstreamSession::Task> UpstreamSession::RemoveAllTasks() {
   std::map<std::string, Task> tasks = std::exchange(tasks_, {});
   for (const auto& [id, task] : tasks) {
     room_.Give(row_, placement::TaskAmount(task.spec.size), GroupOf(task.spec));
@@ -435,9 +441,9 @@
 /// owner is notified so that it queries the other entries.
 void UpstreamSession::CheckLeaseExpiry() {
   if (phase_ == SessionPhase::kReady || tasks_.empty()) return;
-  const auto horizon =
+  const auto latest_expiry =
       last_lease_extension_ + options_.lease + options_.max_delay;
-  if (executor_.Now() <= horizon) return;
+  if (executor_.Now() <= latest_expiry) return;
   std::vector<wire::TaskSpec> expired;
   std::vector<wire::TaskSpec> in_doubt;
   for (auto& [id, task] : tasks_) {
@@ -449,11 +455,11 @@
     }
   }
   for (const wire::TaskSpec& task : expired) {
-    Drop(task.task_id);
-    listener_.OnLapseAssumed(listed_.name, task);
+    RemoveTask(task.task_id);
+    listener_.OnLeaseAssumedExpired(listed_.name, task);
   }
   for (const wire::TaskSpec& task : in_doubt) {
-    listener_.OnMoved(listed_.name, task, false);
+    listener_.OnControlMoved(listed_.name, task, false);
   }
 }
 
--- a/src/control/upstream_session.h
+++ b/src/control/upstream_session.h
@@ -15,11 +15,16 @@
 struct SessionOptions {
   std::string controller;  ///< Name of this entry.
   Millis lease{8000};
+  /// Longest time between sending a call and its arrival at the upstream.
   Millis max_delay{2000};
+  /// Delay before the first retry of a failed attach; doubled up to the
+  /// maximum.
   Millis attach_retry{200};
   Millis attach_retry_max{2000};
-  Millis contest_backoff_initial{1000};
-  Millis contest_backoff_max{30000};
+  /// Delay before an upstream that another controller has attached is attached
+  /// again; doubled after every further loss of control up to the maximum.
+  Millis contention_backoff_initial{1000};
+  Millis contention_backoff_max{30000};
   uint64_t seed = 1;
 };
 
@@ -43,13 +48,15 @@
   virtual void OnLost(const std::string& upstream,
                       const wire::TaskSpec& task) = 0;
   /// The upstream was unresponsive for longer than the lease, so the lease of
-  /// the task is assumed to have expired. Another controller may know more.
-  virtual void OnLapseAssumed(const std::string& upstream,
-                              const wire::TaskSpec& task) = 0;
-  /// Another controller has attached the upstream. `began` is set if the
+  /// the task is assumed to have expired. If another controller has attached
+  /// the upstream, it may know the actual result.
+  virtual void OnLeaseAssumedExpired(const std::string& upstream,
+                                     const wire::TaskSpec& task) = 0;
+  /// This entry can no longer determine the result of the task, because another
+  /// controller has attached the upstream or may do so. `started` is set if the
   /// upstream had confirmed the start.
-  virtual void OnMoved(const std::string& upstream, const wire::TaskSpec& task,
-                       bool began) = 0;
+  virtual void OnControlMoved(const std::string& upstream,
+                              const wire::TaskSpec& task, bool started) = 0;
   /// Capacity was released, or the session became usable or unusable.
   virtual void OnCapacityChanged() = 0;
 };
@@ -73,8 +80,8 @@
                   SessionOptions options, wire::ListedInstance listed);
 
   /// Sets whether this entry is the preferred controller. If it no longer is,
-  /// new starts stop, and leases are renewed until another controller has
-  /// attached.
+  /// it starts no new tasks, and renews the leases of running ones until
+  /// another controller has attached.
   void SetPreferred(bool preferred);
   /// Sets whether this entry is in the minority; see Membership::InMinority().
   void SetMinority(bool minority) { minority_ = minority; }
@@ -93,11 +100,12 @@
   /// it.
   void Release(const std::string& task_id);
 
+  /// Whether new tasks may be started.
   bool usable() const;
   SessionPhase phase() const { return phase_; }
-  /// Send time of the latest renewal that the upstream has answered under the
-  /// current term. Proves control at some time after it.
-  TimePoint confirmed_since() const { return confirmed_since_; }
+  /// Send time of the latest renewal that the upstream has confirmed. Proves
+  /// that this entry was in control at some time after it.
+  TimePoint last_confirmed_renewal() const { return last_confirmed_renewal_; }
   placement::RowId row() const { return row_; }
   const wire::ListedInstance& listed() const { return listed_; }
   int64_t term() const { return term_; }
@@ -114,7 +122,7 @@
   struct Task {
     wire::TaskSpec spec;
     TaskPhase phase = TaskPhase::kStarting;
-    /// The owner knows that the start is in doubt.
+    /// The owner has been notified that the start is in doubt.
     bool reported_in_doubt = false;
   };
 
@@ -124,24 +132,25 @@
   void AdoptInventory(const wire::AttachReply& reply);
   void AdoptTask(const wire::TaskStatus& status,
                  std::vector<std::string>& unwanted);
-  void StopBeforeRenew(const std::vector<std::string>& unwanted);
+  void StopUnwantedThenRenew(const std::vector<std::string>& unwanted);
   void Renew();
   void OnRenew(const Result<wire::RenewReply>& reply,
                const std::vector<std::string>& released, TimePoint sent);
   void OnStart(const std::string& task_id,
                const Result<wire::StartReply>& reply);
-  void HandleEnd(const wire::TaskStatus& status);
-  void CollectEnd(wire::TaskStatus status, int attempts_left);
+  void HandleTaskEnd(const wire::TaskStatus& status);
+  void CollectAnswer(wire::TaskStatus status, int attempts_left);
   void LoseControl(int64_t term);
   void HandOver();
-  std::map<std::string, Task> ReleaseTasks();
+  std::map<std::string, Task> RemoveAllTasks();
   void LoseContact();
   void CheckLeaseExpiry();
-  void Drop(const std::string& task_id);
+  void RemoveTask(const std::string& task_id);
   void UpdateUsable();
   void RecordLeaseExtension();
   template <typename Reply>
-  Callback<Reply> Guard(std::function<void(const Result<Reply>&)> handle);
+  Callback<Reply> ForCurrentGeneration(
+      std::function<void(const Result<Reply>&)> handle);
 
   Executor& executor_;
   ports::UpstreamPort& port_;
@@ -156,18 +165,20 @@
   bool delisted_ = false;
   bool attach_pending_ = false;
   int64_t term_ = 0;
-  int64_t seen_term_ = 0;
+  int64_t highest_seen_term_ = 0;
   /// Incremented with each attach and each loss of contact or control. Replies
   /// to calls of older generations are dropped.
   uint64_t generation_ = 0;
   Millis attach_retry_;
-  Millis contest_backoff_;
-  TimePoint contest_backoff_until_{};
+  Millis contention_backoff_;
+  TimePoint contention_backoff_until_{};
   TimePoint last_lease_extension_{};
-  TimePoint confirmed_since_{};
-  int64_t seen_end_ = 0;  ///< Highest sequence of a result under this term.
+  TimePoint last_confirmed_renewal_{};
+  /// Highest sequence of a result received under this term.
+  int64_t last_result_sequence_ = 0;
   std::map<std::string, Task> tasks_;
-  std::vector<std::string> release_;
+  /// Ids of the tasks to release with the next renewal.
+  std::vector<std::string> pending_releases_;
   std::mt19937_64 random_;
 };
 
--- a/src/execution/execution.cc
+++ b/src/execution/execution.cc
@@ -283,14 +283,14 @@
       "no longer in the inventory of the upstream", nullptr);
 }
 
-void Execution::OnLapseAssumed(const std::string& upstream,
-                               const wire::TaskSpec& task) {
+void Execution::OnLeaseAssumedExpired(const std::string& upstream,
+                                      const wire::TaskSpec& task) {
   End(upstream, task, TaskEnd::kLapseAssumed,
       "upstream unresponsive for longer than the lease", nullptr, true);
 }
 
-void Execution::OnMoved(const std::string& upstream, const wire::TaskSpec& task,
-                        bool began) {
+void Execution::OnControlMoved(const std::string& upstream,
+                               const wire::TaskSpec& task, bool began) {
   End(upstream, task, TaskEnd::kMoved,
       "another controller has attached the upstream", nullptr, began);
 }
--- a/src/execution/execution.h
+++ b/src/execution/execution.h
@@ -77,10 +77,10 @@
   void OnNotStarted(const std::string& upstream, const wire::TaskSpec& task,
                     const std::string& reason) override;
   void OnLost(const std::string& upstream, const wire::TaskSpec& task) override;
-  void OnLapseAssumed(const std::string& upstream,
-                      const wire::TaskSpec& task) override;
-  void OnMoved(const std::string& upstream, const wire::TaskSpec& task,
-               bool began) override;
+  void OnLeaseAssumedExpired(const std::string& upstream,
+                             const wire::TaskSpec& task) override;
+  void OnControlMoved(const std::string& upstream, const wire::TaskSpec& task,
+                      bool began) override;
   void OnCapacityChanged() override { capacity_changed_(); }
 
  private:
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -14,8 +14,8 @@
 constexpr int64_t kHeartbeatsPerTeamUse = 4;
 /// Number of teams whose use is sent with one heartbeat.
 constexpr size_t kMaxTeamsPerHeartbeat = 64;
-constexpr Millis kPhasePoll{100};
-constexpr Millis kShutdownPoll{50};
+constexpr Millis kPhaseCheckInterval{100};
+constexpr Millis kShutdownCheckInterval{50};
 
 }  // namespace
 
@@ -74,7 +74,7 @@
       cost::CostBookOptions{
           .entry = options_.membership.name + "-" +
                    std::to_string(options_.membership.incarnation),
-          .flush_every = options_.cost_flush});
+          .flush_every = options_.cost_flush_interval});
   lookup_ = std::make_unique<Lookup>(ports_.executor, ports_.peers, *members_,
                                      *requests_, *execution_);
 }
@@ -87,11 +87,12 @@
   requests_->Start();
   cost_->Start();
   RefreshList();
-  RunEvery(ports_.executor, options_.list_refresh, [this] { RefreshList(); });
-  RunEvery(ports_.executor, kPhasePoll, [this] { UpdatePhase(); });
+  RunEvery(ports_.executor, options_.list_refresh_interval,
+           [this] { RefreshList(); });
+  RunEvery(ports_.executor, kPhaseCheckInterval, [this] { UpdatePhase(); });
 }
 
-std::vector<std::string> Instance::Blockers() const {
+std::vector<std::string> Instance::ReadinessBlockers() const {
   std::vector<std::string> out;
   if (phase_ == wire::EntryPhase::kLeaving) out.emplace_back("leaving");
   if (!config_->fold().rules()) {
@@ -101,9 +102,9 @@
                            "configuration");
   }
   if (!list_read_) out.emplace_back("the instance list has not been read yet");
-  const bool listened =
+  const bool peers_known =
       ports_.executor.Now() - started_ >= options_.membership.return_after;
-  if (!listened) {
+  if (!peers_known) {
     out.emplace_back("listening for heartbeats of other instances");
   }
   return out;
@@ -117,11 +118,12 @@
     ports_.metrics.Count({.name = "self_pauses_total"});
     requests_->OnSelfPaused();
   }
-  if (phase_ != wire::EntryPhase::kJoining || !Blockers().empty()) return;
+  if (phase_ != wire::EntryPhase::kJoining || !ReadinessBlockers().empty())
+    return;
   phase_ = wire::EntryPhase::kReady;
   logging::Event(logging::Level::kInfo, "ready");
-  members_->Announce();
-  Reassign();
+  members_->SendHeartbeat();
+  ReassignRacks();
 }
 
 void Instance::FillHeartbeat(wire::Heartbeat& heartbeat) {
@@ -151,33 +153,33 @@
         list_read_ = true;
         if (reply.value().unchanged) return;
         list_version_ = reply.value().version;
-        members_->SetListed(reply.value().instances);
-        controller_->SetListed(reply.value().instances);
-        Reassign();
+        members_->ApplyInstanceList(reply.value().instances);
+        controller_->ApplyInstanceList(reply.value().instances);
+        ReassignRacks();
       });
 }
 
 void Instance::OnMembershipChanged() {
-  // Called from inside Membership; the assignment must not use it before this
-  // call has returned.
+  // This is a callback of Membership, which may be in the middle of an update.
+  // Racks are therefore reassigned after the callback has returned.
   if (reassign_pending_) return;
   reassign_pending_ = true;
   ports_.executor.Post([this] {
     reassign_pending_ = false;
-    Reassign();
+    ReassignRacks();
     requests_->OnMembershipChanged();
   });
 }
 
-void Instance::Reassign() {
-  std::vector<membership::RackPlace> racks;
+void Instance::ReassignRacks() {
+  std::vector<membership::RackInfo> racks;
   std::set<std::string> seen;
   for (const auto& [name, listed] : controller_->listed()) {
     if (!seen.insert(listed.rack).second) continue;
     racks.push_back(
         {.rack = listed.rack, .failure_domain = listed.failure_domain});
   }
-  std::vector<membership::ControllerPlace> controllers;
+  std::vector<membership::ControllerInfo> controllers;
   if (ready()) {
     controllers.push_back(
         {.name = options_.membership.name,
@@ -214,10 +216,11 @@
   reply.status = wire::PlaceStatus::kNotReady;
   if (!ready()) return reply;
   // A delayed call may arrive after its owner has resolved the attempt as never
-  // started. The heartbeat number in the call gives its age by this entry's own
-  // clock.
+  // started. The call contains the sequence number of the last heartbeat that
+  // its owner had received from this entry, which gives its age by this entry's
+  // own clock.
   const auto age = (members_->sequence() - call.heartbeat_seen) *
-                   options_.membership.heartbeat;
+                   options_.membership.heartbeat_interval;
   if (age > options_.requests.place_validity) {
     reply.detail = "the placement call is too old";
     ports_.metrics.Count({.name = "stale_place_calls_total"});
@@ -260,8 +263,8 @@
 
 wire::CancelReply Instance::OnCancel(const wire::CancelCall& call) {
   wire::CancelReply reply;
-  // An owner sends the attempt to its controllers. Other entries send a
-  // negative attempt to the owner.
+  // The owner sends the number of the attempt to the controllers of its tasks.
+  // Other entries send a negative number to the owner.
   reply.known = call.attempt >= 0 ? execution_->Stop(call.request_id)
                                   : requests_->Cancel(call.request_id);
   return reply;
@@ -333,33 +336,34 @@
 void Instance::BeginShutdown(std::function<void()> done) {
   if (shutdown_done_) return;
   shutdown_done_ = std::move(done);
-  shutdown_until_ = ports_.executor.Now() + options_.shutdown_limit;
+  shutdown_deadline_ = ports_.executor.Now() + options_.shutdown_limit;
   phase_ = wire::EntryPhase::kLeaving;
   logging::Event(logging::Level::kInfo, "leaving");
-  members_->Announce();
-  Reassign();
-  RunEvery(ports_.executor, kShutdownPoll, [this] { CheckShutdown(); });
+  members_->SendHeartbeat();
+  ReassignRacks();
+  RunEvery(ports_.executor, kShutdownCheckInterval,
+           [this] { CheckShutdown(); });
 }
 
-/// Completes the shutdown once nothing in flight needs this process: its
+/// Completes the shutdown once nothing depends on this process any more: its
 /// requests have ended, other entries control its upstreams, owners have
 /// received all results, and costs are in the log. At the shutdown limit it
 /// completes regardless.
 void Instance::CheckShutdown() {
   if (!shutdown_done_) return;
-  const bool late = ports_.executor.Now() >= shutdown_until_;
+  const bool timed_out = ports_.executor.Now() >= shutdown_deadline_;
   size_t attached = 0;
   for (const auto& [name, session] : controller_->sessions()) {
     if (session->phase() == control::SessionPhase::kReady) ++attached;
   }
-  const bool alone = members_->Controllers().empty();
+  const bool no_other_controller = members_->Controllers().empty();
   const bool idle = requests_->unfinished() == 0 &&
                     (execution_->task_count() == 0 || attached == 0);
-  const bool quiet = idle && (attached == 0 || alone);
-  if (!quiet && !late) return;
-  if (late) requests_->AbandonWaiting("this instance is shutting down");
-  if (!cost_->empty() && !late) return cost_->Flush([](bool) {});
-  logging::Event(late ? logging::Level::kWarning : logging::Level::kInfo,
+  const bool drained = idle && (attached == 0 || no_other_controller);
+  if (!drained && !timed_out) return;
+  if (timed_out) requests_->AbandonWaiting("this instance is shutting down");
+  if (!cost_->empty() && !timed_out) return cost_->Flush([](bool) {});
+  logging::Event(timed_out ? logging::Level::kWarning : logging::Level::kInfo,
                  "left",
                  {{"unfinished", std::to_string(requests_->unfinished())},
                   {"held", std::to_string(execution_->task_count())},
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -23,8 +23,9 @@
   configlog::ConfigLogClientOptions config;
   requests::IntentLedgerOptions intents;
   requests::RequestsOptions requests;
-  Millis list_refresh{1000};
-  Millis cost_flush{10000};
+  Millis list_refresh_interval{1000};
+  Millis cost_flush_interval{10000};
+  /// Longest duration of a graceful shutdown.
   Millis shutdown_limit{20000};
   uint64_t seed = 1;
 };
@@ -41,7 +42,7 @@
   metrics::Registry& metrics;
 };
 
-/// The control state of one entry instance, without threads or sockets: the
+/// The logic of one entry instance, without threads or sockets, so that the
 /// daemon and the fault injection tests use the same class. Control thread
 /// only, except for the metrics.
 class Instance {
@@ -54,7 +55,7 @@
   void BeginShutdown(std::function<void()> done);
 
   /// Returns the conditions that prevent readiness; empty when ready.
-  std::vector<std::string> Blockers() const;
+  std::vector<std::string> ReadinessBlockers() const;
   bool ready() const { return phase_ == wire::EntryPhase::kReady; }
   wire::EntryPhase::type phase() const { return phase_; }
 
@@ -81,7 +82,7 @@
  private:
   void FillHeartbeat(wire::Heartbeat& heartbeat);
   void RefreshList();
-  void Reassign();
+  void ReassignRacks();
   void UpdatePhase();
   void OnMembershipChanged();
   void OnEnded(const requests::EndedRequest& ended);
@@ -99,7 +100,7 @@
   bool reassign_pending_ = false;
   int64_t heartbeats_filled_ = 0;
   std::function<void()> shutdown_done_;
-  TimePoint shutdown_until_{};
+  TimePoint shutdown_deadline_{};
   std::unique_ptr<membership::Membership> members_;
   std::unique_ptr<execution::Execution> execution_;
   std::unique_ptr<control::Controller> controller_;
--- a/src/instance/lookup.cc
+++ b/src/instance/lookup.cc
@@ -22,29 +22,29 @@
 void Lookup::Await(const std::string& id, Millis wait,
                    std::function<void(LookupResult)> done) {
   if (requests_.Find(id) != nullptr) {
-    return AwaitHere(id, wait, std::move(done));
+    return AwaitLocally(id, wait, std::move(done));
   }
   auto query = std::make_shared<Query>();
   query->id = id;
-  query->until = executor_.Now() + wait;
+  query->deadline = executor_.Now() + wait;
   query->done = std::move(done);
   QueryAll(query);
 }
 
-void Lookup::AwaitHere(const std::string& id, Millis wait,
-                       std::function<void(LookupResult)> done) {
-  // Whichever comes first, the outcome or the time limit, calls `done`.
-  auto once =
+void Lookup::AwaitLocally(const std::string& id, Millis wait,
+                          std::function<void(LookupResult)> done) {
+  // `done` is called once, by the outcome or by the time limit.
+  auto pending_done =
       std::make_shared<std::function<void(LookupResult)>>(std::move(done));
-  const auto answer = [once](LookupResult result) {
-    if (!*once) return;
-    const auto callback = std::exchange(*once, nullptr);
+  const auto answer = [pending_done](LookupResult result) {
+    if (!*pending_done) return;
+    const auto callback = std::exchange(*pending_done, nullptr);
     callback(std::move(result));
   };
   requests_.Await(id, [answer](const wire::Outcome& outcome) {
     answer({.state = LookupState::kEnded, .outcome = outcome});
   });
-  if (!*once) return;
+  if (!*pending_done) return;
   executor_.RunAfter(wait, [this, id, answer] {
     LookupResult result{.state = LookupState::kPending};
     result.owner = members_.options().name;
@@ -59,35 +59,35 @@
 }
 
 void Lookup::QueryAll(const std::shared_ptr<Query>& query) {
-  query->answers.clear();
+  query->replies.clear();
   query->unreachable_peer = false;
   wire::FindCall call;
   call.request_id = query->id;
-  execution_.Find(call, query->answers[members_.options().name]);
-  query->open = 1;
+  execution_.Find(call, query->replies[members_.options().name]);
+  query->pending_replies = 1;
   for (const auto& [name, peer] : members_.peers()) {
     if (peer.state == membership::PeerState::kDead) {
       query->unreachable_peer = true;
       continue;
     }
-    ++query->open;
+    ++query->pending_replies;
     peers_.Find(
         peer.address, call,
         [this, query, name = name](const Result<wire::FindReply>& reply) {
           if (reply.ok()) {
-            query->answers[name] = reply.value();
+            query->replies[name] = reply.value();
           } else {
             query->unreachable_peer = true;
           }
-          if (--query->open == 0) Conclude(query);
+          if (--query->pending_replies == 0) HandleReplies(query);
         });
   }
-  if (--query->open == 0) Conclude(query);
+  if (--query->pending_replies == 0) HandleReplies(query);
 }
 
-void Lookup::Conclude(const std::shared_ptr<Query>& query) {
+void Lookup::HandleReplies(const std::shared_ptr<Query>& query) {
   LookupResult result;
-  for (const auto& [name, reply] : query->answers) {
+  for (const auto& [name, reply] : query->replies) {
     if (reply.owner == wire::OwnerState::kEnded) {
       return query->done({.state = LookupState::kEnded,
                           .outcome = reply.outcome,
@@ -97,18 +97,18 @@
     result.owner = name;
     result.why = reply.why;
   }
-  const bool over = executor_.Now() >= query->until;
+  const bool timed_out = executor_.Now() >= query->deadline;
   if (!result.owner.empty()) {
-    if (over) return query->done(std::move(result));
+    if (timed_out) return query->done(std::move(result));
     return QueryOwner(query, result.owner);
   }
   const requests::TaskSummary summary =
-      requests::SummarizeTasks(query->answers);
+      requests::SummarizeTasks(query->replies);
   if (summary.done()) {
     return query->done({.state = LookupState::kEnded,
                         .outcome = requests::CombineAnswers(summary)});
   }
-  if (summary.running && !over) {
+  if (summary.running && !timed_out) {
     executor_.RunAfter(kRetryInterval, [this, query] { QueryAll(query); });
     return;
   }
@@ -133,9 +133,9 @@
   if (peer == nullptr) return QueryAll(query);
   wire::FindCall call;
   call.request_id = query->id;
-  const auto left =
-      std::chrono::duration_cast<Millis>(query->until - executor_.Now());
-  call.wait_ms = std::min(left, kOwnerPollTimeout).count();
+  const auto remaining =
+      std::chrono::duration_cast<Millis>(query->deadline - executor_.Now());
+  call.wait_ms = std::min(remaining, kOwnerPollTimeout).count();
   peers_.Find(
       peer->address, call, [this, query](const Result<wire::FindReply>& reply) {
         const bool ended =
@@ -152,17 +152,17 @@
 
 void Lookup::Cancel(const std::string& id, std::function<void(bool)> done) {
   if (requests_.Cancel(id)) return done(true);
-  auto open = std::make_shared<size_t>(1);
+  auto pending_replies = std::make_shared<size_t>(1);
   auto found = std::make_shared<bool>(false);
-  const auto finish = [open, found, done = std::move(done)] {
-    if (--*open == 0) done(*found);
+  const auto finish = [pending_replies, found, done = std::move(done)] {
+    if (--*pending_replies == 0) done(*found);
   };
   wire::CancelCall call;
   call.request_id = id;
   call.attempt = -1;
   for (const auto& [name, peer] : members_.peers()) {
     if (peer.state == membership::PeerState::kDead) continue;
-    ++*open;
+    ++*pending_replies;
     peers_.Cancel(peer.address, call,
                   [found, finish](const Result<wire::CancelReply>& reply) {
                     if (reply.ok() && reply.value().known) *found = true;
--- a/src/instance/lookup.h
+++ b/src/instance/lookup.h
@@ -13,7 +13,7 @@
 
 enum class LookupState {
   kEnded,        ///< `outcome` is final.
-  kPending,      ///< Not ended yet; `why` names what it waits for.
+  kPending,      ///< Not ended yet; `why` gives the reason.
   kUnknownId,    ///< All entries answered, and none knows the id.
   kUnreachable,  ///< None knows the id, but not every entry answered.
 };
@@ -25,33 +25,34 @@
   std::string why;
 };
 
-/// Finds the state or outcome of a request at any owner, also after its owner
-/// has died. Control thread only.
+/// Finds the state or outcome of any request, whichever entry owns it, and also
+/// after its owner has died. Control thread only.
 class Lookup {
  public:
   Lookup(Executor& executor, requests::PeerPort& peers,
          const membership::Membership& members, requests::Requests& requests,
          execution::Execution& execution);
 
-  /// Waits up to `wait` for the outcome.
+  /// Waits up to `wait` for the outcome, then passes the state to `done`.
   void Await(const std::string& id, Millis wait,
              std::function<void(LookupResult)> done);
-  /// Cancels the request at its owner. `done` receives whether one was found.
+  /// Cancels the request at its owner. `done` receives whether an owner was
+  /// found.
   void Cancel(const std::string& id, std::function<void(bool)> done);
 
  private:
   struct Query {
     std::string id;
-    TimePoint until;
+    TimePoint deadline;
     std::function<void(LookupResult)> done;
-    std::map<std::string, wire::FindReply> answers;
-    size_t open = 0;
+    std::map<std::string, wire::FindReply> replies;
+    size_t pending_replies = 0;
     bool unreachable_peer = false;
   };
-  void AwaitHere(const std::string& id, Millis wait,
-                 std::function<void(LookupResult)> done);
+  void AwaitLocally(const std::string& id, Millis wait,
+                    std::function<void(LookupResult)> done);
   void QueryAll(const std::shared_ptr<Query>& query);
-  void Conclude(const std::shared_ptr<Query>& query);
+  void HandleReplies(const std::shared_ptr<Query>& query);
   void QueryOwner(const std::shared_ptr<Query>& query,
                   const std::string& owner);
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -12,8 +12,8 @@
 
 namespace mimosarail::membership {
 
-/// The state of a peer as seen by this entry. Views may differ between entries,
-/// so only liveness may depend on them, never a guarantee given to a caller.
+/// The state of a peer as seen by this entry. Entries may see different states,
+/// so these affect only liveness, never a guarantee given to a caller.
 enum class PeerState {
   kListed,     ///< In the instance list; no heartbeat received yet.
   kReturning,  ///< Sends heartbeats again, but not yet for long enough to be
@@ -30,16 +30,16 @@
   std::string address;
   std::string failure_domain;
   PeerState state = PeerState::kListed;
-  wire::Heartbeat last;
-  /// When the last heartbeat arrived, or when a later pause of this process
-  /// ended.
-  TimePoint last_heard{};
-  /// When heartbeats began to arrive: the first ever, or the first after a
-  /// restart or the state kDead.
-  TimePoint heard_since{};
-  /// The peer receives heartbeats of this entry too. Calls to a peer that does
-  /// not would be lost.
-  bool mutual = false;
+  wire::Heartbeat last_heartbeat;
+  /// When the last heartbeat arrived, or when this process resumed from a later
+  /// pause.
+  TimePoint last_received{};
+  /// When the first heartbeat arrived since the peer became known, restarted or
+  /// was last dead.
+  TimePoint received_since{};
+  /// Whether the peer receives the heartbeats of this entry. Calls to a peer
+  /// that does not would be lost.
+  bool receives_heartbeats = false;
 };
 
 /// Sends a heartbeat as one datagram; loss is expected.
@@ -56,9 +56,11 @@
   std::string address;
   std::string failure_domain;
   std::vector<std::string> seeds;
-  Millis heartbeat{500};
+  Millis heartbeat_interval{500};
+  /// A peer is suspect, then dead, after this time without a heartbeat.
   Millis suspect_after{1500};
   Millis dead_after{2500};
+  /// How long a returning peer must send heartbeats before it counts as alive.
   Millis return_after{2000};
 };
 
@@ -66,27 +68,30 @@
 /// thread only.
 class Membership {
  public:
-  /// `executor` and `sender` outlive it. `fill` adds the state of this entry to
-  /// a heartbeat; `changed` runs when the state of any peer changed.
+  /// `executor` and `sender` must outlive it. `fill_heartbeat` adds the state
+  /// of this entry to a heartbeat; `on_change` is called when the state of any
+  /// peer has changed.
   Membership(Executor& executor, HeartbeatSender& sender,
              MembershipOptions options,
-             std::function<void(wire::Heartbeat&)> fill,
-             std::function<void()> changed);
+             std::function<void(wire::Heartbeat&)> fill_heartbeat,
+             std::function<void()> on_change);
 
   void Start();
   /// Sends a heartbeat at once, for example when the phase changes.
-  void Announce();
+  void SendHeartbeat();
   void Receive(const wire::Heartbeat& heartbeat);
-  /// Adds the entries of the instance list to those that get heartbeats.
-  void SetListed(const std::vector<wire::ListedInstance>& instances);
+  /// Applies a new version of the instance list; its entries are sent
+  /// heartbeats.
+  void ApplyInstanceList(const std::vector<wire::ListedInstance>& instances);
 
   /// All peers by name, without this entry.
   const std::map<std::string, Peer>& peers() const { return peers_; }
   const Peer* Find(const std::string& name) const;
-  /// Whether `name` is this entry or a peer that is neither dead nor merely
-  /// listed, and is still the process with this incarnation.
+  /// Whether `name` is this entry or a peer that is neither kDead nor kListed,
+  /// and still runs as the process with this incarnation.
   bool IsCurrentProcess(const std::string& name, int64_t incarnation) const;
-  /// Whether the process is confirmed to have ended, relying on the platform: a
+  /// Whether the process is confirmed to have ended, by what the platform
+  /// guarantees: a
   /// newer process runs under the name, or the instance list no longer contains
   /// it and it sends no heartbeats.
   bool IsConfirmedDead(const std::string& name, int64_t incarnation) const;
@@ -117,14 +122,14 @@
   Executor& executor_;
   HeartbeatSender& sender_;
   MembershipOptions options_;
-  std::function<void(wire::Heartbeat&)> fill_;
-  std::function<void()> changed_;
+  std::function<void(wire::Heartbeat&)> fill_heartbeat_;
+  std::function<void()> on_change_;
   std::map<std::string, Peer> peers_;
   std::set<std::string> listed_;
   bool list_read_ = false;
   int64_t sequence_ = 0;
   TimePoint last_tick_{};
-  Millis longest_gap_{0};
+  Millis longest_tick_gap_{0};
 };
 
 }  // namespace mimosarail::membership
--- a/src/membership/rack_assignment.h
+++ b/src/membership/rack_assignment.h
@@ -6,22 +6,22 @@
 
 namespace mimosarail::membership {
 
-struct RackPlace {
+struct RackInfo {
   std::string rack;
   std::string failure_domain;
 };
 
-struct ControllerPlace {
+struct ControllerInfo {
   std::string name;
   std::string failure_domain;
 };
 
 /// Returns the preferred controller of each rack. Uses rendezvous hashing with
-/// a bound on the load of each controller; controllers in the failure domain of
-/// the rack are preferred. Equal inputs give equal results on every entry, and
-/// few racks move when one controller is added or removed. Pure; safe from any
-/// thread.
+/// a limit on the number of racks of each controller; controllers in the
+/// failure domain of the rack are preferred. Equal inputs give equal results on
+/// every entry, and few racks move when one controller is added or removed.
+/// Pure; safe from any thread.
 std::map<std::string, std::string> AssignRacks(
-    std::vector<RackPlace> racks, std::vector<ControllerPlace> controllers);
+    std::vector<RackInfo> racks, std::vector<ControllerInfo> controllers);
 
 }  // namespace mimosarail::membership
--- a/src/peers/peer_server.h
+++ b/src/peers/peer_server.h
@@ -5,9 +5,9 @@
 
 namespace mimosarail::peers {
 
-/// Registers handlers for the calls of other entry instances; each runs on the
-/// control thread. Call before Server::Listen(); all arguments outlive the
-/// server.
+/// Registers the handlers of calls from other entry instances; they run on the
+/// control thread. Call before Server::Listen(). `executor` and `instance` must
+/// outlive the server.
 void ServePeers(rpc::Server& server, Executor& executor,
                 instance::Instance& instance);
 
--- a/src/peers/rpc_peers.h
+++ b/src/peers/rpc_peers.h
@@ -8,8 +8,8 @@
 
 namespace mimosarail::peers {
 
-/// Calls other entry instances over framed RPC. Control thread only; the
-/// client and executor outlive it.
+/// Calls other entry instances by RPC. Control thread only; the client and the
+/// executor must outlive it.
 class RpcPeers final : public requests::PeerPort,
                        public configlog::ConfigSource {
  public:
--- a/src/peers/udp_heartbeats.cc
+++ b/src/peers/udp_heartbeats.cc
@@ -10,7 +10,7 @@
 using asio::ip::udp;
 
 namespace {
-constexpr size_t kMaxDatagram = 16384;
+constexpr size_t kMaxDatagramBytes = 16384;
 }  // namespace
 
 struct UdpHeartbeats::Private : std::enable_shared_from_this<Private> {
@@ -20,7 +20,7 @@
         receive(std::move(receive_in)),
         strand(asio::make_strand(io)),
         socket(strand),
-        buffer(kMaxDatagram, '\0') {}
+        buffer(kMaxDatagramBytes, '\0') {}
 
   void ReceiveNext() {
     socket.async_receive_from(
@@ -75,14 +75,15 @@
                          const wire::Heartbeat& heartbeat) {
   const auto parsed = rpc::ParseEndpoint(address);
   if (!parsed) return;
-  asio::post(d_->strand, [d = d_, bytes = rpc::Encode(heartbeat),
-                          to = udp::endpoint(parsed->address, parsed->port)] {
-    d->bytes += static_cast<int64_t>(bytes.size());
-    // A heartbeat that cannot be sent at once is dropped: the next one carries
-    // newer state.
-    std::error_code ignored;
-    d->socket.send_to(asio::buffer(bytes), to, 0, ignored);
-  });
+  asio::post(d_->strand,
+             [d = d_, bytes = rpc::Encode(heartbeat),
+              endpoint = udp::endpoint(parsed->address, parsed->port)] {
+               d->bytes += static_cast<int64_t>(bytes.size());
+               // A heartbeat that cannot be sent at once is dropped: the next
+               // one contains newer state.
+               std::error_code ignored;
+               d->socket.send_to(asio::buffer(bytes), endpoint, 0, ignored);
+             });
 }
 
 int64_t UdpHeartbeats::bytes() const { return d_->bytes.load(); }
--- a/src/peers/udp_heartbeats.h
+++ b/src/peers/udp_heartbeats.h
@@ -13,11 +13,11 @@
 
 namespace mimosarail::peers {
 
-/// Heartbeats over UDP. Send() may be called from any thread; received
-/// heartbeats are passed to `receive` on the executor.
+/// Sends and receives heartbeats over UDP. Send() may be called from any
+/// thread; received heartbeats are passed to `receive` on the executor.
 class UdpHeartbeats final : public membership::HeartbeatSender {
  public:
-  /// `io` and `executor` outlive it.
+  /// `io` and `executor` must outlive it.
   UdpHeartbeats(asio::io_context& io, Executor& executor,
                 std::function<void(const wire::Heartbeat&)> receive);
   ~UdpHeartbeats() override;
--- a/src/requests/peer_capacity.cc
+++ b/src/requests/peer_capacity.cc
@@ -10,8 +10,8 @@
 PeerCapacity::SentSinceHeartbeat& PeerCapacity::SentTo(
     const membership::Peer& peer) {
   SentSinceHeartbeat& sent = sent_[peer.name];
-  if (sent.sequence != peer.last.sequence) {
-    sent = SentSinceHeartbeat{.sequence = peer.last.sequence};
+  if (sent.sequence != peer.last_heartbeat.sequence) {
+    sent = SentSinceHeartbeat{.sequence = peer.last_heartbeat.sequence};
   }
   return sent;
 }
@@ -41,10 +41,11 @@
   for (const membership::Peer* peer : members_.Controllers()) {
     if (peer->state != membership::PeerState::kAlive) continue;
     SentSinceHeartbeat& sent = SentTo(*peer);
-    const Amount largest = placement::ToAmount(peer->last.free_largest, 1);
+    const Amount largest =
+        placement::ToAmount(peer->last_heartbeat.free_largest, 1);
     if (!request.size.FitsIn(largest)) continue;
-    Amount total =
-        placement::ToAmount(peer->last.free_total, peer->last.free_slots);
+    Amount total = placement::ToAmount(peer->last_heartbeat.free_total,
+                                       peer->last_heartbeat.free_slots);
     total -= sent.amount;
     Amount wanted;
     for (int32_t i = 0; i < request.tasks; ++i) wanted += request.size;
--- a/src/requests/requests_admission.cc
+++ b/src/requests/requests_admission.cc
@@ -36,7 +36,7 @@
   if (own != own_team_use_.end()) waiting = own->second.waiting;
   for (const auto& [name, peer] : context_.members.peers()) {
     if (peer.state == membership::PeerState::kDead) continue;
-    for (const wire::TeamUse& use : peer.last.teams) {
+    for (const wire::TeamUse& use : peer.last_heartbeat.teams) {
       if (use.team == team) waiting += use.waiting;
     }
   }
@@ -49,7 +49,7 @@
   if (own != own_team_use_.end()) millicores = own->second.millicores;
   for (const auto& [name, peer] : context_.members.peers()) {
     if (peer.state == membership::PeerState::kDead) continue;
-    for (const wire::TeamUse& use : peer.last.teams) {
+    for (const wire::TeamUse& use : peer.last_heartbeat.teams) {
       if (use.team == team) millicores += use.millicores;
     }
   }
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -139,8 +139,9 @@
   const membership::Peer* peer = peer_capacity_.Choose(request);
   if (peer == nullptr) return false;
   wire::PlaceCall sent = call;
-  sent.heartbeat_seen = peer->last.sequence;
-  MarkRunning(record, peer->name, peer->last.incarnation, TaskPhase::kSent);
+  sent.heartbeat_seen = peer->last_heartbeat.sequence;
+  MarkRunning(record, peer->name, peer->last_heartbeat.incarnation,
+              TaskPhase::kSent);
   peer_capacity_.NoteSent(peer->name, request);
   context_.peers.Place(
       peer->address, sent,
--- a/src/requests/requests_resolving.cc
+++ b/src/requests/requests_resolving.cc
@@ -163,8 +163,9 @@
         task.controller = result.controller;
         task.lease_expiry_assumed = false;
         const membership::Peer* peer = context_.members.Find(result.controller);
-        task.controller_incarnation =
-            peer != nullptr ? peer->last.incarnation : options_.incarnation;
+        task.controller_incarnation = peer != nullptr
+                                          ? peer->last_heartbeat.incarnation
+                                          : options_.incarnation;
         continue;
       }
       case ResolutionResult::kEnded:
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -276,11 +276,12 @@
   void OnLost(const std::string&, const wire::TaskSpec& t) override {
     Note("lost", t);
   }
-  void OnLapseAssumed(const std::string&, const wire::TaskSpec& t) override {
+  void OnLeaseAssumedExpired(const std::string&,
+                             const wire::TaskSpec& t) override {
     Note("lapse assumed", t);
   }
-  void OnMoved(const std::string&, const wire::TaskSpec& t,
-               bool began) override {
+  void OnControlMoved(const std::string&, const wire::TaskSpec& t,
+                      bool began) override {
     Note(began ? "moved, had begun" : "moved", t);
   }
   void OnCapacityChanged() override {}
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -220,11 +220,11 @@
 // Racks are reassigned when an entry joins or leaves. Each reassigned rack
 // needs a takeover, during which its control pauses.
 BOOST_AUTO_TEST_CASE(racks_are_balanced_and_few_are_reassigned) {
-  std::vector<RackPlace> racks;
+  std::vector<RackInfo> racks;
   for (int i = 0; i < 60; ++i) {
     racks.push_back({"rack-" + std::to_string(i), "d" + std::to_string(i % 3)});
   }
-  std::vector<ControllerPlace> entries;
+  std::vector<ControllerInfo> entries;
   for (int i = 0; i < 6; ++i) {
     entries.push_back({"e" + std::to_string(i), "d" + std::to_string(i % 3)});
   }
--- a/tests/sim/cell.cc
+++ b/tests/sim/cell.cc
@@ -260,7 +260,7 @@
                       .incarnation = node->incarnation,
                       .place_validity = options.membership.dead_after,
                       .seed = seed};
-  options.cost_flush = Millis(5000);
+  options.cost_flush_interval = Millis(5000);
   options.seed = seed;
   node->instance = std::make_unique<instance::Instance>(
       instance::InstancePorts{.executor = *node->executor,
