--- a/bench/system_bench.cc
+++ b/bench/system_bench.cc
@@ -15,14 +15,14 @@
 #include "platform_types.h"
 #include "src/libs/rpc/asio_executor.h"
 #include "src/libs/rpc/client.h"
-#include "tests/scenarios/real_cell.h"
+#include "tests/scenarios/process_cluster.h"
 
 namespace mimosarail::bench {
 namespace {
 
 using nlohmann::json;
 using scenarios::HttpReply;
-using scenarios::RealCell;
+using scenarios::ProcessCluster;
 using Seconds = std::chrono::duration<double>;
 
 const char* const kRules =
@@ -49,15 +49,16 @@
   return false;
 }
 
-int64_t Revision(RealCell& cell, const std::string& entry) {
-  const HttpReply reply = cell.Http(entry, "GET", "/v1/rules", nullptr);
+int64_t Revision(ProcessCluster& cluster, const std::string& entry) {
+  const HttpReply reply = cluster.Http(entry, "GET", "/v1/rules", nullptr);
   return reply.status == 200 ? reply.body.value("revision", -1) : -1;
 }
 
 /// Names of the upstreams that the entry has attached.
-std::vector<std::string> Attached(RealCell& cell, const std::string& entry) {
+std::vector<std::string> Attached(ProcessCluster& cluster,
+                                  const std::string& entry) {
   std::vector<std::string> out;
-  const HttpReply reply = cell.Http(entry, "GET", "/v1/upstreams", nullptr);
+  const HttpReply reply = cluster.Http(entry, "GET", "/v1/upstreams", nullptr);
   if (reply.status != 200) return out;
   for (const json& up : reply.body["upstreams"]) {
     if (up.value("phase", "") == "ready") out.push_back(up["name"]);
@@ -65,21 +66,22 @@
   return out;
 }
 
-size_t TotalAttached(RealCell& cell) {
+size_t TotalAttached(ProcessCluster& cluster) {
   size_t sum = 0;
-  for (const auto& entry : cell.entries()) sum += Attached(cell, entry).size();
+  for (const auto& entry : cluster.entries())
+    sum += Attached(cluster, entry).size();
   return sum;
 }
 
-void WaitUntilReady(RealCell& cell, size_t upstreams) {
+void WaitUntilReady(ProcessCluster& cluster, size_t upstreams) {
   Eventually([&] {
-    cell.Http("entry-0", "POST", "/v1/rules",
-              {{"author", "bench"}, {"base", 0}, {"text", kRules}});
-    return Revision(cell, "entry-0") >= 1;
+    cluster.Http("entry-0", "POST", "/v1/rules",
+                 {{"author", "bench"}, {"base", 0}, {"text", kRules}});
+    return Revision(cluster, "entry-0") >= 1;
   });
-  Eventually([&] { return TotalAttached(cell) >= upstreams; });
+  Eventually([&] { return TotalAttached(cluster) >= upstreams; });
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-  Eventually([&] { return TotalAttached(cell) == upstreams; });
+  Eventually([&] { return TotalAttached(cluster) == upstreams; });
 }
 
 json Request(int run_ms, const std::string& key) {
@@ -92,7 +94,7 @@
 
 /// Measures the throughput of `clients` clients for `seconds`. Each client
 /// sends one request after the other on one connection.
-void MeasureThroughput(RealCell& cell, const std::vector<int>& ports,
+void MeasureThroughput(ProcessCluster& cluster, const std::vector<int>& ports,
                        const std::string& name, int clients, double seconds,
                        bool keyed) {
   std::vector<std::vector<double>> delays(static_cast<size_t>(clients));
@@ -132,12 +134,12 @@
   std::printf("%s.p99=%.2f ms\n", name.c_str(), 1000 * Percentile(all, 0.99));
   std::printf("%s.failed=%d requests\n", name.c_str(), failed.load());
   std::fflush(stdout);
-  (void)cell;
+  (void)cluster;
 }
 
-double Metric(RealCell& cell, const std::string& entry,
+double Metric(ProcessCluster& cluster, const std::string& entry,
               const std::string& name) {
-  const HttpReply reply = cell.Http(entry, "GET", "/metrics", nullptr);
+  const HttpReply reply = cluster.Http(entry, "GET", "/metrics", nullptr);
   const std::string text =
       reply.body.is_string() ? reply.body.get<std::string>() : "";
   double sum = 0;
@@ -157,16 +159,16 @@
   double appends = 0;
 };
 
-Cost CostOf(RealCell& cell, const std::string& entry) {
-  return {.cpu = Metric(cell, entry, "cpu_seconds"),
-          .bytes = Metric(cell, entry, "control_bytes"),
-          .resident_kb = Metric(cell, entry, "resident_max_kb"),
-          .appends = Metric(cell, entry, "log_appends")};
+Cost CostOf(ProcessCluster& cluster, const std::string& entry) {
+  return {.cpu = Metric(cluster, entry, "cpu_seconds"),
+          .bytes = Metric(cluster, entry, "control_bytes"),
+          .resident_kb = Metric(cluster, entry, "resident_max_kb"),
+          .appends = Metric(cluster, entry, "log_appends")};
 }
 
-void PrintCost(RealCell& cell, const std::string& name, const Cost& before,
-               double seconds) {
-  const Cost after = CostOf(cell, "entry-0");
+void PrintCost(ProcessCluster& cluster, const std::string& name,
+               const Cost& before, double seconds) {
+  const Cost after = CostOf(cluster, "entry-0");
   std::printf("%s.cpu=%.3f %% of a core\n", name.c_str(),
               100 * (after.cpu - before.cpu) / seconds);
   std::printf("%s.bytes=%.2f KB/s\n", name.c_str(),
@@ -191,27 +193,27 @@
 /// entries.
 void MeasureIdleCost(const std::string& bin, int entries, int racks,
                      int per_rack, int tasks) {
-  RealCell cell(bin, {{"entries", entries},
-                      {"racks", racks},
-                      {"upstreams_per_rack", per_rack},
-                      {"cores", 64},
-                      {"slots", 64},
-                      {"settings", ShippedTimes()}});
-  WaitUntilReady(cell,
+  ProcessCluster cluster(bin, {{"entries", entries},
+                               {"racks", racks},
+                               {"upstreams_per_rack", per_rack},
+                               {"cores", 64},
+                               {"slots", 64},
+                               {"settings", ShippedTimes()}});
+  WaitUntilReady(cluster,
                  static_cast<size_t>(racks) * static_cast<size_t>(per_rack));
   for (int i = 0; i < tasks; ++i) {
-    cell.Http("entry-0", "POST", "/v1/requests", Request(600000, ""));
+    cluster.Http("entry-0", "POST", "/v1/requests", Request(600000, ""));
   }
   std::this_thread::sleep_for(std::chrono::seconds(1));
   constexpr double kSpan = 12;
-  const Cost before = CostOf(cell, "entry-0");
+  const Cost before = CostOf(cluster, "entry-0");
   std::this_thread::sleep_for(Seconds(kSpan));
   const std::string name = "rest." + std::to_string(entries) + "_entries." +
                            std::to_string(racks * per_rack) + "_upstreams." +
                            std::to_string(tasks) + "_tasks";
   std::printf("%s.attached=%zu upstreams\n", name.c_str(),
-              Attached(cell, "entry-0").size());
-  PrintCost(cell, name, before, kSpan);
+              Attached(cluster, "entry-0").size());
+  PrintCost(cluster, name, before, kSpan);
 }
 
 /// Measures the latency of the fake upstream without the system: a start, then
@@ -228,9 +230,9 @@
       out, R"({"upstreams": [{"name": "u", "rack": "r", "address": "%s"}]})",
       address.c_str());
   std::fclose(out);
-  scenarios::Process standin(
-      {bin + "/tests/standins/mimosarail_standin", "--cell", file,
-       "--upstreams", address, "--control",
+  scenarios::Process fakes(
+      {bin + "/tests/fakes/mimosarail_fakes", "--cell", file, "--upstreams",
+       address, "--control",
        "127.0.0.1:" + std::to_string(scenarios::FreePort())},
       "/dev/null");
   std::thread thread([&io] {
@@ -277,9 +279,10 @@
   std::printf("direct.p99=%.2f ms\n", 1000 * Percentile(delays, 0.99));
 }
 
-std::vector<int> HttpPorts(RealCell& cell) {
+std::vector<int> HttpPorts(ProcessCluster& cluster) {
   std::vector<int> out;
-  for (const auto& entry : cell.entries()) out.push_back(cell.HttpPort(entry));
+  for (const auto& entry : cluster.entries())
+    out.push_back(cluster.HttpPort(entry));
   return out;
 }
 
@@ -289,41 +292,41 @@
   // should keep.
   settings["max_requests"] = 1000000;
   settings["max_answer_bytes"] = 1 << 28;
-  RealCell cell(bin, {{"entries", 6},
-                      {"racks", 6},
-                      {"upstreams_per_rack", 8},
-                      {"cores", 16},
-                      {"slots", 8},
-                      {"settings", settings}});
-  WaitUntilReady(cell, 48);
-  const auto ports = HttpPorts(cell);
-  MeasureThroughput(cell, ports, "one_client", 1, 4, false);
-  MeasureThroughput(cell, ports, "one_client_keyed", 1, 4, true);
-  Cost before = CostOf(cell, "entry-0");
-  MeasureThroughput(cell, ports, "peak", 48, 6, false);
-  PrintCost(cell, "peak", before, 6);
-  before = CostOf(cell, "entry-0");
-  MeasureThroughput(cell, ports, "peak_keyed", 48, 6, true);
-  PrintCost(cell, "peak_keyed", before, 6);
+  ProcessCluster cluster(bin, {{"entries", 6},
+                               {"racks", 6},
+                               {"upstreams_per_rack", 8},
+                               {"cores", 16},
+                               {"slots", 8},
+                               {"settings", settings}});
+  WaitUntilReady(cluster, 48);
+  const auto ports = HttpPorts(cluster);
+  MeasureThroughput(cluster, ports, "one_client", 1, 4, false);
+  MeasureThroughput(cluster, ports, "one_client_keyed", 1, 4, true);
+  Cost before = CostOf(cluster, "entry-0");
+  MeasureThroughput(cluster, ports, "peak", 48, 6, false);
+  PrintCost(cluster, "peak", before, 6);
+  before = CostOf(cluster, "entry-0");
+  MeasureThroughput(cluster, ports, "peak_keyed", 48, 6, true);
+  PrintCost(cluster, "peak_keyed", before, 6);
 }
 
 /// Measures the time from the signal until all upstreams of the entry are
 /// attached to other entries.
 void MeasureTakeover(const std::string& bin, int signal,
                      const std::string& name) {
-  RealCell cell(bin, {{"entries", 6},
-                      {"racks", 6},
-                      {"upstreams_per_rack", 8},
-                      {"cores", 16},
-                      {"slots", 8},
-                      {"settings", ShippedTimes()}});
-  WaitUntilReady(cell, 48);
+  ProcessCluster cluster(bin, {{"entries", 6},
+                               {"racks", 6},
+                               {"upstreams_per_rack", 8},
+                               {"cores", 16},
+                               {"slots", 8},
+                               {"settings", ShippedTimes()}});
+  WaitUntilReady(cluster, 48);
   const double before = Now();
-  cell.Signal("entry-5", signal);
+  cluster.Signal("entry-5", signal);
   const bool done = Eventually([&] {
     size_t sum = 0;
-    for (const auto& entry : cell.entries()) {
-      if (entry != "entry-5") sum += Attached(cell, entry).size();
+    for (const auto& entry : cluster.entries()) {
+      if (entry != "entry-5") sum += Attached(cluster, entry).size();
     }
     return sum >= 48;
   });
@@ -332,39 +335,40 @@
   std::fflush(stdout);
 }
 
-double PublishEverywhere(RealCell& cell, int64_t base) {
+double PublishEverywhere(ProcessCluster& cluster, int64_t base) {
   const double before = Now();
-  cell.HttpAsync(
+  cluster.HttpAsync(
       "entry-0", "POST", "/v1/rules",
       {{"author", "bench"},
        {"base", base},
        {"text", std::string(kRules) + "// " + std::to_string(base)}});
   const bool done = Eventually([&] {
-    return std::all_of(cell.entries().begin(), cell.entries().end(),
+    return std::all_of(cluster.entries().begin(), cluster.entries().end(),
                        [&](const std::string& entry) {
-                         return Revision(cell, entry) == base + 1;
+                         return Revision(cluster, entry) == base + 1;
                        });
   });
   return done ? Now() - before : -1;
 }
 
 void MeasurePublishing(const std::string& bin) {
-  RealCell cell(bin, {{"entries", 6},
-                      {"racks", 6},
-                      {"upstreams_per_rack", 1},
-                      {"settings", ShippedTimes()}});
-  WaitUntilReady(cell, 6);
+  ProcessCluster cluster(bin, {{"entries", 6},
+                               {"racks", 6},
+                               {"upstreams_per_rack", 1},
+                               {"settings", ShippedTimes()}});
+  WaitUntilReady(cluster, 6);
   std::vector<double> times;
   for (int64_t base = 1; base <= 100; ++base) {
-    times.push_back(PublishEverywhere(cell, base));
+    times.push_back(PublishEverywhere(cluster, base));
   }
   std::printf("publish.everywhere_p50=%.1f ms\n",
               1000 * Percentile(times, 0.5));
   std::printf("publish.everywhere_max=%.1f ms\n", 1000 * Percentile(times, 1));
-  cell.Http("platform", "POST", "/fault/log", {{"down", true}});
+  cluster.Http("platform", "POST", "/fault/log", {{"down", true}});
   std::this_thread::sleep_for(std::chrono::seconds(8));
-  cell.Http("platform", "POST", "/fault/log", {{"down", false}});
-  std::printf("publish.after_8s_outage=%.2f s\n", PublishEverywhere(cell, 101));
+  cluster.Http("platform", "POST", "/fault/log", {{"down", false}});
+  std::printf("publish.after_8s_outage=%.2f s\n",
+              PublishEverywhere(cluster, 101));
   std::fflush(stdout);
 }
 
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -10,15 +10,15 @@
 
 #include "src/control/controller.h"
 #include "src/libs/base/digest.h"
-#include "tests/sim/cell.h"
 #include "tests/sim/checker.h"
+#include "tests/sim/cluster.h"
 #include "tests/sim/manual_executor.h"
 
 namespace mimosarail::sim {
 namespace {
 
-using standins::LogServerFake;
-using standins::UpstreamServerFake;
+using fakes::LogServerFake;
+using fakes::UpstreamServerFake;
 
 wire::ListedInstance ListedUpstream() {
   wire::ListedInstance listed;
@@ -46,7 +46,7 @@
 struct UpstreamFixture {
   ManualClock clock;
   ManualExecutor executor{clock};
-  standins::History history;
+  fakes::History history;
   UpstreamServerFake upstream{executor, history, ListedUpstream()};
 
   wire::AttachReply Attach(const std::string& controller, int64_t term) {
@@ -565,7 +565,7 @@
 BOOST_AUTO_TEST_CASE(list_contract) {
   ManualClock clock;
   ManualExecutor executor(clock);
-  standins::InstanceListFake list(executor, {ListedUpstream()});
+  fakes::InstanceListFake list(executor, {ListedUpstream()});
   list.SetLag(Millis(500));
   list.SetState("up", wire::ListedState::kLeaving);
   clock.RunFor(Millis(400));
@@ -578,19 +578,19 @@
 // the entry that forwards the answer counted it too, the team would be billed
 // twice.
 BOOST_AUTO_TEST_CASE(cost_of_a_forwarded_key_is_counted_once) {
-  Cell cell({.seed = 3});
-  BOOST_REQUIRE(cell.WaitUntilReady());
+  Cluster cluster({.seed = 3});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
   spec.keyed = true;
   spec.id = "part";
-  const auto first = cell.Submit(0, spec);
-  const auto second = cell.Submit(1, spec);
-  BOOST_REQUIRE(cell.RunUntil(
+  const auto first = cluster.Submit(0, spec);
+  const auto second = cluster.Submit(1, spec);
+  BOOST_REQUIRE(cluster.RunUntil(
       [&] { return first->answered && second->answered; }, Millis(20000)));
   BOOST_TEST(first->outcome.answer == second->outcome.answer);
   int counted = 0;
-  for (int i = 0; i < cell.entries(); ++i) {
-    const std::string text = cell.node(i).metrics->Text();
+  for (int i = 0; i < cluster.entry_count(); ++i) {
+    const std::string text = cluster.entry_process(i).metrics->Text();
     counted += text.find("requests_total") != std::string::npos ? 1 : 0;
   }
   BOOST_TEST(counted == 1);
@@ -602,15 +602,15 @@
 namespace {
 
 /// Returns the entry with the most attached upstreams.
-instance::Instance& EntryWithMostUpstreams(Cell& cell) {
+instance::Instance& EntryWithMostUpstreams(Cluster& cluster) {
   int best = 0;
-  for (int i = 1; i < cell.entries(); ++i) {
+  for (int i = 1; i < cluster.entry_count(); ++i) {
     const auto attached = [&](int n) {
-      return cell.node(n).instance->controller().Attached().size();
+      return cluster.entry_process(n).instance->controller().Attached().size();
     };
     if (attached(i) > attached(best)) best = i;
   }
-  return *cell.node(best).instance;
+  return *cluster.entry_process(best).instance;
 }
 
 wire::PlaceCall MakePlaceCall(const std::string& id, int32_t attempt) {
@@ -630,15 +630,16 @@
 // restarts after a second. The request must not crash one upstream after
 // another.
 BOOST_AUTO_TEST_CASE(request_that_crashes_upstreams_is_abandoned) {
-  Cell cell({.seed = 6});
-  BOOST_REQUIRE(cell.WaitUntilReady());
+  Cluster cluster({.seed = 6});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("part-check", 50);
   spec.repeatable = true;
   spec.payload = "crash=1";
-  const auto submission = cell.Submit(0, spec);
-  cell.Run(Millis(60000));
+  const auto submission = cluster.Submit(0, spec);
+  cluster.Run(Millis(60000));
   int starts = 0;
-  for (const auto& e : cell.history().events()) starts += e["event"] == "start";
+  for (const auto& e : cluster.history().events())
+    starts += e["event"] == "start";
   BOOST_TEST(submission->answered);
   BOOST_TEST(starts >= 2);
   // Three upstreams have crashed while running it by then.
@@ -649,9 +650,9 @@
 // one elsewhere. If its delayed placement call were accepted now, both attempts
 // would run.
 BOOST_AUTO_TEST_CASE(fenced_attempt_is_never_accepted) {
-  Cell cell({.seed = 4});
-  BOOST_REQUIRE(cell.WaitUntilReady());
-  instance::Instance& entry = EntryWithMostUpstreams(cell);
+  Cluster cluster({.seed = 4});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
+  instance::Instance& entry = EntryWithMostUpstreams(cluster);
   wire::FindCall fence;
   fence.request_id = "late";
   fence.fence_below = 1001;
@@ -666,12 +667,12 @@
 // resolves the attempt. The heartbeat number in the call shows its age, and it
 // must be refused.
 BOOST_AUTO_TEST_CASE(placement_call_that_is_too_old_is_refused) {
-  Cell cell({.seed = 5});
-  BOOST_REQUIRE(cell.WaitUntilReady());
-  instance::Instance& entry = EntryWithMostUpstreams(cell);
+  Cluster cluster({.seed = 5});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
+  instance::Instance& entry = EntryWithMostUpstreams(cluster);
   wire::PlaceCall call = MakePlaceCall("old", 1000);
   call.heartbeat_seen = entry.members().sequence();
-  cell.Run(Millis(10000));
+  cluster.Run(Millis(10000));
   BOOST_TEST((entry.OnPlace(call).status == wire::PlaceStatus::kNotReady));
   call.heartbeat_seen = entry.members().sequence();
   BOOST_TEST((entry.OnPlace(call).status == wire::PlaceStatus::kAccepted));
@@ -683,11 +684,11 @@
 namespace {
 
 /// Fills every upstream with tasks of one core.
-void FillCell(Cell& cell, int64_t run_ms) {
+void FillCluster(Cluster& cluster, int64_t run_ms) {
   for (int i = 0; i < 24; ++i) {
     wire::RequestSpec spec = MakeSpec("filler", run_ms);
     spec.urgent = true;  // also uses the reserve
-    cell.Submit(i % 3, spec);
+    cluster.Submit(i % 3, spec);
   }
 }
 
@@ -699,23 +700,25 @@
 // reclaimed the key, the owner would start the request too as soon as capacity
 // is released.
 BOOST_AUTO_TEST_CASE(key_is_not_reclaimed_from_partitioned_owner) {
-  Cell cell({.seed = 6});
-  BOOST_REQUIRE(cell.WaitUntilReady());
-  FillCell(cell, 25000);
-  cell.Run(Millis(500));
+  Cluster cluster({.seed = 6});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
+  FillCluster(cluster, 25000);
+  cluster.Run(Millis(500));
   wire::RequestSpec spec = MakeSpec("contested", 3000);
   spec.keyed = true;
   spec.id = "contested";
-  cell.Submit(2, spec);
-  cell.Run(Millis(500));
+  cluster.Submit(2, spec);
+  cluster.Run(Millis(500));
   for (const int other : {0, 1}) {
-    cell.network().BlockLink(Cell::EntryName(2), Cell::EntryName(other));
-    cell.network().BlockLink(Cell::EntryName(other), Cell::EntryName(2));
+    cluster.network().BlockLink(Cluster::EntryName(2),
+                                Cluster::EntryName(other));
+    cluster.network().BlockLink(Cluster::EntryName(other),
+                                Cluster::EntryName(2));
   }
-  cell.Run(Millis(6000));
-  cell.Submit(0, spec);
-  cell.Run(Millis(60000));
-  for (const auto& event : cell.history().events()) {
+  cluster.Run(Millis(6000));
+  cluster.Submit(0, spec);
+  cluster.Run(Millis(60000));
+  for (const auto& event : cluster.history().events()) {
     if (event["event"] != "start" || event["request"] != "contested") continue;
     BOOST_TEST(event["attempt"].get<int>() < 2000);
   }
@@ -724,19 +727,19 @@
 // A request fails once and then waits for its next attempt until its deadline.
 // The verdict "not run" would tell the caller that it had no effect.
 BOOST_AUTO_TEST_CASE(request_that_failed_is_not_reported_as_not_run) {
-  Cell cell({.seed = 7});
-  BOOST_REQUIRE(cell.WaitUntilReady());
+  Cluster cluster({.seed = 7});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
   wire::RequestSpec spec = MakeSpec("fails", 10);
   spec.size.millicores = 4000;
   spec.payload = "fail=1";
   spec.deadline_ms = 5000;
-  const auto submission = cell.Submit(0, spec);
-  BOOST_REQUIRE(cell.RunUntil(
-      [&] { return StartsOf(cell.history().events(), submission->id) > 0; },
+  const auto submission = cluster.Submit(0, spec);
+  BOOST_REQUIRE(cluster.RunUntil(
+      [&] { return StartsOf(cluster.history().events(), submission->id) > 0; },
       Millis(5000)));
-  FillCell(cell, 20000);
+  FillCluster(cluster, 20000);
   BOOST_REQUIRE(
-      cell.RunUntil([&] { return submission->answered; }, Millis(15000)));
+      cluster.RunUntil([&] { return submission->answered; }, Millis(15000)));
   BOOST_TEST((submission->outcome.verdict == wire::Verdict::kUnknown));
 }
 
@@ -748,16 +751,16 @@
 // other entries dead. If it kept attaching their upstreams, no entry could
 // confirm all upstreams at once, and callers would get the verdict "unknown".
 BOOST_AUTO_TEST_CASE(isolated_entry_stops_contesting_upstreams) {
-  Cell cell({.seed = 8});
-  BOOST_REQUIRE(cell.WaitUntilReady());
-  cell.network().BlockLink(Cell::EntryName(0), Cell::EntryName(2));
-  cell.network().BlockLink(Cell::EntryName(1), Cell::EntryName(2));
-  cell.Run(Millis(8000));
-  const size_t before = cell.history().events().size();
-  cell.Run(Millis(20000));
+  Cluster cluster({.seed = 8});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
+  cluster.network().BlockLink(Cluster::EntryName(0), Cluster::EntryName(2));
+  cluster.network().BlockLink(Cluster::EntryName(1), Cluster::EntryName(2));
+  cluster.Run(Millis(8000));
+  const size_t before = cluster.history().events().size();
+  cluster.Run(Millis(20000));
   int contests = 0;
-  for (size_t i = before; i < cell.history().events().size(); ++i) {
-    const auto& event = cell.history().events()[i];
+  for (size_t i = before; i < cluster.history().events().size(); ++i) {
+    const auto& event = cluster.history().events()[i];
     contests += event["event"] == "attach" && event["holder"] == "entry-2";
   }
   BOOST_TEST(contests == 0);
--- a/tests/standins/history.h
+++ b/tests/fakes/history.h
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 
 /// Events at the fakes, in order, for the checkers. Used by one thread only.
 class History {
@@ -19,4 +19,4 @@
   nlohmann::json events_ = nlohmann::json::array();
 };
 
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
--- a/tests/standins/instance_list_fake.cc
+++ b/tests/fakes/instance_list_fake.cc
@@ -1,8 +1,8 @@
-#include "tests/standins/instance_list_fake.h"
+#include "tests/fakes/instance_list_fake.h"
 
 #include <nlohmann/json.hpp>
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 
 using nlohmann::json;
 
@@ -54,10 +54,10 @@
   return out;
 }
 
-std::vector<wire::ListedInstance> ParseCell(const std::string& text) {
-  const json cell = json::parse(text, nullptr, true, true);
+std::vector<wire::ListedInstance> ParseClusterFile(const std::string& text) {
+  const json cluster = json::parse(text, nullptr, true, true);
   std::vector<wire::ListedInstance> out;
-  for (const json& entry : cell.value("entries", json::array())) {
+  for (const json& entry : cluster.value("entries", json::array())) {
     wire::ListedInstance listed;
     listed.name = entry.at("name");
     listed.role = wire::ListedRole::kEntry;
@@ -65,7 +65,7 @@
     listed.failure_domain = entry.value("failure_domain", "");
     out.push_back(listed);
   }
-  for (const json& group : cell.value("upstreams", json::array())) {
+  for (const json& group : cluster.value("upstreams", json::array())) {
     const int count = group.value("count", 1);
     for (int i = 0; i < count; ++i) {
       wire::ListedInstance listed;
@@ -86,4 +86,4 @@
   return out;
 }
 
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
--- a/tests/standins/instance_list_fake.h
+++ b/tests/fakes/instance_list_fake.h
@@ -7,10 +7,10 @@
 #include "platform_types.h"
 #include "src/libs/base/executor.h"
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 
-/// Stand-in for the platform's instance list; Fetch() shows a change only after
-/// the set lag.
+/// Fake of the platform's instance list. Changes take effect after the lag that
+/// was set.
 class InstanceListFake {
  public:
   InstanceListFake(Executor& executor,
@@ -33,8 +33,8 @@
   std::map<std::string, wire::ListedInstance> instances_;
 };
 
-/// Parses the list of a cluster's entries and upstreams: {"entries": [...],
-/// "upstreams": [...]}; see examples/*.cell.json.
-std::vector<wire::ListedInstance> ParseCell(const std::string& text);
+/// Parses a file that lists a cluster's entries and upstreams: {"entries":
+/// [...], "upstreams": [...]}; see examples/*.cell.json.
+std::vector<wire::ListedInstance> ParseClusterFile(const std::string& text);
 
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
--- a/tests/standins/log_server_fake.cc
+++ b/tests/fakes/log_server_fake.cc
@@ -1,9 +1,9 @@
-#include "tests/standins/log_server_fake.h"
+#include "tests/fakes/log_server_fake.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 namespace {
 constexpr Millis kExpiryInterval{50};
 }  // namespace
@@ -14,15 +14,15 @@
 }
 
 template <typename Reply>
-void LogServerFake::Send(const Answer<Reply>& answer, const Reply& reply) {
+void LogServerFake::Send(const ReplyCallback<Reply>& done, const Reply& reply) {
   if (faults_.down) return;
-  if (faults_.reply_delay_ms == 0) return answer(reply);
+  if (faults_.reply_delay_ms == 0) return done(reply);
   executor_.RunAfter(Millis(faults_.reply_delay_ms),
-                     [answer, reply] { answer(reply); });
+                     [done, reply] { done(reply); });
 }
 
 void LogServerFake::Append(const wire::AppendCall& call,
-                           Answer<wire::AppendReply> answer) {
+                           ReplyCallback<wire::AppendReply> done) {
   if (faults_.down) return;
   if (faults_.drop_appends > 0) {
     --faults_.drop_appends;
@@ -33,20 +33,20 @@
   wire::AppendReply reply;
   reply.first_offset = stream.next;
   for (const std::string& data : call.records) {
-    Entry entry;
-    entry.record.offset = stream.next++;
-    entry.record.data = data;
-    entry.at = executor_.Now();
-    stream.entries.push_back(std::move(entry));
+    StoredRecord stored;
+    stored.record.offset = stream.next++;
+    stored.record.data = data;
+    stored.appended_at = executor_.Now();
+    stream.records.push_back(std::move(stored));
   }
   for (const WaitingReader& reader : std::exchange(stream.readers, {})) {
-    Send(reader.answer, MakeReply(stream, reader.call));
+    Send(reader.done, MakeReply(stream, reader.call));
   }
   if (faults_.drop_append_replies > 0) {
     --faults_.drop_append_replies;
     return;
   }
-  Send(answer, reply);
+  Send(done, reply);
 }
 
 wire::ReadReply LogServerFake::MakeReply(const Stream& stream,
@@ -57,24 +57,24 @@
   const int64_t start = std::max(call.start, stream.first);
   const int64_t skip = start - stream.first;
   for (size_t i = static_cast<size_t>(std::max<int64_t>(skip, 0));
-       i < stream.entries.size() &&
+       i < stream.records.size() &&
        reply.records.size() < static_cast<size_t>(call.max_records);
        ++i) {
-    reply.records.push_back(stream.entries[i].record);
+    reply.records.push_back(stream.records[i].record);
   }
   return reply;
 }
 
 void LogServerFake::Read(const wire::ReadCall& call,
-                         Answer<wire::ReadReply> answer) {
+                         ReplyCallback<wire::ReadReply> done) {
   if (faults_.down) return;
   ++reads_;
   Stream& stream = streams_[call.stream];
   if (call.start < stream.next || call.wait_ms <= 0) {
-    return Send(answer, MakeReply(stream, call));
+    return Send(done, MakeReply(stream, call));
   }
-  const uint64_t id = ++last_reader_;
-  stream.readers.push_back({call, std::move(answer), id});
+  const uint64_t id = ++last_reader_id_;
+  stream.readers.push_back({call, std::move(done), id});
   executor_.RunAfter(Millis(call.wait_ms), [this, &stream, id] {
     const auto found =
         std::find_if(stream.readers.begin(), stream.readers.end(),
@@ -82,16 +82,16 @@
     if (found == stream.readers.end()) return;
     const WaitingReader waiting = std::move(*found);
     stream.readers.erase(found);
-    Send(waiting.answer, MakeReply(stream, waiting.call));
+    Send(waiting.done, MakeReply(stream, waiting.call));
   });
 }
 
 void LogServerFake::Expire() {
   const TimePoint now = executor_.Now();
   for (auto& [name, stream] : streams_) {
-    while (!stream.entries.empty() &&
-           now - stream.entries.front().at > retention_) {
-      stream.entries.pop_front();
+    while (!stream.records.empty() &&
+           now - stream.records.front().appended_at > retention_) {
+      stream.records.pop_front();
       ++stream.first;
     }
   }
@@ -99,10 +99,10 @@
 
 void LogServerFake::Trim(const std::string& name, int64_t offset) {
   Stream& stream = streams_[name];
-  while (!stream.entries.empty() && stream.first < offset) {
-    stream.entries.pop_front();
+  while (!stream.records.empty() && stream.first < offset) {
+    stream.records.pop_front();
     ++stream.first;
   }
 }
 
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
--- a/tests/standins/main.cc
+++ b/tests/fakes/main.cc
@@ -1,6 +1,5 @@
-// Fakes of the platform in one process: any of the log, the instance list and a
-// group of upstreams. An HTTP control endpoint sets faults and returns the
-// history.
+// Serves fakes of the platform: any of the log, the instance list and a group
+// of upstreams. An HTTP control endpoint sets faults and returns the history.
 
 #include <gflags/gflags.h>
 #include <httplib.h>
@@ -16,28 +15,29 @@
 #include "src/libs/rpc/asio.h"
 #include "src/libs/rpc/asio_executor.h"
 #include "src/libs/rpc/server.h"
-#include "tests/standins/instance_list_fake.h"
-#include "tests/standins/log_server_fake.h"
-#include "tests/standins/upstream_server_fake.h"
+#include "tests/fakes/instance_list_fake.h"
+#include "tests/fakes/log_server_fake.h"
+#include "tests/fakes/upstream_server_fake.h"
 
-DEFINE_string(cell, "", "file with the description of the cell");
+DEFINE_string(cell, "",
+              "file that lists the entries and upstreams of the cluster");
 DEFINE_string(log, "", "ip:port to serve the log on");
 DEFINE_string(list, "", "ip:port to serve the instance list on");
 DEFINE_string(upstreams, "",
-              "ip:port to serve the cell's upstreams with this address on");
+              "ip:port to serve the upstreams with this address on");
 DEFINE_string(upstreams_as, "",
-              "address of these upstreams in the cell; --upstreams if empty");
+              "address of these upstreams in the file; --upstreams if empty");
 DEFINE_string(control, "", "ip:port of the control endpoint");
 DEFINE_int64(retention_ms, 600000, "how long the log keeps records");
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 namespace {
 
 using nlohmann::json;
 using rpc::HandleTyped;
 using rpc::Method;
 
-struct Standins {
+struct FakePlatform {
   asio::io_context io{1};
   rpc::AsioExecutor executor{io};
   History history;
@@ -52,7 +52,8 @@
     add(*servers.back());
     const auto port = servers.back()->Listen(address);
     if (!port.ok()) {
-      std::fprintf(stderr, "standin: %s\n", port.error().message.c_str());
+      std::fprintf(stderr, "mimosarail_fakes: %s\n",
+                   port.error().message.c_str());
       std::exit(1);
     }
     return *servers.back();
@@ -70,8 +71,8 @@
     });
   }
 
-  void ServeList(std::vector<wire::ListedInstance> cell) {
-    list = std::make_unique<InstanceListFake>(executor, std::move(cell));
+  void ServeList(std::vector<wire::ListedInstance> cluster) {
+    list = std::make_unique<InstanceListFake>(executor, std::move(cluster));
     Serve(FLAGS_list, [this](rpc::Server& server) {
       HandleTyped<wire::ListCall, wire::ListReply>(
           server, executor, Method::kList,
@@ -94,12 +95,12 @@
         });
   }
 
-  void ServeUpstreams(const std::vector<wire::ListedInstance>& cell) {
-    for (const wire::ListedInstance& listed : cell) {
+  void ServeUpstreams(const std::vector<wire::ListedInstance>& cluster) {
+    for (const wire::ListedInstance& listed : cluster) {
       if (listed.role != wire::ListedRole::kUpstream) continue;
-      const std::string& cell_address =
+      const std::string& listed_address =
           FLAGS_upstreams_as.empty() ? FLAGS_upstreams : FLAGS_upstreams_as;
-      if (listed.address != cell_address) continue;
+      if (listed.address != listed_address) continue;
       upstreams[listed.name] =
           std::make_unique<UpstreamServerFake>(executor, history, listed);
     }
@@ -164,16 +165,17 @@
   }
   if (change.contains("remove")) list.Remove(change["remove"]);
   if (change.contains("put")) {
-    for (const auto& instance : ParseCell(change["put"].dump())) {
+    for (const auto& instance : ParseClusterFile(change["put"].dump())) {
       list.Put(instance);
     }
   }
 }
 
-/// Runs `work` on the fakes' thread and waits for its result.
-json OnStandins(Standins& standins, const std::function<json()>& work) {
+/// Runs `work` on the thread of the fakes and waits for its result.
+json RunOnFakeThread(FakePlatform& platform,
+                     const std::function<json()>& work) {
   std::promise<json> promise;
-  standins.executor.Post([&] {
+  platform.executor.Post([&] {
     try {
       promise.set_value(work());
     } catch (const std::exception& error) {
@@ -183,62 +185,65 @@
   return promise.get_future().get();
 }
 
-void ServeControl(httplib::Server& server, Standins& s) {
-  const auto serve = [&server, &s](const std::string& path,
-                                   std::function<json(const json&)> handle) {
-    server.Post(path, [&s, handle](const auto& request, auto& response) {
+void ServeControl(httplib::Server& server, FakePlatform& platform) {
+  const auto serve = [&server, &platform](
+                         const std::string& path,
+                         std::function<json(const json&)> handle) {
+    server.Post(path, [&platform, handle](const auto& request, auto& response) {
       const json body = json::parse(request.body, nullptr, false);
-      const json result = OnStandins(s, [&] { return handle(body); });
+      const json result =
+          RunOnFakeThread(platform, [&] { return handle(body); });
       response.set_content(result.dump(), "application/json");
     });
   };
-  serve("/fault/upstream", [&s](const json& fault) {
+  serve("/fault/upstream", [&platform](const json& fault) {
     const std::string name = fault.value("upstream", "*");
-    for (auto& [id, upstream] : s.upstreams) {
+    for (auto& [id, upstream] : platform.upstreams) {
       if (name == "*" || name == id) SetUpstreamFault(*upstream, fault);
     }
     return json::object();
   });
-  serve("/fault/log", [&s](const json& fault) {
-    if (s.log) SetLogFault(*s.log, fault);
+  serve("/fault/log", [&platform](const json& fault) {
+    if (platform.log) SetLogFault(*platform.log, fault);
     return json::object();
   });
-  serve("/list", [&s](const json& change) {
-    if (s.list) ChangeList(*s.list, change);
+  serve("/list", [&platform](const json& change) {
+    if (platform.list) ChangeList(*platform.list, change);
     return json::object();
   });
-  serve("/history", [&s](const json&) { return s.history.events(); });
-  serve("/counts", [&s](const json&) {
-    return json{{"appends", s.log ? s.log->appends() : 0},
-                {"reads", s.log ? s.log->reads() : 0}};
+  serve("/history",
+        [&platform](const json&) { return platform.history.events(); });
+  serve("/counts", [&platform](const json&) {
+    return json{{"appends", platform.log ? platform.log->appends() : 0},
+                {"reads", platform.log ? platform.log->reads() : 0}};
   });
 }
 
 int Run() {
-  Standins standins;
-  const auto cell = ParseCell(ReadFile(FLAGS_cell));
-  if (!FLAGS_log.empty()) standins.ServeLog();
-  if (!FLAGS_list.empty()) standins.ServeList(cell);
-  if (!FLAGS_upstreams.empty()) standins.ServeUpstreams(cell);
+  FakePlatform platform;
+  const auto cluster = ParseClusterFile(ReadFile(FLAGS_cell));
+  if (!FLAGS_log.empty()) platform.ServeLog();
+  if (!FLAGS_list.empty()) platform.ServeList(cluster);
+  if (!FLAGS_upstreams.empty()) platform.ServeUpstreams(cluster);
   httplib::Server control;
-  ServeControl(control, standins);
+  ServeControl(control, platform);
   const size_t colon = FLAGS_control.rfind(':');
   std::thread http([&] {
     control.listen(FLAGS_control.substr(0, colon),
                    std::atoi(FLAGS_control.c_str() + colon + 1));
   });
-  asio::signal_set signals(standins.io, SIGTERM, SIGINT);
-  signals.async_wait([&](std::error_code, int) { standins.io.stop(); });
-  standins.io.run();
+  asio::signal_set signals(platform.io, SIGTERM, SIGINT);
+  signals.async_wait([&](std::error_code, int) { platform.io.stop(); });
+  platform.io.run();
   control.stop();
   http.join();
   return 0;
 }
 
 }  // namespace
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  return mimosarail::standins::Run();
+  return mimosarail::fakes::Run();
 }
--- a/tests/standins/upstream_server_fake.cc
+++ b/tests/fakes/upstream_server_fake.cc
@@ -1,21 +1,21 @@
-#include "tests/standins/upstream_server_fake.h"
+#include "tests/fakes/upstream_server_fake.h"
 
 #include <cstdlib>
 
 #include "src/libs/base/digest.h"
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 namespace {
 
-/// A task that crashes the instance does so this long after its start.
+/// Time from the start of a task that crashes the instance to the crash.
 constexpr Millis kCrashDelay{10};
-/// A crashed instance answers calls again after this time.
+/// Time from a crash to the restart of the instance.
 constexpr Millis kRestartDelay{1000};
 
 constexpr Millis kTickInterval{10};
 constexpr size_t kMaxInlineAnswerBytes = 16384;
 
-/// Value of "name=value" in a payload, or the fallback.
+/// Returns the value of "name=value" in a payload, or `fallback`.
 int64_t Parameter(const std::string& payload, const std::string& name,
                   int64_t fallback) {
   const size_t at = payload.find(name + "=");
@@ -23,8 +23,8 @@
   return std::atoll(payload.c_str() + at + name.size() + 1);
 }
 
-/// The answer of a task. Contains the request and the task, so that an answer
-/// delivered to the wrong request is detected.
+/// Returns the answer of a task. It contains the request and the task, so that
+/// an answer delivered to the wrong request is detected.
 std::string MakeAnswer(const wire::TaskSpec& task) {
   std::string out = task.work + " of " + task.request_id + " #" +
                     std::to_string(task.index) + ": " + task.payload;
@@ -82,10 +82,11 @@
 }
 
 template <typename Reply>
-void UpstreamServerFake::Send(const Answer<Reply>& answer, const Reply& reply) {
-  if (faults_.reply_delay_ms == 0) return answer(reply);
+void UpstreamServerFake::Send(const ReplyCallback<Reply>& done,
+                              const Reply& reply) {
+  if (faults_.reply_delay_ms == 0) return done(reply);
   executor_.RunAfter(Millis(faults_.reply_delay_ms),
-                     [answer, reply] { answer(reply); });
+                     [done, reply] { done(reply); });
 }
 
 std::vector<wire::TaskStatus> UpstreamServerFake::Snapshot() const {
@@ -95,7 +96,7 @@
 }
 
 void UpstreamServerFake::Attach(const wire::AttachCall& call,
-                                Answer<wire::AttachReply> answer) {
+                                ReplyCallback<wire::AttachReply> done) {
   if (faults_.down) return;
   Tick();
   wire::AttachReply reply;
@@ -104,14 +105,14 @@
     reply.status = wire::CallStatus::kStaleTerm;
     reply.term = term_;
     reply.holder = holder_;
-    return Send(answer, reply);
+    return Send(done, reply);
   }
   reply.status = wire::CallStatus::kOk;
   reply.term = call.term;
   reply.inventory = Snapshot();
   reply.capacity = self_.capacity;
   reply.slots = self_.slots;
-  if (repeated) return Send(answer, reply);
+  if (repeated) return Send(done, reply);
   term_ = call.term;
   holder_ = call.controller;
   history_.Add({{"event", "attach"},
@@ -126,11 +127,11 @@
     const auto poller = std::exchange(pending_poll_, nullptr);
     poller(stale);
   }
-  Send(answer, reply);
+  Send(done, reply);
 }
 
 void UpstreamServerFake::Start(const wire::StartCall& call,
-                               Answer<wire::StartReply> answer) {
+                               ReplyCallback<wire::StartReply> done) {
   if (faults_.down) return;
   if (faults_.drop_starts > 0) {
     --faults_.drop_starts;
@@ -141,11 +142,11 @@
   if (call.term != term_) {
     Log("start_fenced", call.task);
     reply.status = wire::CallStatus::kStaleTerm;
-    return Send(answer, reply);
+    return Send(done, reply);
   }
   if (released_.contains(call.task.task_id)) {
     reply.status = wire::CallStatus::kRefused;
-    return Send(answer, reply);
+    return Send(done, reply);
   }
   if (!tasks_.contains(call.task.task_id)) {
     Task& task = tasks_[call.task.task_id];
@@ -174,18 +175,18 @@
     --faults_.drop_start_replies;
     return;
   }
-  Send(answer, reply);
+  Send(done, reply);
 }
 
 void UpstreamServerFake::Renew(const wire::RenewCall& call,
-                               Answer<wire::RenewReply> answer) {
+                               ReplyCallback<wire::RenewReply> done) {
   if (faults_.down) return;
   Tick();
   wire::RenewReply reply;
   reply.term = term_;
   if (call.term != term_) {
     reply.status = wire::CallStatus::kStaleTerm;
-    return Send(answer, reply);
+    return Send(done, reply);
   }
   const TimePoint until = executor_.Now() + Millis(call.lease_ms);
   for (auto& [id, task] : tasks_) {
@@ -204,9 +205,7 @@
     --faults_.drop_renew_replies;
     return;
   }
-  pending_poll_ = [this, answer](const wire::RenewReply& r) {
-    Send(answer, r);
-  };
+  pending_poll_ = [this, done](const wire::RenewReply& r) { Send(done, r); };
   const uint64_t poll = ++last_poll_id_;
   poll_seen_sequence_ = call.seen;
   NotifyPoller();
@@ -236,13 +235,13 @@
 }
 
 void UpstreamServerFake::Steer(const wire::SteerCall& call,
-                               Answer<wire::SteerReply> answer) {
+                               ReplyCallback<wire::SteerReply> done) {
   if (faults_.down) return;
   wire::SteerReply reply;
   reply.term = term_;
   if (call.term != term_) {
     reply.status = wire::CallStatus::kStaleTerm;
-    return Send(answer, reply);
+    return Send(done, reply);
   }
   reply.status = wire::CallStatus::kOk;
   if (call.action == wire::SteerAction::kStop) {
@@ -253,21 +252,21 @@
       EndTask(found->second, wire::TaskState::kStopped);
     }
   }
-  Send(answer, reply);
+  Send(done, reply);
   NotifyPoller();
 }
 
 void UpstreamServerFake::Inventory(const wire::InventoryCall&,
-                                   Answer<wire::InventoryReply> answer) {
+                                   ReplyCallback<wire::InventoryReply> done) {
   if (faults_.down) return;
   wire::InventoryReply reply;
   reply.term = term_;
   reply.tasks = Snapshot();
-  Send(answer, reply);
+  Send(done, reply);
 }
 
 void UpstreamServerFake::Usage(const wire::UsageCall&,
-                               Answer<wire::UsageReply> answer) {
+                               ReplyCallback<wire::UsageReply> done) {
   if (faults_.down) return;
   wire::UsageReply reply;
   for (const auto& [id, task] : tasks_) {
@@ -275,11 +274,11 @@
     reply.used.millicores += task.status.spec.size.millicores;
     reply.used.memory_mb += task.status.spec.size.memory_mb;
   }
-  Send(answer, reply);
+  Send(done, reply);
 }
 
 void UpstreamServerFake::Collect(const wire::CollectCall& call,
-                                 Answer<wire::CollectReply> answer) {
+                                 ReplyCallback<wire::CollectReply> done) {
   if (faults_.down) return;
   wire::CollectReply reply;
   const auto found = tasks_.find(call.task_id);
@@ -290,7 +289,7 @@
     reply.length = found->second.status.answer_length;
     reply.digest = found->second.status.answer_digest;
   }
-  Send(answer, reply);
+  Send(done, reply);
 }
 
 void UpstreamServerFake::EndTask(Task& task, wire::TaskState::type state) {
@@ -341,10 +340,10 @@
   }
   tasks_.clear();
   pending_poll_ = nullptr;
-  // The term is kept: the same instance restarts. A replacement would have a
-  // new name.
+  // The term is kept because the same instance restarts; a replacement would
+  // have a new name.
 }
 
 void UpstreamServerFake::Restart() { faults_.down = false; }
 
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
--- a/tests/standins/upstream_server_fake.h
+++ b/tests/fakes/upstream_server_fake.h
@@ -8,42 +8,43 @@
 
 #include "platform_types.h"
 #include "src/libs/base/executor.h"
-#include "tests/standins/history.h"
+#include "tests/fakes/history.h"
 
-namespace mimosarail::standins {
+namespace mimosarail::fakes {
 
 /// Faults of one upstream, set by tests.
 struct UpstreamFaults {
   bool down = false;           ///< Calls are dropped without effect.
   bool fail_all = false;       ///< Every task fails immediately.
-  int drop_start_replies = 0;  ///< Starts to execute without a reply.
-  int drop_starts = 0;         ///< Starts to drop without executing them.
-  int drop_renew_replies = 0;  ///< Renewals to execute without a reply.
+  int drop_start_replies = 0;  ///< How many starts execute without a reply.
+  int drop_starts = 0;         ///< How many starts are dropped.
+  int drop_renew_replies = 0;  ///< How many renewals execute without a reply.
   int64_t reply_delay_ms = 0;  ///< Delay of every reply.
   double run_factor = 1.0;     ///< Ratio of real to declared run time.
 };
 
-/// One upstream with the guarantees of the platform (docs/PLATFORM.md): calls
-/// with an old term are fenced, leases expire by the upstream's own clock, and
-/// ended tasks are kept until they are released. It does not refuse starts that
-/// exceed its capacity: the checkers find them in the history.
+/// Fake of one upstream with the guarantees of the platform (docs/PLATFORM.md):
+/// calls with an old term are fenced, leases expire by the upstream's own
+/// clock, and ended tasks are kept until they are released. It does not refuse
+/// starts that exceed its capacity: the checkers find them in the history.
 class UpstreamServerFake {
  public:
   UpstreamServerFake(Executor& executor, History& history,
                      wire::ListedInstance self);
 
   template <typename Reply>
-  using Answer = std::function<void(const Reply&)>;
+  using ReplyCallback = std::function<void(const Reply&)>;
 
-  void Attach(const wire::AttachCall& call, Answer<wire::AttachReply> answer);
-  void Start(const wire::StartCall& call, Answer<wire::StartReply> answer);
-  void Renew(const wire::RenewCall& call, Answer<wire::RenewReply> answer);
-  void Steer(const wire::SteerCall& call, Answer<wire::SteerReply> answer);
+  void Attach(const wire::AttachCall& call,
+              ReplyCallback<wire::AttachReply> done);
+  void Start(const wire::StartCall& call, ReplyCallback<wire::StartReply> done);
+  void Renew(const wire::RenewCall& call, ReplyCallback<wire::RenewReply> done);
+  void Steer(const wire::SteerCall& call, ReplyCallback<wire::SteerReply> done);
   void Inventory(const wire::InventoryCall& call,
-                 Answer<wire::InventoryReply> answer);
-  void Usage(const wire::UsageCall& call, Answer<wire::UsageReply> answer);
+                 ReplyCallback<wire::InventoryReply> done);
+  void Usage(const wire::UsageCall& call, ReplyCallback<wire::UsageReply> done);
   void Collect(const wire::CollectCall& call,
-               Answer<wire::CollectReply> answer);
+               ReplyCallback<wire::CollectReply> done);
 
   UpstreamFaults& faults() { return faults_; }
   /// Crashes the instance: its tasks are lost, and it answers no calls until
@@ -68,7 +69,7 @@
     Log(event, task, NowMs());
   }
   template <typename Reply>
-  void Send(const Answer<Reply>& answer, const Reply& reply);
+  void Send(const ReplyCallback<Reply>& done, const Reply& reply);
   int64_t NowMs() const;
 
   Executor& executor_;
@@ -79,10 +80,10 @@
   std::string holder_;
   std::map<std::string, Task> tasks_;
   std::set<std::string> released_;
-  Answer<wire::RenewReply> pending_poll_;
+  ReplyCallback<wire::RenewReply> pending_poll_;
   uint64_t last_poll_id_ = 0;
   int64_t poll_seen_sequence_ = 0;
   int64_t last_sequence_ = 0;
 };
 
-}  // namespace mimosarail::standins
+}  // namespace mimosarail::fakes
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <vector>
 
-#include "tests/sim/cell.h"
+#include "tests/sim/cluster.h"
 
 namespace mimosarail::callers {
 namespace {
@@ -54,11 +54,11 @@
 /// elsewhere would have the request run twice, and the work would use the stack
 /// frame of a handler that has returned.
 BOOST_AUTO_TEST_CASE(TimedOutSubmissionIsNotExecuted) {
-  sim::Cell cell({});
-  BOOST_REQUIRE(cell.WaitUntilReady());
-  sim::Node& node = cell.node(0);
-  StalledExecutor stalled(*node.executor);
-  HttpApi api(*node.instance, stalled, *node.metrics,
+  sim::Cluster cluster({});
+  BOOST_REQUIRE(cluster.WaitUntilReady());
+  sim::EntryProcess& process = cluster.entry_process(0);
+  StalledExecutor stalled(*process.executor);
+  HttpApi api(*process.instance, stalled, *process.metrics,
               {.address = "127.0.0.1:0", .control_timeout = kControlTimeout});
   const auto port = api.Start();
   BOOST_REQUIRE(port.ok());
@@ -68,11 +68,11 @@
   BOOST_TEST(reply->status == 503);
   BOOST_TEST(reply->body.find("\"not run\"") != std::string::npos);
   stalled.Resume();
-  cell.Run(Millis(5000));
-  const auto lookup = cell.Lookup(0, "part-1", Millis(0));
-  cell.Run(Millis(1000));
+  cluster.Run(Millis(5000));
+  const auto lookup = cluster.Lookup(0, "part-1", Millis(0));
+  cluster.Run(Millis(1000));
   BOOST_TEST(!lookup->found);
-  BOOST_TEST(node.instance->requests().unfinished() == 0U);
+  BOOST_TEST(process.instance->requests().unfinished() == 0U);
 }
 
 }  // namespace mimosarail::callers
--- a/tests/request_fault_injection_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -7,8 +7,8 @@
 #include <cstdlib>
 #include <random>
 
-#include "tests/sim/cell.h"
 #include "tests/sim/checker.h"
+#include "tests/sim/cluster.h"
 
 namespace mimosarail::sim {
 namespace {
@@ -17,23 +17,23 @@
 constexpr int kFaultySteps = 150;
 constexpr Millis kRecoveryLimit{240000};
 
-/// Runs random requests and faults against one cell, then ends all faults and
-/// checks the invariants.
+/// Runs random requests and faults against one cluster, then ends all faults
+/// and checks the invariants.
 class Schedule {
  public:
   explicit Schedule(uint64_t seed)
-      : random_(seed), cell_({.seed = seed}), paused_until_(3, 0) {}
+      : random_(seed), cluster_({.seed = seed}), paused_until_(3, 0) {}
 
   std::vector<std::string> Run() {
-    if (!cell_.WaitUntilReady()) return {"the cell did not become ready"};
-    cell_.network().lost_per_mille = Random(3) == 0 ? 10 : 0;
-    cell_.network().duplicated_per_mille = Random(3) == 0 ? 20 : 0;
-    cell_.network().delayed_per_mille = Random(3) == 0 ? 10 : 0;
+    if (!cluster_.WaitUntilReady()) return {"the cluster did not become ready"};
+    cluster_.network().lost_per_mille = Random(3) == 0 ? 10 : 0;
+    cluster_.network().duplicated_per_mille = Random(3) == 0 ? 20 : 0;
+    cluster_.network().delayed_per_mille = Random(3) == 0 ? 10 : 0;
     for (step_ = 0; step_ < kFaultySteps; ++step_) {
       MaybeSubmit();
       if (Random(6) == 0) InjectFault();
       ResumeDue();
-      cell_.Run(kStep);
+      cluster_.Run(kStep);
     }
     EndFaults();
     return Check();
@@ -62,14 +62,14 @@
   }
 
   void SubmitAt(int entry, const wire::RequestSpec& spec) {
-    if (cell_.node(entry).executor->dead()) return;
+    if (cluster_.entry_process(entry).executor->dead()) return;
     Record("submit " + spec.id + " at entry " + std::to_string(entry));
-    submissions_.push_back({spec, cell_.Submit(entry, spec)});
+    submissions_.push_back({spec, cluster_.Submit(entry, spec)});
     submission_entries_.push_back(entry);
   }
 
   std::string RandomUpstream() {
-    return Cell::UpstreamName(Random(3), Random(2));
+    return Cluster::UpstreamName(Random(3), Random(2));
   }
 
   std::string RandomEndpoint() {
@@ -79,7 +79,7 @@
       case 1:
         return RandomUpstream();
       default:
-        return Cell::EntryName(Random(3));
+        return Cluster::EntryName(Random(3));
     }
   }
 
@@ -90,39 +90,40 @@
            std::to_string(entry));
     switch (fault) {
       case 0:
-        cell_.Kill(entry);
+        cluster_.Kill(entry);
         break;
       case 1:
       case 2:
-        if (cell_.node(entry).executor->dead()) cell_.Restart(entry);
+        if (cluster_.entry_process(entry).executor->dead())
+          cluster_.Restart(entry);
         break;
       case 3:
-        if (cell_.node(entry).executor->paused()) break;
-        cell_.node(entry).executor->Pause();
+        if (cluster_.entry_process(entry).executor->paused()) break;
+        cluster_.entry_process(entry).executor->Pause();
         paused_until_[static_cast<size_t>(entry)] = step_ + 5 + Random(60);
         break;
       case 4: {
-        const std::string a = Cell::EntryName(entry);
+        const std::string a = Cluster::EntryName(entry);
         const std::string b = RandomEndpoint();
-        cell_.network().BlockLink(a, b);
-        if (Random(2) == 0) cell_.network().BlockLink(b, a);
+        cluster_.network().BlockLink(a, b);
+        if (Random(2) == 0) cluster_.network().BlockLink(b, a);
         break;
       }
       case 5:
-        cell_.network().HealAll();
+        cluster_.network().UnblockAllLinks();
         break;
       case 6:
-        cell_.log().faults().down = Random(2) == 0;
+        cluster_.log().faults().down = Random(2) == 0;
         break;
       case 7:
-        cell_.log().faults().drop_append_replies = Random(4);
+        cluster_.log().faults().drop_append_replies = Random(4);
         break;
       case 8:
-        cell_.upstream(RandomUpstream()).faults().drop_start_replies =
+        cluster_.upstream(RandomUpstream()).faults().drop_start_replies =
             1 + Random(2);
         break;
       case 9: {
-        auto& executor = cell_.upstream_executor(RandomUpstream());
+        auto& executor = cluster_.upstream_executor(RandomUpstream());
         executor.paused() ? executor.Resume() : executor.Pause();
         break;
       }
@@ -137,24 +138,24 @@
   }
 
   void Publish(int entry) {
-    Node& node = cell_.node(entry);
-    if (node.executor->dead()) return;
-    cell_.Publish(entry, node.instance->config().fold().revision(),
-                  "step " + std::to_string(step_));
+    EntryProcess& process = cluster_.entry_process(entry);
+    if (process.executor->dead()) return;
+    cluster_.Publish(entry, process.instance->config().fold().revision(),
+                     "step " + std::to_string(step_));
   }
 
   void CancelOne(int entry) {
     const size_t i = static_cast<size_t>(random_() % submissions_.size());
-    Node& node = cell_.node(entry);
+    EntryProcess& process = cluster_.entry_process(entry);
     if (submissions_[i].result->id.empty()) return;
-    node.executor->Post([&node, id = submissions_[i].result->id] {
-      node.instance->lookup().Cancel(id, [](bool) {});
+    process.executor->Post([&process, id = submissions_[i].result->id] {
+      process.instance->lookup().Cancel(id, [](bool) {});
     });
   }
 
   void ResumeDue() {
     for (int i = 0; i < 3; ++i) {
-      auto& executor = *cell_.node(i).executor;
+      auto& executor = *cluster_.entry_process(i).executor;
       if (executor.paused() && step_ >= paused_until_[static_cast<size_t>(i)]) {
         executor.Resume();
       }
@@ -162,29 +163,30 @@
   }
 
   void EndFaults() {
-    cell_.network().HealAll();
-    cell_.network().lost_per_mille = 0;
-    cell_.network().duplicated_per_mille = 0;
-    cell_.network().delayed_per_mille = 0;
-    cell_.log().faults() = {};
+    cluster_.network().UnblockAllLinks();
+    cluster_.network().lost_per_mille = 0;
+    cluster_.network().duplicated_per_mille = 0;
+    cluster_.network().delayed_per_mille = 0;
+    cluster_.log().faults() = {};
     for (int i = 0; i < 3; ++i) {
-      Node& node = cell_.node(i);
-      if (node.executor->paused()) node.executor->Resume();
-      if (node.executor->dead()) cell_.Restart(i);
+      EntryProcess& process = cluster_.entry_process(i);
+      if (process.executor->paused()) process.executor->Resume();
+      if (process.executor->dead()) cluster_.Restart(i);
     }
-    for (const std::string& name : cell_.upstream_names()) {
-      cell_.upstream(name).faults() = {};
-      cell_.upstream_executor(name).Resume();
+    for (const std::string& name : cluster_.upstream_names()) {
+      cluster_.upstream(name).faults() = {};
+      cluster_.upstream_executor(name).Resume();
     }
-    cell_.RunUntil([this] { return cell_.AllAttached() && IsIdle(); },
-                   kRecoveryLimit);
+    cluster_.RunUntil([this] { return cluster_.AllAttached() && IsIdle(); },
+                      kRecoveryLimit);
   }
 
   bool IsIdle() {
     for (int i = 0; i < 3; ++i) {
-      instance::Instance& instance = *cell_.node(i).instance;
+      instance::Instance& instance = *cluster_.entry_process(i).instance;
       const int64_t revision = instance.config().fold().revision();
-      if (revision != cell_.node(0).instance->config().fold().revision()) {
+      if (revision !=
+          cluster_.entry_process(0).instance->config().fold().revision()) {
         return false;
       }
       const placement::Room& room = instance.controller().room();
@@ -204,21 +206,22 @@
       Trace(request_id);
     }
     auto violations =
-        CheckInvariants(cell_.history().events(), submissions_, capacity, 4);
-    for (const std::string& name : cell_.revision_regressions) {
+        CheckInvariants(cluster_.history().events(), submissions_, capacity, 4);
+    for (const std::string& name : cluster_.revision_regressions) {
       violations.push_back("revision decreased at " + name);
     }
-    if (!cell_.AllAttached()) {
+    if (!cluster_.AllAttached()) {
       violations.emplace_back("not all upstreams attached");
     }
-    for (int i = 0; i < 3; ++i) CheckNode(cell_.node(i), violations);
+    for (int i = 0; i < 3; ++i)
+      CheckEntry(cluster_.entry_process(i), violations);
     return violations;
   }
 
   /// Prints the upstream events of one request, all attaches, and the
   /// submissions and faults of the schedule.
   void Trace(const std::string& id) {
-    for (const auto& event : cell_.history().events()) {
+    for (const auto& event : cluster_.history().events()) {
       if (event["event"] == "attach" || event.value("request", "") == id) {
         std::printf("%s\n", event.dump().c_str());
       }
@@ -230,40 +233,41 @@
 
   void Record(const std::string& line) {
     const auto now = std::chrono::duration_cast<Millis>(
-        cell_.clock().now().time_since_epoch());
+        cluster_.clock().now().time_since_epoch());
     recorded_actions_.push_back(std::to_string(now.count()) + " " + line);
   }
 
-  void CheckNode(Node& node, std::vector<std::string>& violations) {
-    const auto& fold = node.instance->config().fold();
-    const auto& first = cell_.node(0).instance->config().fold();
+  void CheckEntry(EntryProcess& process, std::vector<std::string>& violations) {
+    const auto& fold = process.instance->config().fold();
+    const auto& first = cluster_.entry_process(0).instance->config().fold();
     if (fold.revision() != first.revision() ||
         fold.state().text != first.state().text) {
-      violations.push_back(node.name + " has a different configuration");
+      violations.push_back(process.name + " has a different configuration");
     }
-    for (const auto& view : node.instance->requests().Views(5)) {
+    for (const auto& view : process.instance->requests().Views(5)) {
       violations.push_back(
-          view.id + " never ended at " + node.name + ": " +
+          view.id + " never ended at " + process.name + ": " +
           std::string(requests::PhaseName(view.phase)) + ", " +
           view.status_message + " " +
           (view.task_states.empty() ? "" : view.task_states.back()));
     }
-    const placement::Room& room = node.instance->controller().room();
+    const placement::Room& room = process.instance->controller().room();
     if (room.total_free() != room.total_capacity()) {
       std::string held;
       for (const auto& [name, session] :
-           node.instance->controller().sessions()) {
-        for (const auto& id : node.instance->execution().RunningTasksOn(name)) {
+           process.instance->controller().sessions()) {
+        for (const auto& id :
+             process.instance->execution().RunningTasksOn(name)) {
           held += " " + name + ":" + id;
         }
         held += " " + name + "=" + std::to_string(session->running());
       }
-      violations.push_back("capacity leaked at " + node.name + held);
+      violations.push_back("capacity leaked at " + process.name + held);
     }
   }
 
   std::mt19937_64 random_;
-  Cell cell_;
+  Cluster cluster_;
   int step_ = 0;
   std::vector<int> paused_until_;
   std::vector<Submission> submissions_;
--- a/tests/scenarios/main.cc
+++ b/tests/scenarios/main.cc
@@ -5,13 +5,13 @@
 #include <lua.hpp>
 #include <thread>
 
-#include "tests/scenarios/real_cell.h"
+#include "tests/scenarios/process_cluster.h"
 #include "tests/sim/checker.h"
 
 namespace mimosarail::scenarios {
 namespace {
 
-RealCell* cell = nullptr;
+ProcessCluster* cluster = nullptr;
 std::string bin_dir;
 
 void PushJson(lua_State* lua, const json& value) {
@@ -40,6 +40,8 @@
   lua_pushstring(lua, value.get<std::string>().c_str());
 }
 
+/// Converts the Lua value at stack index `at`. An empty table becomes an
+/// object.
 json ToJson(lua_State* lua, int at) {
   switch (lua_type(lua, at)) {
     case LUA_TBOOLEAN:
@@ -69,7 +71,9 @@
   return out;
 }
 
-std::string Text(lua_State* lua, int at) { return luaL_checkstring(lua, at); }
+std::string CheckString(lua_State* lua, int at) {
+  return luaL_checkstring(lua, at);
+}
 
 int PushReply(lua_State* lua, const HttpReply& reply) {
   lua_pushinteger(lua, reply.status);
@@ -79,27 +83,28 @@
 
 int Start(lua_State* lua) {
   const json options = lua_istable(lua, 1) ? ToJson(lua, 1) : json::object();
-  static std::unique_ptr<RealCell> owned;
+  static std::unique_ptr<ProcessCluster> owned;
   owned.reset();
-  owned = std::make_unique<RealCell>(bin_dir, options);
-  cell = owned.get();
+  owned = std::make_unique<ProcessCluster>(bin_dir, options);
+  cluster = owned.get();
   return 0;
 }
 
 int Http(lua_State* lua) {
-  return PushReply(lua, cell->Http(Text(lua, 1), Text(lua, 2), Text(lua, 3),
-                                   ToJson(lua, 4)));
+  return PushReply(lua, cluster->Http(CheckString(lua, 1), CheckString(lua, 2),
+                                      CheckString(lua, 3), ToJson(lua, 4)));
 }
 
 int HttpAsync(lua_State* lua) {
-  lua_pushinteger(lua, cell->HttpAsync(Text(lua, 1), Text(lua, 2), Text(lua, 3),
-                                       ToJson(lua, 4)));
+  lua_pushinteger(lua,
+                  cluster->HttpAsync(CheckString(lua, 1), CheckString(lua, 2),
+                                     CheckString(lua, 3), ToJson(lua, 4)));
   return 1;
 }
 
 int Result(lua_State* lua) {
-  return PushReply(lua,
-                   cell->Result(static_cast<int>(luaL_checkinteger(lua, 1))));
+  return PushReply(
+      lua, cluster->Result(static_cast<int>(luaL_checkinteger(lua, 1))));
 }
 
 int Signal(lua_State* lua) {
@@ -107,27 +112,27 @@
                                                    {"STOP", SIGSTOP},
                                                    {"CONT", SIGCONT},
                                                    {"TERM", SIGTERM}};
-  cell->Signal(Text(lua, 1), kSignals.at(Text(lua, 2)));
+  cluster->Signal(CheckString(lua, 1), kSignals.at(CheckString(lua, 2)));
   return 0;
 }
 
 int Wait(lua_State* lua) {
-  lua_pushinteger(lua, cell->Wait(Text(lua, 1)));
+  lua_pushinteger(lua, cluster->Wait(CheckString(lua, 1)));
   return 1;
 }
 
 int Alive(lua_State* lua) {
-  lua_pushboolean(lua, cell->Alive(Text(lua, 1)) ? 1 : 0);
+  lua_pushboolean(lua, cluster->Alive(CheckString(lua, 1)) ? 1 : 0);
   return 1;
 }
 
 int Restart(lua_State* lua) {
-  cell->Restart(Text(lua, 1));
+  cluster->Restart(CheckString(lua, 1));
   return 0;
 }
 
-int Cut(lua_State* lua) {
-  cell->SetInboundBlocked(Text(lua, 1), lua_toboolean(lua, 2) != 0);
+int BlockInbound(lua_State* lua) {
+  cluster->SetInboundBlocked(CheckString(lua, 1), lua_toboolean(lua, 2) != 0);
   return 0;
 }
 
@@ -144,14 +149,14 @@
   return 1;
 }
 
-int HistoryOf(lua_State* lua) {
-  PushJson(lua, cell->History());
+int History(lua_State* lua) {
+  PushJson(lua, cluster->History());
   return 1;
 }
 
-/// broken_promises(submissions, cores, slots): each submission has id, request,
-/// verdict, answer and digest. Returns the list of violations.
-int Check(lua_State* lua) {
+/// check_invariants(submissions, cores, slots): each submission has id,
+/// request, verdict, answer and digest. Returns the list of violations.
+int CheckInvariants(lua_State* lua) {
   std::vector<sim::Submission> submissions;
   for (const json& item : ToJson(lua, 1)) {
     sim::Submission submission;
@@ -175,7 +180,7 @@
   capacity.memory_mb = 8000;
   capacity.connections = 16;
   const auto violations =
-      sim::CheckInvariants(cell->History(), submissions, capacity,
+      sim::CheckInvariants(cluster->History(), submissions, capacity,
                            static_cast<int>(luaL_checkinteger(lua, 3)));
   PushJson(lua, json(violations));
   return 1;
@@ -187,17 +192,17 @@
   const std::map<std::string, lua_CFunction> functions{
       {"start", Start},
       {"http", Http},
-      {"http_later", HttpAsync},
+      {"http_async", HttpAsync},
       {"result", Result},
       {"signal", Signal},
       {"wait", Wait},
       {"alive", Alive},
       {"restart", Restart},
-      {"cut", Cut},
+      {"block_inbound", BlockInbound},
       {"sleep_ms", Sleep},
       {"now_ms", NowMs},
-      {"history", HistoryOf},
-      {"broken_promises", Check}};
+      {"history", History},
+      {"check_invariants", CheckInvariants}};
   for (const auto& [name, function] : functions) {
     lua_register(lua, name.c_str(), function);
   }
@@ -207,7 +212,7 @@
                       luaL_dofile(lua, script.c_str()) != LUA_OK;
   if (failed) {
     std::fprintf(stderr, "FAILED: %s\n", lua_tostring(lua, -1));
-    if (cell != nullptr) std::fprintf(stderr, "%s", cell->Logs().c_str());
+    if (cluster != nullptr) std::fprintf(stderr, "%s", cluster->Logs().c_str());
   }
   lua_close(lua);
   return failed ? 1 : 0;
--- a/tests/scenarios/prelude.lua
+++ b/tests/scenarios/prelude.lua
@@ -1,4 +1,4 @@
--- Functions that the scenarios are written with.
+-- Helper functions of the scenario scripts.
 
 LIMIT_MS = 60000
 
@@ -6,20 +6,20 @@
   {"name": "urgent", "when": {"urgent": true}, "then": {"priority": 0, "wait_limit_s": 60, "preempt": true}},
   {"name": "others", "then": {"priority": 4, "wait_limit_s": 120, "retries": 3}}]}]]
 
--- Waits until `state` returns a true value and returns it. The limit is
--- generous, for slow machines.
-function eventually(what, state, limit)
-  local until_ms = now_ms() + (limit or LIMIT_MS)
-  while now_ms() < until_ms do
-    local value = state()
+-- Waits until `condition` returns a true value and returns it. The default limit
+-- is long enough for slow machines.
+function eventually(what, condition, limit_ms)
+  local deadline = now_ms() + (limit_ms or LIMIT_MS)
+  while now_ms() < deadline do
+    local value = condition()
     if value then return value end
     sleep_ms(20)
   end
   error("timed out waiting until " .. what, 2)
 end
 
-function expect(what, holds)
-  if not holds then error("expectation failed: " .. what, 2) end
+function expect(what, condition)
+  if not condition then error("expectation failed: " .. what, 2) end
 end
 
 function publish(entry, text, base)
@@ -36,7 +36,7 @@
   return status == 200
 end
 
--- The number of upstreams that the entry has attached.
+-- Returns the number of upstreams that the entry has attached.
 function attached(entry)
   local status, body = http(entry, "GET", "/v1/upstreams")
   if status ~= 200 then return 0 end
@@ -53,9 +53,9 @@
   return sum
 end
 
--- Starts a cell and waits until every entry is ready and all upstreams are
+-- Starts a cluster and waits until every entry is ready and all upstreams are
 -- attached.
-function start_cell(options)
+function start_cluster(options)
   options = options or {}
   start(options)
   local entries = {}
@@ -95,14 +95,14 @@
   return status, body
 end
 
-function submit_later(entry, fields, wait_ms)
+function submit_async(entry, fields, wait_ms)
   local req = request(fields)
-  return {request = req, handle = http_later(entry, "POST", "/v1/requests?wait_ms=" .. (wait_ms or 20000), req)}
+  return {request = req, handle = http_async(entry, "POST", "/v1/requests?wait_ms=" .. (wait_ms or 20000), req)}
 end
 
-function collect(later)
-  local status, body = result(later.handle)
-  remember(later.request, status, body)
+function collect(pending)
+  local status, body = result(pending.handle)
+  remember(pending.request, status, body)
   return status, body
 end
 
@@ -111,9 +111,9 @@
   replies[#replies + 1] = {id = body.id, request = req, verdict = body.verdict, answer = body.answer, digest = body.digest}
 end
 
--- Checks all recorded replies against the histories of the upstreams.
+-- Checks all recorded replies against the histories of the fake upstreams.
 function verify(cores, slots)
-  local violations = broken_promises(replies, cores or 4, slots or 4)
+  local violations = check_invariants(replies, cores or 4, slots or 4)
   if #violations > 0 then error("violations: " .. table.concat(violations, "; "), 2) end
 end
 
@@ -129,7 +129,7 @@
 function list_change(fields) http("platform", "POST", "/list", fields) end
 function upstream_fault(rack, fields) http(rack, "POST", "/fault/upstream", fields) end
 
--- The outcome of request `id`, queried at `entry`.
+-- Queries the outcome of request `id` at `entry`.
 function outcome(entry, id, wait_ms)
   return http(entry, "GET", "/v1/requests/" .. id .. "?wait_ms=" .. (wait_ms or 0))
 end
--- a/tests/scenarios/real_cell.cc
+++ b/tests/scenarios/process_cluster.cc
@@ -1,4 +1,4 @@
-#include "tests/scenarios/real_cell.h"
+#include "tests/scenarios/process_cluster.h"
 
 #include <httplib.h>
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-RealCell::RealCell(const std::string& bin_dir, const json& options)
+ProcessCluster::ProcessCluster(const std::string& bin_dir, const json& options)
     : bin_dir_(bin_dir) {
   std::string pattern = "/tmp/mimosarail.XXXXXX";
   dir_ = mkdtemp(pattern.data());
@@ -39,13 +39,13 @@
   const int racks = options.value("racks", 3);
   log_port_ = FreePort();
   list_port_ = FreePort();
-  json cell = {{"entries", json::array()}, {"upstreams", json::array()}};
+  json cluster = {{"entries", json::array()}, {"upstreams", json::array()}};
   std::vector<std::string> peers;
-  std::map<std::string, int> real_ports;
+  std::map<std::string, int> target_ports;
   for (int i = 0; i < entries; ++i) {
     const int advertised = FreePort();
     peers.push_back(Loopback(advertised));
-    cell["entries"].push_back(
+    cluster["entries"].push_back(
         {{"name", "entry-" + std::to_string(i)},
          {"address", peers.back()},
          {"failure_domain", "domain-" + std::to_string(i % 3)}});
@@ -53,10 +53,11 @@
   for (int i = 0; i < racks; ++i) {
     const std::string name = "rack-" + std::to_string(i);
     const int port = FreePort();
-    real_ports[name] = FreePort();
+    target_ports[name] = FreePort();
     racks_.push_back(name);
-    members_[name].relay = std::make_unique<Relay>(io_, port, real_ports[name]);
-    cell["upstreams"].push_back(
+    processes_[name].relay =
+        std::make_unique<Relay>(io_, port, target_ports[name]);
+    cluster["upstreams"].push_back(
         {{"name", "up-" + std::to_string(i)},
          {"count", options.value("upstreams_per_rack", 2)},
          {"rack", name},
@@ -67,10 +68,10 @@
          {"slots", options.value("slots", 4)},
          {"connections", 16}});
   }
-  WriteFile(dir_ + "/cell.json", cell.dump());
-  Member& platform = members_["platform"];
+  WriteFile(dir_ + "/cell.json", cluster.dump());
+  ManagedProcess& platform = processes_["platform"];
   platform.http_port = FreePort();
-  platform.arguments = {bin_dir_ + "/tests/standins/mimosarail_standin",
+  platform.arguments = {bin_dir_ + "/tests/fakes/mimosarail_fakes",
                         "--cell",
                         dir_ + "/cell.json",
                         "--log",
@@ -81,29 +82,29 @@
                         Loopback(platform.http_port),
                         "--retention_ms",
                         std::to_string(options.value("retention_ms", 600000))};
-  StartMember("platform");
+  StartProcess("platform");
   for (size_t i = 0; i < racks_.size(); ++i) {
-    Member& rack = members_[racks_[i]];
+    ManagedProcess& rack = processes_[racks_[i]];
     rack.http_port = FreePort();
-    rack.arguments = {bin_dir_ + "/tests/standins/mimosarail_standin",
+    rack.arguments = {bin_dir_ + "/tests/fakes/mimosarail_fakes",
                       "--cell",
                       dir_ + "/cell.json",
                       "--upstreams",
-                      Loopback(real_ports[racks_[i]]),
+                      Loopback(target_ports[racks_[i]]),
                       "--upstreams_as",
-                      cell["upstreams"][i]["address"],
+                      cluster["upstreams"][i]["address"],
                       "--control",
                       Loopback(rack.http_port)};
-    StartMember(racks_[i]);
+    StartProcess(racks_[i]);
   }
   for (int i = 0; i < entries; ++i) AddEntry(i, options, peers);
 }
 
-void RealCell::AddEntry(int i, const json& options,
-                        const std::vector<std::string>& peers) {
+void ProcessCluster::AddEntry(int i, const json& options,
+                              const std::vector<std::string>& peers) {
   const std::string name = "entry-" + std::to_string(i);
   entries_.push_back(name);
-  Member& entry = members_[name];
+  ManagedProcess& entry = processes_[name];
   entry.http_port = FreePort();
   const int port = FreePort();
   const std::string& advertised = peers[static_cast<size_t>(i)];
@@ -123,13 +124,13 @@
   const std::string file = dir_ + "/" + name + ".json";
   WriteFile(file, settings.dump());
   entry.arguments = {bin_dir_ + "/src/app/mimosaraild", "--settings", file};
-  StartMember(name);
+  StartProcess(name);
 }
 
-RealCell::~RealCell() {
-  for (auto& [name, member] : members_) {
-    member.process.reset();
-    member.relay.reset();
+ProcessCluster::~ProcessCluster() {
+  for (auto& [name, managed] : processes_) {
+    managed.process.reset();
+    managed.relay.reset();
   }
   work_.reset();
   io_.stop();
@@ -137,14 +138,14 @@
   std::filesystem::remove_all(dir_);
 }
 
-void RealCell::StartMember(const std::string& name) {
-  Member& member = members_[name];
-  member.log = dir_ + "/" + name + ".log";
-  member.process = std::make_unique<Process>(member.arguments, member.log);
+void ProcessCluster::StartProcess(const std::string& name) {
+  ManagedProcess& managed = processes_[name];
+  managed.log = dir_ + "/" + name + ".log";
+  managed.process = std::make_unique<Process>(managed.arguments, managed.log);
 }
 
-HttpReply RealCell::Send(int port, const std::string& method,
-                         const std::string& path, const json& body) {
+HttpReply ProcessCluster::Send(int port, const std::string& method,
+                               const std::string& path, const json& body) {
   constexpr int kReadSeconds = 90;
   httplib::Client client("127.0.0.1", port);
   client.set_read_timeout(kReadSeconds);
@@ -168,45 +169,50 @@
   return reply;
 }
 
-HttpReply RealCell::Http(const std::string& process, const std::string& method,
-                         const std::string& path, const json& body) {
-  return Send(members_.at(process).http_port, method, path, body);
+HttpReply ProcessCluster::Http(const std::string& process,
+                               const std::string& method,
+                               const std::string& path, const json& body) {
+  return Send(processes_.at(process).http_port, method, path, body);
 }
 
-int RealCell::HttpAsync(const std::string& process, const std::string& method,
-                        const std::string& path, const json& body) {
-  const int port = members_.at(process).http_port;
+int ProcessCluster::HttpAsync(const std::string& process,
+                              const std::string& method,
+                              const std::string& path, const json& body) {
+  const int port = processes_.at(process).http_port;
   pending_[++next_handle_] = std::async(
       std::launch::async,
       [port, method, path, body] { return Send(port, method, path, body); });
   return next_handle_;
 }
 
-HttpReply RealCell::Result(int handle) { return pending_.at(handle).get(); }
+HttpReply ProcessCluster::Result(int handle) {
+  return pending_.at(handle).get();
+}
 
-void RealCell::Signal(const std::string& process, int signal) {
-  members_.at(process).process->Signal(signal);
+void ProcessCluster::Signal(const std::string& process, int signal) {
+  processes_.at(process).process->Signal(signal);
 }
 
-int RealCell::Wait(const std::string& process) {
-  return members_.at(process).process->Wait();
+int ProcessCluster::Wait(const std::string& process) {
+  return processes_.at(process).process->Wait();
 }
 
-bool RealCell::Alive(const std::string& process) {
-  return members_.at(process).process->Alive();
+bool ProcessCluster::Alive(const std::string& process) {
+  return processes_.at(process).process->Alive();
 }
 
-void RealCell::Restart(const std::string& entry) {
+void ProcessCluster::Restart(const std::string& entry) {
   Signal(entry, SIGKILL);
   Wait(entry);
-  StartMember(entry);
+  StartProcess(entry);
 }
 
-void RealCell::SetInboundBlocked(const std::string& process, bool blocked) {
-  members_.at(process).relay->SetInboundBlocked(blocked);
+void ProcessCluster::SetInboundBlocked(const std::string& process,
+                                       bool blocked) {
+  processes_.at(process).relay->SetInboundBlocked(blocked);
 }
 
-json RealCell::History() {
+json ProcessCluster::History() {
   json all = json::array();
   for (const std::string& rack : racks_) {
     const HttpReply reply = Http(rack, "POST", "/history", json::object());
@@ -216,10 +222,10 @@
   return all;
 }
 
-std::string RealCell::Logs() const {
+std::string ProcessCluster::Logs() const {
   std::string out;
-  for (const auto& [name, member] : members_) {
-    std::ifstream file(member.log);
+  for (const auto& [name, managed] : processes_) {
+    std::ifstream file(managed.log);
     std::string line;
     std::vector<std::string> lines;
     while (std::getline(file, line)) lines.push_back(line);
--- a/tests/scenarios/real_cell.h
+++ b/tests/scenarios/process_cluster.h
@@ -22,14 +22,16 @@
   json body;
 };
 
-/// A cell of real processes: the platform's stand-ins, one upstream process for
-/// each rack, and entry instances behind relays. Must be used by one thread.
-class RealCell {
+/// A cluster of real processes: "platform" with the fakes of the log and the
+/// instance list, "rack-N" with the fake upstreams of one rack, and "entry-N".
+/// Traffic to racks and entries passes through relays. Must be used by one
+/// thread.
+class ProcessCluster {
  public:
   /// `options`: entries, racks, upstreams_per_rack, cores, slots,
   /// retention_ms, and `settings`, which override those of every entry.
-  RealCell(const std::string& bin_dir, const json& options);
-  ~RealCell();
+  ProcessCluster(const std::string& bin_dir, const json& options);
+  ~ProcessCluster();
 
   HttpReply Http(const std::string& process, const std::string& method,
                  const std::string& path, const json& body);
@@ -41,7 +43,7 @@
   void Signal(const std::string& process, int signal);
   int Wait(const std::string& process);
   bool Alive(const std::string& process);
-  /// Kills an entry and starts it as a new process.
+  /// Kills the process of an entry and starts a new one.
   void Restart(const std::string& entry);
   /// Blocks or unblocks the traffic that other processes send to `process`.
   void SetInboundBlocked(const std::string& process, bool blocked);
@@ -49,20 +51,20 @@
   json History();
   const std::vector<std::string>& entries() const { return entries_; }
   int HttpPort(const std::string& process) const {
-    return members_.at(process).http_port;
+    return processes_.at(process).http_port;
   }
   /// The last lines of every log, printed when a scenario fails.
   std::string Logs() const;
 
  private:
-  struct Member {
+  struct ManagedProcess {
     std::vector<std::string> arguments;
     std::string log;
     int http_port = 0;
     std::unique_ptr<Process> process;
     std::unique_ptr<Relay> relay;
   };
-  void StartMember(const std::string& name);
+  void StartProcess(const std::string& name);
   void AddEntry(int i, const json& options,
                 const std::vector<std::string>& peers);
   static HttpReply Send(int port, const std::string& method,
@@ -74,7 +76,7 @@
   asio::executor_work_guard<asio::io_context::executor_type> work_{
       io_.get_executor()};
   std::thread relay_thread_;
-  std::map<std::string, Member> members_;
+  std::map<std::string, ManagedProcess> processes_;
   std::vector<std::string> entries_;
   std::vector<std::string> racks_;
   std::map<int, std::future<HttpReply>> pending_;
--- a/tests/scenarios/relay.cc
+++ b/tests/scenarios/relay.cc
@@ -13,8 +13,8 @@
 namespace {
 
 /// Forwards data between two sockets; closes both when either one ends.
-struct Pipe : std::enable_shared_from_this<Pipe> {
-  Pipe(tcp::socket client_in, asio::io_context& io)
+struct Connection : std::enable_shared_from_this<Connection> {
+  Connection(tcp::socket client_in, asio::io_context& io)
       : client(std::move(client_in)), server(io) {}
 
   void Close() {
@@ -23,8 +23,8 @@
     server.close(ignored);
   }
 
-  void Pump(tcp::socket& from, tcp::socket& to,
-            std::array<char, 8192>& buffer) {
+  void Forward(tcp::socket& from, tcp::socket& to,
+               std::array<char, 8192>& buffer) {
     from.async_read_some(
         asio::buffer(buffer), [self = shared_from_this(), &from, &to, &buffer](
                                   std::error_code error, size_t size) {
@@ -33,7 +33,7 @@
               to, asio::buffer(buffer, size),
               [self, &from, &to, &buffer](std::error_code e, size_t) {
                 if (e) return self->Close();
-                self->Pump(from, to, buffer);
+                self->Forward(from, to, buffer);
               });
         });
   }
@@ -59,23 +59,26 @@
     acceptor.async_accept(
         [self = shared_from_this()](std::error_code error, tcp::socket socket) {
           if (error) return;
-          if (!self->blocked) self->Join(std::move(socket));
+          if (!self->blocked) self->Connect(std::move(socket));
           self->AcceptNext();
         });
   }
 
-  void Join(tcp::socket socket) {
-    auto pipe = std::make_shared<Pipe>(std::move(socket), io);
-    pipes.push_back(pipe);
-    std::erase_if(pipes, [](const auto& weak) { return weak.expired(); });
-    pipe->server.async_connect(target, [pipe](std::error_code error) {
-      if (error) return pipe->Close();
-      std::error_code ignored;
-      pipe->client.set_option(tcp::no_delay(true), ignored);
-      pipe->server.set_option(tcp::no_delay(true), ignored);
-      pipe->Pump(pipe->client, pipe->server, pipe->up);
-      pipe->Pump(pipe->server, pipe->client, pipe->down);
-    });
+  void Connect(tcp::socket socket) {
+    auto connection = std::make_shared<Connection>(std::move(socket), io);
+    connections.push_back(connection);
+    std::erase_if(connections, [](const auto& weak) { return weak.expired(); });
+    connection->server.async_connect(
+        target, [connection](std::error_code error) {
+          if (error) return connection->Close();
+          std::error_code ignored;
+          connection->client.set_option(tcp::no_delay(true), ignored);
+          connection->server.set_option(tcp::no_delay(true), ignored);
+          connection->Forward(connection->client, connection->server,
+                              connection->up);
+          connection->Forward(connection->server, connection->client,
+                              connection->down);
+        });
   }
 
   void ReceiveNext() {
@@ -101,7 +104,7 @@
   udp::endpoint from;
   std::array<char, 65536> datagram{};
   bool blocked = false;
-  std::vector<std::weak_ptr<Pipe>> pipes;
+  std::vector<std::weak_ptr<Connection>> connections;
 };
 
 Relay::Relay(asio::io_context& io, int from, int to)
@@ -122,8 +125,8 @@
   asio::post(d_->io, [d = d_, blocked] {
     d->blocked = blocked;
     if (!blocked) return;
-    for (const auto& weak : d->pipes) {
-      if (const auto pipe = weak.lock()) pipe->Close();
+    for (const auto& weak : d->connections) {
+      if (const auto connection = weak.lock()) connection->Close();
     }
   });
 }
--- a/tests/scenarios/scripts/bad_requests.lua
+++ b/tests/scenarios/scripts/bad_requests.lua
@@ -1,6 +1,6 @@
 -- Guards against malformed, oversized or unsatisfiable requests that get an
 -- unclear or late answer, or that keep resources reserved.
-local entries = start_cell({settings = {http_max_body = 20000}})
+local entries = start_cluster({settings = {http_max_body = 20000}})
 local function refused(what, body, status, pattern)
   local got, reply = http("entry-0", "POST", "/v1/requests", body)
   expect(what .. ": status " .. status .. ", got " .. got, got == status)
@@ -21,5 +21,5 @@
 expect("no such path", http("entry-0", "GET", "/v2") == 404)
 local _, queue = http("entry-0", "GET", "/v1/requests")
 expect("no request is kept", #queue.requests == 0)
-expect("the cell serves", submit("entry-0", {}) == 200)
+expect("the cluster serves", submit("entry-0", {}) == 200)
 verify()
--- a/tests/scenarios/scripts/cancel_wave.lua
+++ b/tests/scenarios/scripts/cancel_many.lua
@@ -1,7 +1,7 @@
 -- Cancels many waiting and running requests at once, each twice. Guards against
 -- a cancelled waiting request that runs all the same, and against a second
 -- cancellation that changes the outcome.
-local entries = start_cell()
+local entries = start_cluster()
 local ids = {}
 for i = 1, 60 do
   local _, body = submit("entry-0", {run_ms = 1500, cores = 2, team = "wave", payload = "c" .. i}, 0)
@@ -21,5 +21,5 @@
   end
 end
 expect("some were cancelled while waiting", never > 0)
-expect("the cell serves", submit("entry-2", {}) == 200)
+expect("the cluster serves", submit("entry-2", {}) == 200)
 verify()
--- a/tests/scenarios/scripts/operator_race.lua
+++ b/tests/scenarios/scripts/concurrent_publishes.lua
@@ -2,17 +2,17 @@
 -- revision. The first record in the log wins; the others are refused with the
 -- revision that is in force. Guards against entries that decide differently or
 -- return to an older revision.
-local entries = start_cell()
+local entries = start_cluster()
 local accepted = 0
 for round = 1, 5 do
   local base = revision("entry-0")
-  local later = {}
+  local pending = {}
   for i, e in ipairs(entries) do
-    later[i] = http_later(e, "POST", "/v1/rules", {author = "operator-" .. i, base = base, text = RULES .. "// " .. round .. "/" .. i})
+    pending[i] = http_async(e, "POST", "/v1/rules", {author = "operator-" .. i, base = base, text = RULES .. "// " .. round .. "/" .. i})
   end
   local winners = 0
   for i = 1, #entries do
-    local status, body = result(later[i])
+    local status, body = result(pending[i])
     if status == 200 then winners = winners + 1
     else
       expect("the refusal names the revision in force, got " .. status, status == 409 and body.verdict == "stale base" and body.revision == base + 1)
--- a/tests/scenarios/scripts/dead_upstreams.lua
+++ b/tests/scenarios/scripts/dead_upstreams.lua
@@ -2,10 +2,10 @@
 -- removed, repeatable tasks must run again elsewhere. Guards against tasks that
 -- may not be repeated getting "not run" instead of "unknown", or running a
 -- second time.
-local entries = start_cell()
-local later = {}
+local entries = start_cluster()
+local pending = {}
 for i = 1, 8 do
-  later[#later + 1] = submit_later(entries[1 + i % 3], {run_ms = 3000, payload = "d" .. i, repeatable = i % 2 == 0}, 60000)
+  pending[#pending + 1] = submit_async(entries[1 + i % 3], {run_ms = 3000, payload = "d" .. i, repeatable = i % 2 == 0}, 60000)
 end
 eventually("all run", function()
   local n = 0
@@ -19,8 +19,8 @@
 upstream_fault("rack-1", {die = true})
 list_change({remove = "up-1-0"})
 list_change({remove = "up-1-1"})
-for i, l in ipairs(later) do
-  local status, body = collect(l)
+for i, submission in ipairs(pending) do
+  local status, body = collect(submission)
   if i % 2 == 0 then
     expect("repeatable is done, got " .. status .. " " .. tostring(body.reason or body.why), status == 200)
   elseif on_rack[body.id] then
--- a/tests/scenarios/scripts/kill_entry.lua
+++ b/tests/scenarios/scripts/kill_entry.lua
@@ -2,7 +2,7 @@
 -- upstreams, another entry takes the racks over before the leases end, and each
 -- caller gets its complete answer by id from a remaining entry. Guards against
 -- answers that are lost or truncated, and against tasks that run twice.
-local entries = start_cell()
+local entries = start_cluster()
 local ids = {}
 for i = 1, 6 do
   local _, body = submit("entry-0", {key = "render-" .. i, run_ms = 4000, repeatable = false, payload = "proof " .. i}, 0)
--- a/tests/scenarios/scripts/leaving_upstream.lua
+++ b/tests/scenarios/scripts/leaving_upstream.lua
@@ -2,7 +2,7 @@
 -- few seconds they must get no new work, whichever entry the requests come
 -- through. Guards against tasks that are started there later, and against
 -- running tasks that are not left to complete.
-local entries = start_cell()
+local entries = start_cluster()
 list_change({lag_ms = 500})
 local _, long = submit("entry-0", {run_ms = 3000}, 0)
 list_change({leaving = "up-0-0"})
--- a/tests/scenarios/scripts/log_outage.lua
+++ b/tests/scenarios/scripts/log_outage.lua
@@ -2,7 +2,7 @@
 -- with a caller's key get at once the answer that they did not run and when to
 -- retry. A restarted entry fetches the configuration from its peers. A publish
 -- is not confirmed, and is in force everywhere once the log is back.
-local entries = start_cell()
+local entries = start_cluster()
 log_fault({down = true})
 for i = 1, 6 do expect("served without the log", submit(entries[1 + i % 3], {payload = "n" .. i}) == 200) end
 local before = now_ms()
@@ -11,7 +11,7 @@
 expect("not run, with a time to retry", status == 503 and body.verdict == "not run" and body.retry_after_header ~= nil)
 restart("entry-2")
 eventually("entry-2 fetches the rules from its peers", function() return revision("entry-2") == 1 and ready("entry-2") end)
-local publishing = http_later("entry-0", "POST", "/v1/rules", {author = "operator", base = 1, text = RULES .. "// two"})
+local publishing = http_async("entry-0", "POST", "/v1/rules", {author = "operator", base = 1, text = RULES .. "// two"})
 sleep_ms(500)
 log_fault({down = false})
 result(publishing)
--- a/tests/scenarios/scripts/retention.lua
+++ b/tests/scenarios/scripts/retention.lua
@@ -1,7 +1,7 @@
 -- The log keeps records for 4 s only. The configuration is appended
 -- again before it expires. Guards against an entry that starts much later and
 -- finds no configuration or an old one, also after all entries have restarted.
-local entries = start_cell({retention_ms = 4000, settings = {checkpoint_ms = 800}})
+local entries = start_cluster({retention_ms = 4000, settings = {checkpoint_ms = 800}})
 expect("second revision", publish("entry-0", RULES .. "// two", 1) == 200)
 sleep_ms(9000)
 for _, e in ipairs(entries) do
--- a/tests/sim/checker.cc
+++ b/tests/sim/checker.cc
@@ -33,7 +33,7 @@
   }
 };
 
-/// Replays the history in order and records violations.
+/// Applies the events of the history in order and records violations.
 class Replay {
  public:
   Replay(const wire::Resources& capacity, int slots,
@@ -41,9 +41,9 @@
       : capacity_(capacity), slots_(slots), violations_(violations) {}
 
   void Apply(const json& event) {
-    const std::string kind = event["event"];
-    if (kind == "start") return Start(event);
-    if (event.contains("task") && kind != "start_fenced") return End(event);
+    const std::string type = event["event"];
+    if (type == "start") return Start(event);
+    if (event.contains("task") && type != "start_fenced") return End(event);
   }
 
   int StartsOf(const std::string& request) const {
@@ -74,11 +74,11 @@
     if (usage.Exceeds(capacity_, slots_)) {
       violations_.push_back("overcommit on " + upstream + " by " + request);
     }
-    const std::string place =
+    const std::string task_key =
         request + "#" + std::to_string(event["index"].get<int>());
-    auto& upstreams = running_[place];
+    auto& upstreams = running_[task_key];
     if (!upstreams.empty()) {
-      violations_.push_back("running at two upstreams at once: " + place +
+      violations_.push_back("running at two upstreams at once: " + task_key +
                             " on " + upstream + " and " + *upstreams.begin());
     }
     upstreams.insert(upstream);
@@ -129,7 +129,7 @@
     const wire::Resources& capacity, int slots) {
   std::vector<std::string> violations;
   Replay replay(capacity, slots, violations);
-  // Sort by time of effect; events of equal time stay in recorded order.
+  // Sorts by the time of effect; events of equal time stay in recorded order.
   std::vector<const json*> ordered;
   for (const json& event : history) ordered.push_back(&event);
   std::stable_sort(ordered.begin(), ordered.end(),
@@ -137,12 +137,12 @@
                      return (*a)["t"].get<int64_t>() < (*b)["t"].get<int64_t>();
                    });
   for (const json* event : ordered) replay.Apply(*event);
-  std::map<std::string, int> other_than_not_run;
+  std::map<std::string, int> possibly_run;
   for (const Submission& submission : submissions) {
     const SubmitResult& result = *submission.result;
     const bool not_run =
         result.answered && result.outcome.verdict == wire::Verdict::kNotRun;
-    if (!not_run) ++other_than_not_run[result.id];
+    if (!not_run) ++possibly_run[result.id];
     if (result.answered && result.outcome.verdict == wire::Verdict::kDone) {
       CheckAnswer(submission, violations);
       if (replay.StartsOf(result.id) == 0) {
@@ -155,7 +155,7 @@
   }
   for (const Submission& submission : submissions) {
     const SubmitResult& result = *submission.result;
-    if (other_than_not_run.contains(result.id) || result.id.empty()) continue;
+    if (possibly_run.contains(result.id) || result.id.empty()) continue;
     if (replay.StartsOf(result.id) > 0) {
       violations.push_back(result.id + " is reported not run but ran");
     }
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/sim/cell.h"
+#include "tests/sim/cluster.h"
 
 namespace mimosarail::sim {
 
@@ -14,13 +14,14 @@
   std::shared_ptr<SubmitResult> result;
 };
 
-/// Checks the replies to callers against the history that the upstreams
-/// recorded, and returns all violations.
+/// Checks the replies to callers against the history that the fake upstreams
+/// recorded, and returns all violations. `capacity` and `slots` are those of
+/// one upstream.
 std::vector<std::string> CheckInvariants(
     const nlohmann::json& history, const std::vector<Submission>& submissions,
     const wire::Resources& capacity, int slots);
 
-/// The number of task starts of the request.
+/// Returns the number of task starts of the request.
 int StartsOf(const nlohmann::json& history, const std::string& request_id);
 
 }  // namespace mimosarail::sim
--- a/tests/sim/cell.cc
+++ b/tests/sim/cluster.cc
@@ -1,4 +1,4 @@
-#include "tests/sim/cell.h"
+#include "tests/sim/cluster.h"
 
 namespace mimosarail::sim {
 namespace {
@@ -16,73 +16,73 @@
 }  // namespace
 
 /// All outgoing ports of a simulated entry.
-class NodePorts final : public ports::UpstreamPort,
-                        public ports::LogPort,
-                        public ports::InstanceListPort,
-                        public requests::PeerPort,
-                        public configlog::ConfigSource,
-                        public membership::HeartbeatSender {
+class EntryPorts final : public ports::UpstreamPort,
+                         public ports::LogPort,
+                         public ports::InstanceListPort,
+                         public requests::PeerPort,
+                         public configlog::ConfigSource,
+                         public membership::HeartbeatSender {
  public:
-  NodePorts(Cell& cell, std::string self, Executor& executor)
-      : cell_(cell), self_(std::move(self)), executor_(executor) {}
+  EntryPorts(Cluster& cluster, std::string self, Executor& executor)
+      : cluster_(cluster), self_(std::move(self)), executor_(executor) {}
 
   void Attach(const std::string&, const wire::AttachCall& call,
               Callback<wire::AttachReply> done) override {
-    ToUpstream<wire::AttachReply>(call, &standins::UpstreamServerFake::Attach,
+    ToUpstream<wire::AttachReply>(call, &fakes::UpstreamServerFake::Attach,
                                   std::move(done));
   }
   void Start(const std::string&, const wire::StartCall& call,
              Callback<wire::StartReply> done) override {
-    ToUpstream<wire::StartReply>(call, &standins::UpstreamServerFake::Start,
+    ToUpstream<wire::StartReply>(call, &fakes::UpstreamServerFake::Start,
                                  std::move(done));
   }
   void Renew(const std::string&, const wire::RenewCall& call,
              Callback<wire::RenewReply> done) override {
-    ToUpstream<wire::RenewReply>(call, &standins::UpstreamServerFake::Renew,
+    ToUpstream<wire::RenewReply>(call, &fakes::UpstreamServerFake::Renew,
                                  std::move(done), Millis(call.wait_ms));
   }
   void Steer(const std::string&, const wire::SteerCall& call,
              Callback<wire::SteerReply> done) override {
-    ToUpstream<wire::SteerReply>(call, &standins::UpstreamServerFake::Steer,
+    ToUpstream<wire::SteerReply>(call, &fakes::UpstreamServerFake::Steer,
                                  std::move(done));
   }
   void Inventory(const std::string&, const wire::InventoryCall& call,
                  Callback<wire::InventoryReply> done) override {
     ToUpstream<wire::InventoryReply>(
-        call, &standins::UpstreamServerFake::Inventory, std::move(done));
+        call, &fakes::UpstreamServerFake::Inventory, std::move(done));
   }
   void Usage(const std::string&, const wire::UsageCall& call,
              Callback<wire::UsageReply> done) override {
-    ToUpstream<wire::UsageReply>(call, &standins::UpstreamServerFake::Usage,
+    ToUpstream<wire::UsageReply>(call, &fakes::UpstreamServerFake::Usage,
                                  std::move(done));
   }
   void Collect(const std::string&, const wire::CollectCall& call,
                Callback<wire::CollectReply> done) override {
-    ToUpstream<wire::CollectReply>(call, &standins::UpstreamServerFake::Collect,
+    ToUpstream<wire::CollectReply>(call, &fakes::UpstreamServerFake::Collect,
                                    std::move(done));
   }
 
   void Append(const wire::AppendCall& call,
               Callback<wire::AppendReply> done) override {
-    cell_.network_.Call<wire::AppendReply>(
-        self_, executor_, "log", &cell_.platform_executor_, kCallTimeout,
-        [this, call](auto reply) { cell_.log_->Append(call, reply); },
+    cluster_.network_.Call<wire::AppendReply>(
+        self_, executor_, "log", &cluster_.platform_executor_, kCallTimeout,
+        [this, call](auto reply) { cluster_.log_->Append(call, reply); },
         std::move(done));
   }
   void Read(const wire::ReadCall& call,
             Callback<wire::ReadReply> done) override {
-    cell_.network_.Call<wire::ReadReply>(
-        self_, executor_, "log", &cell_.platform_executor_,
+    cluster_.network_.Call<wire::ReadReply>(
+        self_, executor_, "log", &cluster_.platform_executor_,
         kCallTimeout + Millis(call.wait_ms),
-        [this, call](auto reply) { cell_.log_->Read(call, reply); },
+        [this, call](auto reply) { cluster_.log_->Read(call, reply); },
         std::move(done));
   }
   void Fetch(int64_t known_version, Callback<wire::ListReply> done) override {
-    cell_.network_.Call<wire::ListReply>(
-        self_, executor_, "list", &cell_.platform_executor_, kCallTimeout,
+    cluster_.network_.Call<wire::ListReply>(
+        self_, executor_, "list", &cluster_.platform_executor_, kCallTimeout,
         [this, known_version](auto reply) {
-          if (!cell_.list_->down()) {
-            reply(cell_.list_->Fetch(known_version));
+          if (!cluster_.list_->down()) {
+            reply(cluster_.list_->Fetch(known_version));
           }
         },
         std::move(done));
@@ -143,9 +143,9 @@
         std::move(done));
   }
   void Send(const std::string& to, const wire::Heartbeat& heartbeat) override {
-    Node* peer = cell_.ByAddress(to);
+    EntryProcess* peer = cluster_.FindByAddress(to);
     if (peer == nullptr) return;
-    cell_.network_.Send(
+    cluster_.network_.Send(
         self_, peer->name, *peer->executor,
         [peer, heartbeat] { peer->instance->OnHeartbeat(heartbeat); }, true);
   }
@@ -153,12 +153,13 @@
  private:
   template <typename Reply, typename Call, typename Method>
   void ToUpstream(const Call& call, Method method, Callback<Reply> done,
-                  Millis extra = Millis(0)) {
-    standins::UpstreamServerFake* upstream =
-        cell_.upstreams_.at(call.upstream).get();
-    cell_.network_.Call<Reply>(
+                  Millis server_wait = Millis(0)) {
+    fakes::UpstreamServerFake* upstream =
+        cluster_.upstreams_.at(call.upstream).get();
+    cluster_.network_.Call<Reply>(
         self_, executor_, call.upstream,
-        cell_.upstream_executors_.at(call.upstream).get(), kCallTimeout + extra,
+        cluster_.upstream_executors_.at(call.upstream).get(),
+        kCallTimeout + server_wait,
         [upstream, call, method](auto reply) {
           (upstream->*method)(call, reply);
         },
@@ -169,20 +170,20 @@
   void ToPeer(
       const std::string& to, Millis timeout,
       std::function<void(instance::Instance&, std::function<void(Reply)>)>
-          serve,
+          handle,
       Callback<Reply> done) {
-    Node* peer = cell_.ByAddress(to);
-    const bool ended = peer == nullptr || peer->executor->dead();
-    cell_.network_.Call<Reply>(
+    EntryProcess* peer = cluster_.FindByAddress(to);
+    const bool receiver_ended = peer == nullptr || peer->executor->dead();
+    cluster_.network_.Call<Reply>(
         self_, executor_, peer == nullptr ? to : peer->name,
-        ended ? nullptr : peer->executor.get(), timeout,
-        [peer, serve = std::move(serve)](auto reply) {
-          serve(*peer->instance, reply);
+        receiver_ended ? nullptr : peer->executor.get(), timeout,
+        [peer, handle = std::move(handle)](auto reply) {
+          handle(*peer->instance, reply);
         },
         std::move(done));
   }
 
-  Cell& cell_;
+  Cluster& cluster_;
   std::string self_;
   Executor& executor_;
 };
@@ -198,7 +199,7 @@
   return spec;
 }
 
-Cell::Cell(CellOptions options)
+Cluster::Cluster(ClusterOptions options)
     : options_(options), network_(clock_, options.seed) {
   std::vector<wire::ListedInstance> listed;
   for (int i = 0; i < options_.entries; ++i) {
@@ -224,89 +225,92 @@
       listed.push_back(upstream);
       auto& executor = upstream_executors_[upstream.name];
       executor = std::make_unique<ManualExecutor>(clock_);
-      upstreams_[upstream.name] =
-          std::make_unique<standins::UpstreamServerFake>(*executor, history_,
-                                                         upstream);
+      upstreams_[upstream.name] = std::make_unique<fakes::UpstreamServerFake>(
+          *executor, history_, upstream);
     }
   }
-  log_ = std::make_unique<standins::LogServerFake>(platform_executor_,
-                                                   options_.retention);
-  list_ =
-      std::make_unique<standins::InstanceListFake>(platform_executor_, listed);
-  for (int i = 0; i < options_.entries; ++i) StartNode(i);
+  log_ = std::make_unique<fakes::LogServerFake>(platform_executor_,
+                                                options_.retention);
+  list_ = std::make_unique<fakes::InstanceListFake>(platform_executor_, listed);
+  for (int i = 0; i < options_.entries; ++i) StartEntry(i);
 }
 
-Cell::~Cell() = default;
+Cluster::~Cluster() = default;
 
-void Cell::StartNode(int i) {
-  auto node = std::make_unique<Node>();
-  node->name = EntryName(i);
-  node->incarnation = next_incarnation_++;
-  node->executor = std::make_unique<ManualExecutor>(clock_);
-  node->ports = std::make_unique<NodePorts>(*this, node->name, *node->executor);
-  node->metrics = std::make_unique<metrics::Registry>();
+void Cluster::StartEntry(int i) {
+  auto process = std::make_unique<EntryProcess>();
+  process->name = EntryName(i);
+  process->incarnation = next_incarnation_++;
+  process->executor = std::make_unique<ManualExecutor>(clock_);
+  process->ports =
+      std::make_unique<EntryPorts>(*this, process->name, *process->executor);
+  process->metrics = std::make_unique<metrics::Registry>();
   const uint64_t seed =
-      options_.seed * 1000 + static_cast<uint64_t>(node->incarnation);
+      options_.seed * 1000 + static_cast<uint64_t>(process->incarnation);
   instance::InstanceOptions options;
-  options.membership = {.name = node->name,
-                        .incarnation = node->incarnation,
-                        .address = node->name,
+  options.membership = {.name = process->name,
+                        .incarnation = process->incarnation,
+                        .address = process->name,
                         .failure_domain = "domain-" + std::to_string(i)};
-  options.session = {.controller = node->name, .seed = seed};
-  options.config = {.name = node->name,
-                    .incarnation = node->incarnation,
+  options.session = {.controller = process->name, .seed = seed};
+  options.config = {.name = process->name,
+                    .incarnation = process->incarnation,
                     .checkpoint_every = options_.retention / 4};
-  options.requests = {.self = node->name,
-                      .incarnation = node->incarnation,
+  options.requests = {.self = process->name,
+                      .incarnation = process->incarnation,
                       .place_validity = options.membership.dead_after,
                       .seed = seed};
   options.cost_flush_interval = Millis(5000);
   options.seed = seed;
-  node->instance = std::make_unique<instance::Instance>(
-      instance::InstancePorts{.executor = *node->executor,
-                              .upstreams = *node->ports,
-                              .log = *node->ports,
-                              .list = *node->ports,
-                              .peers = *node->ports,
-                              .config_source = *node->ports,
-                              .heartbeats = *node->ports,
-                              .metrics = *node->metrics},
+  process->instance = std::make_unique<instance::Instance>(
+      instance::InstancePorts{.executor = *process->executor,
+                              .upstreams = *process->ports,
+                              .log = *process->ports,
+                              .list = *process->ports,
+                              .peers = *process->ports,
+                              .config_source = *process->ports,
+                              .heartbeats = *process->ports,
+                              .metrics = *process->metrics},
       options);
-  Node* started = node.get();
-  nodes_[node->name] = std::move(node);
+  EntryProcess* started = process.get();
+  entries_[process->name] = std::move(process);
   started->instance->Start();
 }
 
-void Cell::Kill(int i) { node(i).executor->Kill(); }
+void Cluster::Kill(int i) { entry_process(i).executor->Kill(); }
 
-void Cell::Restart(int i) {
-  // Pending callbacks to the old process still hold pointers to it.
-  dead_.push_back(std::move(nodes_[EntryName(i)]));
-  StartNode(i);
+void Cluster::Restart(int i) {
+  // Pending callbacks still hold pointers to the old process.
+  replaced_entries_.push_back(std::move(entries_[EntryName(i)]));
+  StartEntry(i);
 }
 
-Node* Cell::Find(const std::string& name) {
-  const auto found = nodes_.find(name);
-  return found == nodes_.end() ? nullptr : found->second.get();
+EntryProcess* Cluster::Find(const std::string& name) {
+  const auto found = entries_.find(name);
+  return found == entries_.end() ? nullptr : found->second.get();
 }
 
-Node* Cell::ByAddress(const std::string& address) { return Find(address); }
+EntryProcess* Cluster::FindByAddress(const std::string& address) {
+  return Find(address);
+}
 
-std::vector<std::string> Cell::upstream_names() const {
+std::vector<std::string> Cluster::upstream_names() const {
   std::vector<std::string> out;
   for (const auto& [name, upstream] : upstreams_) out.push_back(name);
   return out;
 }
 
-void Cell::CheckRevisions() {
-  for (const auto& [name, node] : nodes_) {
-    const int64_t now = node->instance->config().fold().revision();
-    if (now < node->newest_revision) revision_regressions.push_back(name);
-    node->newest_revision = now;
+void Cluster::CheckRevisions() {
+  for (const auto& [name, process] : entries_) {
+    const int64_t revision = process->instance->config().fold().revision();
+    if (revision < process->newest_revision) {
+      revision_regressions.push_back(name);
+    }
+    process->newest_revision = revision;
   }
 }
 
-void Cell::Run(Millis span) {
+void Cluster::Run(Millis span) {
   const TimePoint until = clock_.now() + span;
   while (clock_.now() < until) {
     clock_.RunUntil(std::min(until, clock_.now() + Millis(20)));
@@ -314,41 +318,43 @@
   }
 }
 
-bool Cell::RunUntil(const std::function<bool()>& done, Millis limit) {
+bool Cluster::RunUntil(const std::function<bool()>& done, Millis limit) {
   const TimePoint until = clock_.now() + limit;
   while (!done() && clock_.now() < until) Run(Millis(20));
   return done();
 }
 
-bool Cell::AllAttached() {
+bool Cluster::AllAttached() {
   size_t attached = 0;
-  for (const auto& [name, node] : nodes_) {
-    if (node->executor->dead()) continue;
-    if (!node->instance->ready()) return false;
-    attached += node->instance->controller().Attached().size();
+  for (const auto& [name, process] : entries_) {
+    if (process->executor->dead()) continue;
+    if (!process->instance->ready()) return false;
+    attached += process->instance->controller().Attached().size();
   }
   return attached >= upstreams_.size();
 }
 
-bool Cell::WaitUntilReady() {
+bool Cluster::WaitUntilReady() {
   Run(Millis(100));
   Publish(0, 0, "first");
   return RunUntil([this] { return AllAttached(); }, Millis(20000));
 }
 
-std::shared_ptr<SubmitResult> Cell::Submit(int entry, wire::RequestSpec spec) {
+std::shared_ptr<SubmitResult> Cluster::Submit(int entry,
+                                              wire::RequestSpec spec) {
   auto submit_result = std::make_shared<SubmitResult>();
-  Node& at = node(entry);
-  at.executor->Post([&at, submit_result, spec = std::move(spec)] {
-    at.instance->requests().Submit(
-        spec, [&at, submit_result](const requests::SubmitResult& submitted) {
+  EntryProcess& process = entry_process(entry);
+  process.executor->Post([&process, submit_result, spec = std::move(spec)] {
+    process.instance->requests().Submit(
+        spec,
+        [&process, submit_result](const requests::SubmitResult& submitted) {
           submit_result->id = submitted.id;
           if (!submitted.accepted) {
             submit_result->answered = true;
             submit_result->outcome = submitted.outcome;
             return;
           }
-          at.instance->requests().Await(
+          process.instance->requests().Await(
               submitted.id, [submit_result](const wire::Outcome& outcome) {
                 submit_result->answered = true;
                 submit_result->outcome = outcome;
@@ -358,13 +364,13 @@
   return submit_result;
 }
 
-std::shared_ptr<SubmitResult> Cell::Lookup(int entry, const std::string& id,
-                                           Millis wait) {
+std::shared_ptr<SubmitResult> Cluster::Lookup(int entry, const std::string& id,
+                                              Millis wait) {
   auto lookup_result = std::make_shared<SubmitResult>();
   lookup_result->id = id;
-  Node& at = node(entry);
-  at.executor->Post([&at, lookup_result, id, wait] {
-    at.instance->lookup().Await(
+  EntryProcess& process = entry_process(entry);
+  process.executor->Post([&process, lookup_result, id, wait] {
+    process.instance->lookup().Await(
         id, wait, [lookup_result](const instance::LookupResult& result) {
           lookup_result->answered =
               result.state == instance::LookupState::kEnded;
@@ -376,13 +382,13 @@
   return lookup_result;
 }
 
-std::shared_ptr<configlog::PublishResult> Cell::Publish(
+std::shared_ptr<configlog::PublishResult> Cluster::Publish(
     int entry, int64_t base, const std::string& comment) {
   auto result = std::make_shared<configlog::PublishResult>();
   result->entry.revision = -1;
-  Node& at = node(entry);
-  at.executor->Post([&at, result, base, comment] {
-    at.instance->config().Publish(
+  EntryProcess& process = entry_process(entry);
+  process.executor->Post([&process, result, base, comment] {
+    process.instance->config().Publish(
         Rules(comment), "operator", base,
         [result](const configlog::PublishResult& published) {
           *result = published;
--- a/tests/sim/cell.h
+++ b/tests/sim/cluster.h
@@ -6,37 +6,37 @@
 #include <vector>
 
 #include "src/instance/instance.h"
+#include "tests/fakes/instance_list_fake.h"
+#include "tests/fakes/log_server_fake.h"
+#include "tests/fakes/upstream_server_fake.h"
 #include "tests/sim/manual_executor.h"
 #include "tests/sim/network.h"
-#include "tests/standins/instance_list_fake.h"
-#include "tests/standins/log_server_fake.h"
-#include "tests/standins/upstream_server_fake.h"
 
 namespace mimosarail::sim {
 
-class NodePorts;
+class EntryPorts;
 
 /// One simulated entry process: a real Instance over simulated ports.
-struct Node {
+struct EntryProcess {
   std::string name;
   int64_t incarnation = 0;
   std::unique_ptr<ManualExecutor> executor;
-  std::unique_ptr<NodePorts> ports;
+  std::unique_ptr<EntryPorts> ports;
   std::unique_ptr<metrics::Registry> metrics;
   std::unique_ptr<instance::Instance> instance;
+  /// Highest configuration revision seen so far.
   int64_t newest_revision = 0;
-  bool left = false;
 };
 
-/// The reply to a caller about one submission.
+/// What a caller has learned about one submission.
 struct SubmitResult {
   std::string id;
-  bool answered = false;
-  bool found = true;
+  bool answered = false;  ///< `outcome` is final.
+  bool found = true;      ///< False if a lookup found no such request.
   wire::Outcome outcome;
 };
 
-struct CellOptions {
+struct ClusterOptions {
   uint64_t seed = 1;
   int entries = 3;
   int racks = 3;
@@ -46,31 +46,31 @@
 };
 
 /// A simulated cluster: entries, upstreams, the log server and the instance
-/// list, all under one manual clock. Models no cluster behavior itself: it only
-/// delivers messages and turns faults on and off.
-class Cell {
+/// list, all run by one manual clock. It only delivers messages and injects
+/// faults; all behavior is in the real Instance and in the fakes.
+class Cluster {
  public:
-  explicit Cell(CellOptions options);
-  ~Cell();
+  explicit Cluster(ClusterOptions options);
+  ~Cluster();
 
-  Node& node(int i) { return *nodes_.at(EntryName(i)); }
-  int entries() const { return options_.entries; }
+  EntryProcess& entry_process(int i) { return *entries_.at(EntryName(i)); }
+  int entry_count() const { return options_.entries; }
   static std::string EntryName(int i) { return "entry-" + std::to_string(i); }
   static std::string UpstreamName(int rack, int i) {
     return "up-" + std::to_string(rack) + "-" + std::to_string(i);
   }
-  standins::UpstreamServerFake& upstream(const std::string& name) {
+  fakes::UpstreamServerFake& upstream(const std::string& name) {
     return *upstreams_.at(name);
   }
   ManualExecutor& upstream_executor(const std::string& name) {
     return *upstream_executors_.at(name);
   }
   std::vector<std::string> upstream_names() const;
-  standins::LogServerFake& log() { return *log_; }
-  standins::InstanceListFake& list() { return *list_; }
+  fakes::LogServerFake& log() { return *log_; }
+  fakes::InstanceListFake& list() { return *list_; }
   ManualClock& clock() { return clock_; }
   Network& network() { return network_; }
-  const standins::History& history() const { return history_; }
+  const fakes::History& history() const { return history_; }
 
   /// Kills the process of an entry; callers that wait there get no reply.
   void Kill(int i);
@@ -95,27 +95,27 @@
   std::shared_ptr<configlog::PublishResult> Publish(int entry, int64_t base,
                                                     const std::string& comment);
 
-  Node* Find(const std::string& name);
-  /// Finds a node by its address in the instance list.
-  Node* ByAddress(const std::string& address);
+  /// The current process of an entry, or null if the name is unknown.
+  EntryProcess* Find(const std::string& name);
+  /// Finds an entry process by its address in the instance list.
+  EntryProcess* FindByAddress(const std::string& address);
 
  private:
-  friend class NodePorts;
-  void StartNode(int i);
+  friend class EntryPorts;
+  void StartEntry(int i);
   void CheckRevisions();
 
-  CellOptions options_;
+  ClusterOptions options_;
   ManualClock clock_;
   Network network_;
-  standins::History history_;
+  fakes::History history_;
   ManualExecutor platform_executor_{clock_};
-  std::unique_ptr<standins::LogServerFake> log_;
-  std::unique_ptr<standins::InstanceListFake> list_;
+  std::unique_ptr<fakes::LogServerFake> log_;
+  std::unique_ptr<fakes::InstanceListFake> list_;
   std::map<std::string, std::unique_ptr<ManualExecutor>> upstream_executors_;
-  std::map<std::string, std::unique_ptr<standins::UpstreamServerFake>>
-      upstreams_;
-  std::map<std::string, std::unique_ptr<Node>> nodes_;
-  std::vector<std::unique_ptr<Node>> dead_;
+  std::map<std::string, std::unique_ptr<fakes::UpstreamServerFake>> upstreams_;
+  std::map<std::string, std::unique_ptr<EntryProcess>> entries_;
+  std::vector<std::unique_ptr<EntryProcess>> replaced_entries_;
   int64_t next_incarnation_ = 1;
 
  public:
@@ -123,7 +123,7 @@
   std::vector<std::string> revision_regressions;
 };
 
-/// A small request that may be run more than once; tests modify it as needed.
+/// Returns a small repeatable request; tests modify it as needed.
 wire::RequestSpec MakeSpec(const std::string& work, int64_t run_ms);
 
 }  // namespace mimosarail::sim
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -10,8 +10,8 @@
 
 namespace mimosarail::sim {
 
-/// Carries messages between simulated processes; may delay, duplicate or lose
-/// them.
+/// Delivers messages between simulated processes, and delays, duplicates, loses
+/// or blocks them as configured.
 class Network {
  public:
   Network(ManualClock& clock, uint64_t seed) : clock_(clock), random_(seed) {}
@@ -19,37 +19,37 @@
   void BlockLink(const std::string& from, const std::string& to) {
     blocked_links_.emplace(from, to);
   }
-  void Heal(const std::string& from, const std::string& to) {
+  void UnblockLink(const std::string& from, const std::string& to) {
     blocked_links_.erase({from, to});
   }
-  void HealAll() { blocked_links_.clear(); }
-  /// Of a thousand messages, how many are lost, delivered twice, or delayed by
+  void UnblockAllLinks() { blocked_links_.clear(); }
+  /// How many of a thousand messages are lost, delivered twice, or delayed by
   /// up to 4.2 s.
   int lost_per_mille = 0;
   int duplicated_per_mille = 0;
   int delayed_per_mille = 0;
 
   void Send(const std::string& from, const std::string& to, Executor& executor,
-            std::function<void()> arrive, bool may_duplicate) {
+            std::function<void()> on_arrival, bool may_duplicate) {
     if (Chance(lost_per_mille)) return;
-    Deliver(from, to, executor, arrive);
+    Deliver(from, to, executor, on_arrival);
     if (may_duplicate && Chance(duplicated_per_mille)) {
-      Deliver(from, to, executor, arrive);
+      Deliver(from, to, executor, on_arrival);
     }
   }
 
-  /// Makes one call: sends the request and waits for the reply until the
-  /// timeout. `serve` runs at the receiver. A null `receiver` is a process that
-  /// has ended: the call fails at once.
+  /// Makes one call: sends the request, runs `handle` at the receiver, and
+  /// calls `done` with its reply or a timeout. A null `receiver` stands for a
+  /// process that has ended: the call fails with kUnavailable.
   template <typename Reply>
   void Call(const std::string& from, Executor& caller, const std::string& to,
             Executor* receiver, Millis timeout,
-            std::function<void(std::function<void(Reply)>)> serve,
+            std::function<void(std::function<void(Reply)>)> handle,
             Callback<Reply> done) {
-    auto open = std::make_shared<Callback<Reply>>(std::move(done));
-    const auto finish = [open](Result<Reply> result) {
-      if (!*open) return;
-      const auto callback = std::exchange(*open, nullptr);
+    auto pending_done = std::make_shared<Callback<Reply>>(std::move(done));
+    const auto finish = [pending_done](Result<Reply> result) {
+      if (!*pending_done) return;
+      const auto callback = std::exchange(*pending_done, nullptr);
       callback(std::move(result));
     };
     caller.RunAfter(timeout, [finish] { finish(Errc::kTimeout); });
@@ -59,8 +59,8 @@
     }
     Send(
         from, to, *receiver,
-        [this, from, to, &caller, serve = std::move(serve), finish] {
-          serve([this, from, to, &caller, finish](Reply reply) {
+        [this, from, to, &caller, handle = std::move(handle), finish] {
+          handle([this, from, to, &caller, finish](Reply reply) {
             Send(
                 to, from, caller,
                 [finish, reply = std::move(reply)] { finish(reply); }, false);
@@ -75,12 +75,12 @@
 
  private:
   void Deliver(const std::string& from, const std::string& to,
-               Executor& executor, const std::function<void()>& arrive) {
+               Executor& executor, const std::function<void()>& on_arrival) {
     const bool delayed = Chance(delayed_per_mille);
     const auto delay =
         Millis(delayed ? 200 + random_() % 4000 : 1 + random_() % 3);
-    clock_.At(clock_.now() + delay, [this, from, to, &executor, arrive] {
-      if (!blocked_links_.contains({from, to})) executor.Post(arrive);
+    clock_.At(clock_.now() + delay, [this, from, to, &executor, on_arrival] {
+      if (!blocked_links_.contains({from, to})) executor.Post(on_arrival);
     });
   }
 
