--- a/bench/system_bench.cc
+++ b/bench/system_bench.cc
@@ -68,8 +68,9 @@
 
 size_t TotalAttached(ProcessCluster& cluster) {
   size_t sum = 0;
-  for (const auto& entry : cluster.entries())
+  for (const auto& entry : cluster.entries()) {
     sum += Attached(cluster, entry).size();
+  }
   return sum;
 }
 
@@ -281,8 +282,9 @@
 
 std::vector<int> HttpPorts(ProcessCluster& cluster) {
   std::vector<int> out;
-  for (const auto& entry : cluster.entries())
+  for (const auto& entry : cluster.entries()) {
     out.push_back(cluster.HttpPort(entry));
+  }
   return out;
 }
 
--- a/src/control/upstream_session.cc
+++ b/src/control/upstream_session.cc
@@ -67,10 +67,9 @@
   return delisted_ || phase_ == SessionPhase::kIdle;
 }
 
-/// Wraps `handle` to drop replies to calls made before the last attach or loss
-/// of contact or control: a
-/// delayed renewal reply would restore tasks that the new inventory has already
-/// resolved.
+/// Wraps `handle` so that replies to calls made before the last attach or the
+/// last loss of contact or control are dropped: a delayed renewal reply would
+/// restore tasks that the new inventory has already resolved.
 template <typename Reply>
 Callback<Reply> UpstreamSession::ForCurrentGeneration(
     std::function<void(const Result<Reply>&)> handle) {
@@ -284,8 +283,8 @@
 void UpstreamSession::OnStart(const std::string& task_id,
                               const Result<wire::StartReply>& reply) {
   const auto found = tasks_.find(task_id);
-  if (found == tasks_.end())
-    return;  // The task ended before the reply arrived.
+  // The task may have ended before the reply arrived.
+  if (found == tasks_.end()) return;
   if (!reply.ok() && reply.error().code != Errc::kUnavailable) {
     // The start is in doubt: the capacity stays reserved until an attach with a
     // higher term resolves it.
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -118,8 +118,9 @@
     ports_.metrics.Count({.name = "self_pauses_total"});
     requests_->OnSelfPaused();
   }
-  if (phase_ != wire::EntryPhase::kJoining || !ReadinessBlockers().empty())
+  if (phase_ != wire::EntryPhase::kJoining || !ReadinessBlockers().empty()) {
     return;
+  }
   phase_ = wire::EntryPhase::kReady;
   logging::Event(logging::Level::kInfo, "ready");
   members_->SendHeartbeat();
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -107,8 +107,9 @@
   const bool same = heartbeat.incarnation == peer.last_heartbeat.incarnation;
   // Datagrams may arrive twice or out of order; an old one must not overwrite
   // newer state, for example that the peer is leaving.
-  if (known && same && heartbeat.sequence <= peer.last_heartbeat.sequence)
+  if (known && same && heartbeat.sequence <= peer.last_heartbeat.sequence) {
     return;
+  }
   const bool first_contact = !known || !same || peer.state == PeerState::kDead;
   if (first_contact) peer.received_since = now;
   const bool restarted = known && !same;
@@ -120,8 +121,9 @@
   peer.address = heartbeat.address;
   peer.failure_domain = heartbeat.failure_domain;
   peer.last_heartbeat = heartbeat;
-  if (!heartbeat.has_teams && !restarted)
+  if (!heartbeat.has_teams && !restarted) {
     peer.last_heartbeat.teams = std::move(teams);
+  }
   peer.last_received = now;
   const bool receives_heartbeats =
       std::find(heartbeat.heard.begin(), heartbeat.heard.end(),
@@ -188,16 +190,18 @@
                                   int64_t incarnation) const {
   if (name == options_.name) return incarnation == options_.incarnation;
   const Peer* peer = Find(name);
-  if (peer == nullptr || peer->last_heartbeat.incarnation != incarnation)
+  if (peer == nullptr || peer->last_heartbeat.incarnation != incarnation) {
     return false;
+  }
   return peer->state != PeerState::kDead && peer->state != PeerState::kListed;
 }
 
 bool Membership::IsConfirmedDead(const std::string& name,
                                  int64_t incarnation) const {
   const Peer* peer = Find(name);
-  if (peer != nullptr && peer->last_heartbeat.incarnation > incarnation)
+  if (peer != nullptr && peer->last_heartbeat.incarnation > incarnation) {
     return true;
+  }
   const bool sends_heartbeats = peer != nullptr && SendsHeartbeats(*peer);
   return list_read_ && !sends_heartbeats && !listed_.contains(name);
 }
@@ -211,8 +215,10 @@
     ++listed;
     smallest &= options_.name < name;
     const Peer* peer = Find(name);
-    if (peer != nullptr && peer->receives_heartbeats && SendsHeartbeats(*peer))
+    if (peer != nullptr && peer->receives_heartbeats &&
+        SendsHeartbeats(*peer)) {
       ++connected;
+    }
   }
   if (2 * connected == listed) return !smallest;
   return 2 * connected < listed;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -91,9 +91,8 @@
   /// and still runs as the process with this incarnation.
   bool IsCurrentProcess(const std::string& name, int64_t incarnation) const;
   /// Whether the process is confirmed to have ended, by what the platform
-  /// guarantees: a
-  /// newer process runs under the name, or the instance list no longer contains
-  /// it and it sends no heartbeats.
+  /// guarantees: a newer process runs under the name, or the instance list no
+  /// longer contains the name and no heartbeats arrive from it.
   bool IsConfirmedDead(const std::string& name, int64_t incarnation) const;
   /// Whether this entry and the listed entries that it exchanges heartbeats
   /// with are less than half of the listed entries; this entry always counts as
--- a/tests/contract_test.cc
+++ b/tests/contract_test.cc
@@ -638,8 +638,9 @@
   const auto submission = cluster.Submit(0, spec);
   cluster.Run(Millis(60000));
   int starts = 0;
-  for (const auto& e : cluster.history().events())
+  for (const auto& e : cluster.history().events()) {
     starts += e["event"] == "start";
+  }
   BOOST_TEST(submission->answered);
   BOOST_TEST(starts >= 2);
   // Three upstreams have crashed while running it by then.
--- a/tests/request_fault_injection_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -94,8 +94,9 @@
         break;
       case 1:
       case 2:
-        if (cluster_.entry_process(entry).executor->dead())
+        if (cluster_.entry_process(entry).executor->dead()) {
           cluster_.Restart(entry);
+        }
         break;
       case 3:
         if (cluster_.entry_process(entry).executor->paused()) break;
@@ -213,8 +214,9 @@
     if (!cluster_.AllAttached()) {
       violations.emplace_back("not all upstreams attached");
     }
-    for (int i = 0; i < 3; ++i)
+    for (int i = 0; i < 3; ++i) {
       CheckEntry(cluster_.entry_process(i), violations);
+    }
     return violations;
   }
 
