--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -5,7 +5,7 @@
 #include "src/coordinator/advice_lanes.h"
 #include "src/coordinator/job_table.h"
 #include "src/libs/rpc/codec.h"
-#include "src/scheduling/ask_size.h"
+#include "src/scheduling/advice_call_size.h"
 #include "src/scheduling/scheduler.h"
 
 namespace mimosarail::scheduling {
@@ -32,8 +32,8 @@
   return spec;
 }
 
-/// A scheduler over upstreams that carry out every order, with a clock that the
-/// test sets.
+/// A scheduler whose upstreams accept every start, with a clock that the test
+/// sets.
 class SchedulerHarness {
  public:
   explicit SchedulerHarness(int upstreams, int32_t millicores = 16000) {
@@ -43,45 +43,47 @@
       entry.pool = "pool";
       entry.rack = "r" + std::to_string(i / 8);
       entry.capacity = {.millicores = millicores, .memory_mb = 32000};
-      const UpstreamIndex index = s.pool().Update(entry);
-      s.pool().at(index).reachable = true;
+      const UpstreamIndex index = scheduler.pool().Update(entry);
+      scheduler.pool().at(index).reachable = true;
     }
     Orders none;
-    s.ResolveAll(now, none);
+    scheduler.ResolveAll(now, none);
   }
 
+  /// Makes one placement pass and confirms all starts.
   Orders Place(AdviceBudget budget = kAmpleBudget) {
     Orders orders;
-    s.Place(now, budget, orders);
+    scheduler.Place(now, budget, orders);
     for (const StartOrder& start : orders.starts) {
       Orders more;
-      s.OnStartReply(start, CallVerdict::kDone, now, more);
+      scheduler.OnStartReply(start, CallVerdict::kDone, now, more);
     }
     return orders;
   }
-  Orders End(const StartOrder& start, EndKind kind) {
+  /// The upstream reports the end of a run.
+  Orders EndRun(const StartOrder& start, EndKind kind) {
     Orders orders;
-    s.OnEnd(start.upstream,
-            {.number = ++ends,
-             .task = start.task,
-             .attempt = start.attempt,
-             .kind = kind},
-            now, orders);
+    scheduler.OnEnd(start.upstream,
+                    {.number = ++ends,
+                     .task = start.task,
+                     .attempt = start.attempt,
+                     .kind = kind},
+                    now, orders);
     return orders;
   }
 
-  /// The upstream reports the progress of a task; returns the number of stops
-  /// ordered.
-  size_t Report(const StartOrder& start, int32_t percent) {
+  /// The upstream reports the progress of a task. Returns the number of stops
+  /// that are ordered.
+  size_t ReportProgress(const StartOrder& start, int32_t percent) {
     Orders orders;
-    s.OnRunning(
+    scheduler.OnRunning(
         start.upstream,
         {{.task = start.task, .attempt = start.attempt, .percent = percent}},
         now, orders);
     return orders.stops.size();
   }
 
-  Scheduler s{SchedulerOptions{}};
+  Scheduler scheduler{SchedulerOptions{}};
   TimePoint now = TimePoint() + std::chrono::hours(1);
   int64_t ends = 0;
 };
@@ -91,61 +93,61 @@
 /// A step starts only after the one it depends on, and the job is complete
 /// after the last one.
 BOOST_AUTO_TEST_CASE(StepsRunInOrder) {
-  SchedulerHarness b(1);
+  SchedulerHarness harness(1);
   wire::JobSpec spec = Spec(1, 1, 1000);
   spec.steps.push_back(spec.steps[0]);
   spec.steps[1].after = {0};
-  b.s.Add(spec, b.now, 0);
-  const Orders first = b.Place();
+  harness.scheduler.Add(spec, harness.now, 0);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 1U);
-  BOOST_TEST(b.Place().starts.empty());
-  b.End(first.starts[0], EndKind::kDone);
-  const Orders second = b.Place();
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.EndRun(first.starts[0], EndKind::kDone);
+  const Orders second = harness.Place();
   BOOST_REQUIRE_EQUAL(second.starts.size(), 1U);
   BOOST_TEST(second.starts[0].task.step == 1);
-  b.End(second.starts[0], EndKind::kDone);
-  BOOST_TEST((b.s.Find(1)->state() == JobState::kComplete));
+  harness.EndRun(second.starts[0], EndKind::kDone);
+  BOOST_TEST((harness.scheduler.Find(1)->state() == JobState::kComplete));
 }
 
-/// Overcommits an upstream if a stopped task releases its resources before its
-/// end is listed.
+/// A stopped task must keep its resources until its end is reported. Otherwise
+/// its upstream would be overcommitted meanwhile.
 BOOST_AUTO_TEST_CASE(StoppedTaskHoldsResourcesUntilItsEnd) {
-  SchedulerHarness b(1);
-  b.s.Add(Spec(1, 1, 16000), b.now, 0);
-  const Orders first = b.Place();
-  b.s.Add(Spec(2, 1, 16000), b.now, 0);
+  SchedulerHarness harness(1);
+  harness.scheduler.Add(Spec(1, 1, 16000), harness.now, 0);
+  const Orders first = harness.Place();
+  harness.scheduler.Add(Spec(2, 1, 16000), harness.now, 0);
   Orders cancel;
-  BOOST_TEST(b.s.Cancel(1, b.now, cancel));
+  BOOST_TEST(harness.scheduler.Cancel(1, harness.now, cancel));
   BOOST_REQUIRE_EQUAL(cancel.stops.size(), 1U);
-  BOOST_TEST(b.Place().starts.empty());
-  b.End(first.starts[0], EndKind::kStopped);
-  BOOST_TEST(b.Place().starts.size() == 1U);
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.EndRun(first.starts[0], EndKind::kStopped);
+  BOOST_TEST(harness.Place().starts.size() == 1U);
 }
 
-/// Overcommits an upstream whose capacity shrinks below what it runs. Nothing
-/// new may start there until all runs fit, including those being stopped; once
-/// the capacity grows again, new work starts.
+/// The capacity of an upstream shrinks below what its runs occupy. No task may
+/// start there until all runs fit, including those that are being stopped, and
+/// a new one fits as well. When the capacity grows again, more tasks start.
 BOOST_AUTO_TEST_CASE(ShrunkUpstreamIsNotOvercommitted) {
-  SchedulerHarness b(1);
-  b.s.Add(Spec(1, 4, 4000), b.now, 0);
-  const Orders first = b.Place();
+  SchedulerHarness harness(1);
+  harness.scheduler.Add(Spec(1, 4, 4000), harness.now, 0);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 4U);
-  ports::UpstreamEntry entry = b.s.pool().at(0).entry;
+  ports::UpstreamEntry entry = harness.scheduler.pool().at(0).entry;
   entry.capacity.millicores = 8000;
-  b.s.pool().Update(entry);
-  b.s.Add(Spec(2, 2, 4000), b.now, 0);
-  b.End(first.starts[0], EndKind::kDone);
-  BOOST_TEST(b.Place().starts.empty());
+  harness.scheduler.pool().Update(entry);
+  harness.scheduler.Add(Spec(2, 2, 4000), harness.now, 0);
+  harness.EndRun(first.starts[0], EndKind::kDone);
+  BOOST_TEST(harness.Place().starts.empty());
   Orders cancel;
-  BOOST_REQUIRE(b.s.Cancel(1, b.now, cancel));
-  BOOST_TEST(b.Place().starts.empty());
-  b.End(first.starts[1], EndKind::kStopped);
-  BOOST_TEST(b.Place().starts.empty());
-  b.End(first.starts[2], EndKind::kStopped);
-  BOOST_TEST(b.Place().starts.size() == 1U);
+  BOOST_REQUIRE(harness.scheduler.Cancel(1, harness.now, cancel));
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.EndRun(first.starts[1], EndKind::kStopped);
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.EndRun(first.starts[2], EndKind::kStopped);
+  BOOST_TEST(harness.Place().starts.size() == 1U);
   entry.capacity.millicores = 16000;
-  b.s.pool().Update(entry);
-  BOOST_TEST(b.Place().starts.size() == 1U);
+  harness.scheduler.pool().Update(entry);
+  BOOST_TEST(harness.Place().starts.size() == 1U);
 }
 
 /// A task loses one upstream after another, none of them by a crash. It must
@@ -155,59 +157,65 @@
   constexpr UpstreamLoss kOtherLosses[]{UpstreamLoss::kLeft,
                                         UpstreamLoss::kMaintenance,
                                         UpstreamLoss::kLeasesExpired};
-  SchedulerHarness b(kUpstreams);
-  b.s.Add(Spec(1, 1, 1000), b.now, 0);
+  SchedulerHarness harness(kUpstreams);
+  harness.scheduler.Add(Spec(1, 1, 1000), harness.now, 0);
   for (int i = 0; i < kUpstreams; ++i) {
-    const Orders orders = b.Place();
+    const Orders orders = harness.Place();
     BOOST_REQUIRE_EQUAL(orders.starts.size(), 1U);
     const UpstreamIndex lost = orders.starts[0].upstream;
     Orders more;
-    b.s.OnUpstreamEmpty(lost, kOtherLosses[i % 3], b.now, more);
-    b.s.pool().at(lost).reachable = false;
-    b.now += Millis(3000);
+    harness.scheduler.OnAllRunsEnded(lost, kOtherLosses[i % 3], harness.now,
+                                     more);
+    harness.scheduler.pool().at(lost).reachable = false;
+    harness.now += Millis(3000);
   }
-  BOOST_TEST(!b.s.Find(1)->final());
+  BOOST_TEST(!harness.scheduler.Find(1)->final());
 }
 
-/// An upstream answers again under its id after its leases had expired: it was
-/// partitioned. A crash much later must count only against what it runs then.
+/// An upstream answers again under its id after its leases have expired,
+/// because it was partitioned. If it crashes later, only the runs at that time
+/// count.
 BOOST_AUTO_TEST_CASE(RunsFromBeforeAPartitionAreNotCountedAsCrashed) {
-  SchedulerHarness b(2);
-  b.s.Add(Spec(1, 1, 1000), b.now, 0);
-  const Orders first = b.Place();
+  SchedulerHarness harness(2);
+  harness.scheduler.Add(Spec(1, 1, 1000), harness.now, 0);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 1U);
   const UpstreamIndex partitioned = first.starts[0].upstream;
   Orders more;
-  b.s.OnUpstreamEmpty(partitioned, UpstreamLoss::kLeasesExpired, b.now, more);
-  b.s.OnRunning(partitioned, {}, b.now, more);
-  b.s.OnUpstreamEmpty(partitioned, UpstreamLoss::kCrashed, b.now, more);
-  BOOST_TEST(b.s.Find(1)->task({1, 0, 0, 0}).crashes.total() == 0U);
-}
-
-/// A long-running task is lost with upstreams that crash now and then. Once it
-/// has run for half a minute, earlier crashes must not count against it any
-/// more.
+  harness.scheduler.OnAllRunsEnded(partitioned, UpstreamLoss::kLeasesExpired,
+                                   harness.now, more);
+  harness.scheduler.OnRunning(partitioned, {}, harness.now, more);
+  harness.scheduler.OnAllRunsEnded(partitioned, UpstreamLoss::kCrashed,
+                                   harness.now, more);
+  BOOST_TEST(harness.scheduler.Find(1)->task({1, 0, 0, 0}).crashes.total() ==
+             0U);
+}
+
+/// A long-running task loses one upstream after another by crashes. Once a run
+/// has lasted half a minute, earlier crashes must not count against the task
+/// any more.
 BOOST_AUTO_TEST_CASE(LongRunClearsEarlierCrashes) {
   constexpr int kCrashes = 12;
-  SchedulerHarness b(kCrashes);
+  SchedulerHarness harness(kCrashes);
   wire::JobSpec spec = Spec(1, 1, 1000);
   spec.steps[0].long_running = true;
-  b.s.Add(spec, b.now, 0);
+  harness.scheduler.Add(spec, harness.now, 0);
   for (int i = 0; i < kCrashes; ++i) {
-    const Orders orders = b.Place();
+    const Orders orders = harness.Place();
     BOOST_REQUIRE_EQUAL(orders.starts.size(), 1U);
-    b.now += Millis(31000);
-    b.Report(orders.starts[0], 100);
+    harness.now += Millis(31000);
+    harness.ReportProgress(orders.starts[0], 100);
     const UpstreamIndex lost = orders.starts[0].upstream;
     Orders more;
-    b.s.OnUpstreamEmpty(lost, UpstreamLoss::kCrashed, b.now, more);
-    b.s.pool().at(lost).reachable = false;
+    harness.scheduler.OnAllRunsEnded(lost, UpstreamLoss::kCrashed, harness.now,
+                                     more);
+    harness.scheduler.pool().at(lost).reachable = false;
   }
-  BOOST_TEST(!b.s.Find(1)->final());
+  BOOST_TEST(!harness.scheduler.Find(1)->final());
 }
 
-/// Another version wrote the record of an unresponsive upstream. The runs that
-/// can be read count; the others are skipped.
+/// Another version of the program wrote the record of an unresponsive upstream.
+/// Runs that can't be decoded are skipped, and the others count.
 BOOST_AUTO_TEST_CASE(UnreadableRunRecordsAreSkipped) {
   wire::UpstreamRecord record;
   const TaskId task{7, 0, 1, 2};
@@ -225,100 +233,101 @@
   BOOST_TEST((coordinator::ToRecords(expected).at(0) == record.runs.at(0)));
 }
 
-/// An upstream that fails every task looks idle and would attract all work.
-/// After two consecutive failures it must be backed off, and retries must go to
-/// upstreams that have not failed.
+/// An upstream that fails every task at once looks idle and would attract all
+/// work. After two consecutive failures it must be in backoff, and retries must
+/// go to other upstreams.
 BOOST_AUTO_TEST_CASE(FailingUpstreamIsBackedOff) {
-  SchedulerHarness b(3);
+  SchedulerHarness harness(3);
   std::map<UpstreamIndex, int> attempts;
   for (JobId id = 1; id <= 40; ++id) {
-    b.s.Add(Spec(id, 1, 1000), b.now, 0);
-    for (const StartOrder& start : b.Place().starts) {
+    harness.scheduler.Add(Spec(id, 1, 1000), harness.now, 0);
+    for (const StartOrder& start : harness.Place().starts) {
       ++attempts[start.upstream];
-      b.End(start, start.upstream == 0 ? EndKind::kFailed : EndKind::kDone);
+      harness.EndRun(start,
+                     start.upstream == 0 ? EndKind::kFailed : EndKind::kDone);
     }
-    for (const StartOrder& start : b.Place().starts) {
+    for (const StartOrder& start : harness.Place().starts) {
       BOOST_TEST(start.upstream != 0U);
-      b.End(start, EndKind::kDone);
+      harness.EndRun(start, EndKind::kDone);
     }
-    b.now += Millis(20);
+    harness.now += Millis(20);
   }
   BOOST_TEST(attempts[0] <= 3);
 }
 
-/// A job whose task has failed as often as allowed is failed and starts nothing
-/// more. The same end reported twice counts once.
+/// A job fails when one of its tasks has failed as often as permitted, and
+/// starts nothing more. An end that is reported twice counts once.
 BOOST_AUTO_TEST_CASE(AttemptsAreCountedOnce) {
-  SchedulerHarness b(2);
-  b.s.Add(Spec(1, 1, 1000), b.now, 0);
-  const Orders first = b.Place();
-  b.End(first.starts[0], EndKind::kFailed);
-  b.End(first.starts[0], EndKind::kFailed);
-  BOOST_TEST(!b.s.Find(1)->final());
-  const Orders second = b.Place();
+  SchedulerHarness harness(2);
+  harness.scheduler.Add(Spec(1, 1, 1000), harness.now, 0);
+  const Orders first = harness.Place();
+  harness.EndRun(first.starts[0], EndKind::kFailed);
+  harness.EndRun(first.starts[0], EndKind::kFailed);
+  BOOST_TEST(!harness.scheduler.Find(1)->final());
+  const Orders second = harness.Place();
   BOOST_REQUIRE_EQUAL(second.starts.size(), 1U);
   BOOST_TEST(second.starts[0].upstream != first.starts[0].upstream);
-  b.End(second.starts[0], EndKind::kFailed);
-  BOOST_TEST((b.s.Find(1)->state() == JobState::kFailed));
-  BOOST_TEST(b.Place().starts.empty());
+  harness.EndRun(second.starts[0], EndKind::kFailed);
+  BOOST_TEST((harness.scheduler.Find(1)->state() == JobState::kFailed));
+  BOOST_TEST(harness.Place().starts.empty());
 }
 
-/// The only upstream that a retry is allowed on is the one where the task
-/// failed. The task must return there when no other upstream is left to ask
-/// about, or it would never run.
+/// The adviser allows only the upstream where the task has failed. When no
+/// other upstream is left to ask about, the task must start there again, or it
+/// would never run.
 BOOST_AUTO_TEST_CASE(RetryReusesFailedUpstreamWhenNoOtherIsAllowed) {
-  SchedulerHarness b(2);
+  SchedulerHarness harness(2);
   wire::JobSpec spec = Spec(1, 1, 1000);
   spec.queue.advised = true;
-  b.s.Add(spec, b.now, 0);
+  harness.scheduler.Add(spec, harness.now, 0);
   const auto answer = [&](const Orders& orders) {
     ports::Advice advice{.allowed = {{"up-0", "t"}}, .valid = Millis(1500)};
     for (const AdviceOrder& ask : orders.advice) {
-      b.s.OnAdvice(ask, &advice, b.now);
+      harness.scheduler.OnAdvice(ask, &advice, harness.now);
     }
   };
   Orders orders;
   for (int i = 0; i < 5 && orders.starts.empty(); ++i) {
-    orders = b.Place();
+    orders = harness.Place();
     answer(orders);
   }
   BOOST_REQUIRE_EQUAL(orders.starts.size(), 1U);
-  b.End(orders.starts[0], EndKind::kFailed);
+  harness.EndRun(orders.starts[0], EndKind::kFailed);
   bool again = false;
   for (int i = 0; i < 40 && !again; ++i) {
-    b.now += Millis(100);
-    const Orders next = b.Place();
+    harness.now += Millis(100);
+    const Orders next = harness.Place();
     answer(next);
     again = !next.starts.empty();
   }
   BOOST_TEST(again);
 }
 
-/// A gang starts as a whole or not at all. A stream of small jobs of lower
-/// priority must not use up the capacity reserved for it.
+/// A gang needs capacity for all its tasks at once. A stream of small jobs of
+/// lower priority must not use up the capacity that becomes free for it.
 BOOST_AUTO_TEST_CASE(AGangIsNotStarvedBySmallJobs) {
-  SchedulerHarness b(4);
+  SchedulerHarness harness(4);
   std::vector<StartOrder> running;
   const auto fill = [&](JobId id) {
     wire::JobSpec spec = Spec(id, 1, 4000);
     spec.queue.priority = 2;
-    b.s.Add(spec, b.now, 0);
+    harness.scheduler.Add(spec, harness.now, 0);
   };
   JobId next = 100;
   for (int i = 0; i < 16; ++i) fill(next++);
-  for (const auto& start : b.Place().starts) running.push_back(start);
+  for (const auto& start : harness.Place().starts) running.push_back(start);
   wire::JobSpec gang = Spec(1, 2, 12000);
   gang.steps[0].gang = true;
   gang.queue.priority = 1;
-  b.s.Add(gang, b.now, 0);
+  harness.scheduler.Add(gang, harness.now, 0);
   size_t gang_starts = 0;
   for (int i = 0; i < 30 && gang_starts == 0; ++i) {
     fill(next++);
     BOOST_REQUIRE(!running.empty());
-    b.End(running.front(), EndKind::kDone);
+    harness.EndRun(running.front(), EndKind::kDone);
     running.erase(running.begin());
-    b.now += Millis(50);
-    for (const auto& start : b.Place().starts) {
+    harness.now += Millis(50);
+    for (const auto& start : harness.Place().starts) {
       if (start.task.job == 1) {
         ++gang_starts;
       } else {
@@ -329,30 +338,31 @@
   BOOST_TEST(gang_starts == 2U);
 }
 
-/// A gang failed on the only upstream for which it has a ticket; other jobs run
-/// well there since. Placing avoids that upstream as long as there are others.
-/// If requesting advice counts on its ticket nevertheless, the gang waits
-/// forever beside upstreams that were never asked about.
+/// A gang has failed on the only upstream for which it has a ticket; a task of
+/// another job has succeeded there since. Placing avoids that upstream as long
+/// as there are others. If requesting advice counted on its ticket
+/// nevertheless, the gang would wait forever while other upstreams are never
+/// asked about.
 BOOST_AUTO_TEST_CASE(FailedGangAsksAboutOtherUpstreams) {
-  SchedulerHarness b(10);
+  SchedulerHarness harness(10);
   wire::JobSpec spec = Spec(1, 2, 1000);
   spec.steps[0].gang = true;
   spec.queue.advised = true;
   spec.queue.max_attempts = 4;
-  b.s.Add(spec, b.now, 0);
-  const Orders asked = b.Place();
+  harness.scheduler.Add(spec, harness.now, 0);
+  const Orders asked = harness.Place();
   BOOST_REQUIRE_EQUAL(asked.advice.size(), 1U);
   const std::string only = asked.advice[0].upstreams[0];
   const ports::Advice advice{.allowed = {{only, "ticket"}},
                              .valid = Millis(60000)};
-  b.s.OnAdvice(asked.advice[0], &advice, b.now);
-  const Orders first = b.Place();
+  harness.scheduler.OnAdvice(asked.advice[0], &advice, harness.now);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 2U);
-  b.End(first.starts[0], EndKind::kFailed);
-  b.End(first.starts[1], EndKind::kGangFailed);
-  b.s.pool().NoteSuccess(first.starts[0].upstream);
-  b.now += Millis(500);
-  const Orders again = b.Place();
+  harness.EndRun(first.starts[0], EndKind::kFailed);
+  harness.EndRun(first.starts[1], EndKind::kGangFailed);
+  harness.scheduler.pool().NoteSuccess(first.starts[0].upstream);
+  harness.now += Millis(500);
+  const Orders again = harness.Place();
   BOOST_TEST(again.starts.empty());
   BOOST_REQUIRE_EQUAL(again.advice.size(), 1U);
   for (const std::string& name : again.advice[0].upstreams) {
@@ -360,124 +370,130 @@
   }
 }
 
-/// A render needs all of four upstreams, which appear one after the other, and
-/// an advice call takes half as long as a ticket is valid. If each ticket is
-/// renewed only after it has expired, one is missing at any moment, and the
-/// render waits for 20 s beside twice the capacity that it needs. Once all four
-/// upstreams are available, it must start within two calls.
+/// A gang needs all of four upstreams, which appear one after the other, and an
+/// advice call takes about half as long as a ticket is valid. If each ticket
+/// were renewed only after it has expired, one would be missing at any moment,
+/// and the gang would wait for 20 s and more although there is enough capacity.
+/// Once all four upstreams are available, it must start within two calls.
 BOOST_AUTO_TEST_CASE(TicketsOfAGangAreRenewedTogether) {
   constexpr Millis kValid{1500};
   constexpr Millis kCall{800};
-  constexpr Millis kApart{575};
+  constexpr Millis kAppearanceInterval{575};
   constexpr int kUpstreams = 4;
   constexpr Millis kStep{5};
-  SchedulerHarness b(0);
+  SchedulerHarness harness(0);
   wire::JobSpec spec = Spec(1, kUpstreams, 10000);
   spec.steps[0].gang = true;
   spec.queue.advised = true;
   spec.queue.advice_base_ms = kCall.count();
-  b.s.Add(spec, b.now, 0);
-  const TimePoint begin = b.now;
+  harness.scheduler.Add(spec, harness.now, 0);
+  const TimePoint begin = harness.now;
   std::vector<std::pair<TimePoint, AdviceOrder>> calls;
   size_t started = 0;
   int available = 0;
-  while (started == 0 && b.now - begin < Millis(20000)) {
-    b.now += kStep;
-    if (available < kUpstreams && b.now - begin >= available * kApart) {
+  while (started == 0 && harness.now - begin < Millis(20000)) {
+    harness.now += kStep;
+    if (available < kUpstreams &&
+        harness.now - begin >= available * kAppearanceInterval) {
       ports::UpstreamEntry entry;
       entry.id = "up-" + std::to_string(available++);
       entry.pool = "pool";
       entry.capacity = {.millicores = 16000, .memory_mb = 32000};
-      b.s.pool().at(b.s.pool().Update(entry)).reachable = true;
+      harness.scheduler.pool()
+          .at(harness.scheduler.pool().Update(entry))
+          .reachable = true;
     }
     std::erase_if(calls, [&](const auto& call) {
-      if (call.first > b.now) return false;
+      if (call.first > harness.now) return false;
       ports::Advice advice{.valid = kValid};
       for (const std::string& name : call.second.upstreams) {
         advice.allowed.push_back({name, "ticket"});
       }
-      b.s.OnAdvice(call.second, &advice, b.now);
+      harness.scheduler.OnAdvice(call.second, &advice, harness.now);
       return true;
     });
-    const Orders orders = b.Place();
+    const Orders orders = harness.Place();
     for (const AdviceOrder& order : orders.advice) {
-      calls.emplace_back(b.now + kCall, order);
+      calls.emplace_back(harness.now + kCall, order);
     }
     started = orders.starts.size();
   }
   BOOST_TEST(started == static_cast<size_t>(kUpstreams));
-  const auto took = std::chrono::duration_cast<Millis>(b.now - begin);
+  const auto took = std::chrono::duration_cast<Millis>(harness.now - begin);
   BOOST_TEST_MESSAGE("started after " << took.count() << " ms");
   // The last upstream and both answers are each noticed one step later.
-  BOOST_TEST(took <= (kUpstreams - 1) * kApart + 2 * kCall + 3 * kStep);
+  BOOST_TEST(took <=
+             (kUpstreams - 1) * kAppearanceInterval + 2 * kCall + 3 * kStep);
 }
 
-/// Not all members of a gang could be started. The started ones must be
-/// stopped, and the gang restarts only when all of them have ended, with a
-/// higher attempt.
+/// A member of a gang could not be started. The others must be stopped. When
+/// they have ended, the gang restarts with a higher attempt number.
 BOOST_AUTO_TEST_CASE(PartiallyStartedGangIsStoppedAndRestarted) {
-  SchedulerHarness b(2);
+  SchedulerHarness harness(2);
   wire::JobSpec spec = Spec(1, 2, 10000);
   spec.steps[0].gang = true;
-  b.s.Add(spec, b.now, 0);
+  harness.scheduler.Add(spec, harness.now, 0);
   Orders orders;
-  b.s.Place(b.now, kAmpleBudget, orders);
+  harness.scheduler.Place(harness.now, kAmpleBudget, orders);
   BOOST_REQUIRE_EQUAL(orders.starts.size(), 2U);
   Orders more;
-  b.s.OnStartReply(orders.starts[0], CallVerdict::kDone, b.now, more);
-  b.s.OnStartReply(orders.starts[1], CallVerdict::kNotSent, b.now, more);
+  harness.scheduler.OnStartReply(orders.starts[0], CallVerdict::kDone,
+                                 harness.now, more);
+  harness.scheduler.OnStartReply(orders.starts[1], CallVerdict::kNotSent,
+                                 harness.now, more);
   BOOST_REQUIRE_EQUAL(more.stops.size(), 1U);
-  BOOST_TEST(b.Place().starts.empty());
-  b.End(orders.starts[0], EndKind::kStopped);
-  const Orders restarted = b.Place();
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.EndRun(orders.starts[0], EndKind::kStopped);
+  const Orders restarted = harness.Place();
   BOOST_REQUIRE_EQUAL(restarted.starts.size(), 2U);
   BOOST_TEST(restarted.starts[0].attempt == restarted.starts[1].attempt);
   BOOST_TEST(restarted.starts[0].attempt > orders.starts[0].attempt);
 }
 
-/// A task on a stalled upstream would hold its resources forever: its
-/// percentage does not change. It must be stopped and run elsewhere, without
-/// losing an attempt.
+/// The percentage of a task does not change any more. The task would occupy its
+/// resources forever, so it must be stopped and run elsewhere. This does not
+/// count as a failure of the task.
 BOOST_AUTO_TEST_CASE(StalledTaskIsMoved) {
-  SchedulerHarness b(2);
-  b.s.Add(Spec(1, 1, 1000), b.now, 0);
-  const StartOrder start = b.Place().starts.at(0);
-  BOOST_TEST(b.Report(start, 10) == 0U);
-  b.now += Millis(1000);
-  BOOST_TEST(b.Report(start, 20) == 0U);
-  b.now += Millis(1400);
-  BOOST_TEST(b.Report(start, 20) == 0U);
-  b.now += Millis(200);
-  BOOST_TEST(b.Report(start, 20) == 1U);
-  b.End(start, EndKind::kStopped);
-  const Orders again = b.Place();
+  SchedulerHarness harness(2);
+  harness.scheduler.Add(Spec(1, 1, 1000), harness.now, 0);
+  const StartOrder start = harness.Place().starts.at(0);
+  BOOST_TEST(harness.ReportProgress(start, 10) == 0U);
+  harness.now += Millis(1000);
+  BOOST_TEST(harness.ReportProgress(start, 20) == 0U);
+  harness.now += Millis(1400);
+  BOOST_TEST(harness.ReportProgress(start, 20) == 0U);
+  harness.now += Millis(200);
+  BOOST_TEST(harness.ReportProgress(start, 20) == 1U);
+  harness.EndRun(start, EndKind::kStopped);
+  const Orders again = harness.Place();
   BOOST_REQUIRE_EQUAL(again.starts.size(), 1U);
   BOOST_TEST(again.starts[0].upstream != start.upstream);
 }
 
-/// A job is cancelled while it waits, and capacity becomes free at the same
-/// moment. The next pass must start nothing of it.
+/// A job is cancelled while it waits. The next pass must start no task of it,
+/// although there is free capacity.
 BOOST_AUTO_TEST_CASE(ACancelledJobLeavesTheQueue) {
-  SchedulerHarness b(1);
-  b.s.Add(Spec(1, 2, 1000), b.now, 0);
+  SchedulerHarness harness(1);
+  harness.scheduler.Add(Spec(1, 2, 1000), harness.now, 0);
   Orders orders;
-  BOOST_TEST(b.s.Cancel(1, b.now, orders));
-  BOOST_TEST(b.Place().starts.empty());
-  BOOST_TEST(b.s.waiting_steps() == 0);
+  BOOST_TEST(harness.scheduler.Cancel(1, harness.now, orders));
+  BOOST_TEST(harness.Place().starts.empty());
+  BOOST_TEST(harness.scheduler.waiting_steps() == 0);
 }
 
-/// An upstream lists a run of an unknown job. The run is stopped with the first
-/// report and reported once. The stop is repeated while the run remains listed:
-/// not with each report, but sooner if the stop is known to have been lost.
+/// An upstream reports a run of an unknown job. The run is ordered to stop upon
+/// the first report and marked as orphaned once. The stop is repeated while the
+/// run is still reported: not upon each report, but sooner if the stop may have
+/// been lost.
 BOOST_AUTO_TEST_CASE(UnknownRunIsStoppedAndReportedOnce) {
-  SchedulerHarness b(1);
+  SchedulerHarness harness(1);
   const ports::RunningTask run{.task = {77, 0, 0, 0}, .attempt = 3};
   int stops = 0;
   int orphaned = 0;
   const auto report = [&](Millis later) {
-    b.now += later;
+    harness.now += later;
     Orders orders;
-    b.s.OnRunning(0, {run}, b.now, orders);
+    harness.scheduler.OnRunning(0, {run}, harness.now, orders);
     for (const StopOrder& stop : orders.stops) {
       ++stops;
       orphaned += stop.orphaned ? 1 : 0;
@@ -491,7 +507,7 @@
   BOOST_TEST(stops == 1);
   report(Millis(100));
   BOOST_TEST(stops == 2);
-  b.s.OnStopFailed(0, run.task, run.attempt, b.now);
+  harness.scheduler.OnStopFailed(0, run.task, run.attempt, harness.now);
   report(Millis(50));
   BOOST_TEST(stops == 2);
   report(Millis(50));
@@ -499,273 +515,280 @@
   BOOST_TEST(orphaned == 1);
 }
 
-/// An abandoned start is carried out after all, so an upstream lists another
-/// attempt than the current one. Only that attempt must be stopped, also once
-/// the task is done. The members of a completed gang are not stopped at first,
-/// because their ends are already on the way.
+/// A start that was abandoned is executed after all, so that an upstream
+/// reports another attempt than the current one. Only that attempt must be
+/// stopped, also when the task is done. The members of a completed gang are
+/// stopped only if their ends are not reported in time.
 BOOST_AUTO_TEST_CASE(AnotherAttemptIsStopped) {
-  SchedulerHarness b(2);
-  b.s.Add(Spec(1, 1, 1000), b.now, 0);
-  const StartOrder start = b.Place().starts.at(0);
+  SchedulerHarness harness(2);
+  harness.scheduler.Add(Spec(1, 1, 1000), harness.now, 0);
+  const StartOrder start = harness.Place().starts.at(0);
   StartOrder other = start;
   other.upstream = 1 - start.upstream;
   other.attempt = start.attempt + 7;
-  BOOST_TEST(b.Report(start, 10) == 0U);
-  BOOST_TEST(b.Report(other, 10) == 1U);
-  BOOST_TEST(b.Report(start, 20) == 0U);
-  b.End(start, EndKind::kDone);
+  BOOST_TEST(harness.ReportProgress(start, 10) == 0U);
+  BOOST_TEST(harness.ReportProgress(other, 10) == 1U);
+  BOOST_TEST(harness.ReportProgress(start, 20) == 0U);
+  harness.EndRun(start, EndKind::kDone);
   other.attempt += 1;
-  BOOST_TEST(b.Report(other, 10) == 1U);
+  BOOST_TEST(harness.ReportProgress(other, 10) == 1U);
 
   wire::JobSpec gang = Spec(2, 2, 1000);
   gang.steps[0].gang = true;
-  b.s.Add(gang, b.now, 0);
-  const Orders both = b.Place();
+  harness.scheduler.Add(gang, harness.now, 0);
+  const Orders both = harness.Place();
   BOOST_REQUIRE_EQUAL(both.starts.size(), 2U);
-  b.End(both.starts[0], EndKind::kDone);
-  BOOST_TEST(b.Report(both.starts[1], 100) == 0U);
-  b.now += Millis(1200);
-  BOOST_TEST(b.Report(both.starts[1], 100) == 1U);
+  harness.EndRun(both.starts[0], EndKind::kDone);
+  BOOST_TEST(harness.ReportProgress(both.starts[1], 100) == 0U);
+  harness.now += Millis(1200);
+  BOOST_TEST(harness.ReportProgress(both.starts[1], 100) == 1U);
 }
 
-/// A new leader is asked to cancel a job before the upstream has reported what
-/// it runs. The first report must stop the run, with the cancellation as the
-/// reason.
+/// A new leader receives a cancel of a job before the upstream has reported
+/// what it runs. The run must be stopped upon the first report, with the
+/// cancellation as the reason.
 BOOST_AUTO_TEST_CASE(RunReportedAfterCancelIsStopped) {
   SchedulerHarness fresh(1);
-  Scheduler s{SchedulerOptions{}};
-  s.pool().Update(fresh.s.pool().at(0).entry);
-  s.Load(Spec(1, 1, 1000), {}, fresh.now, 0);
+  Scheduler scheduler{SchedulerOptions{}};
+  scheduler.pool().Update(fresh.scheduler.pool().at(0).entry);
+  scheduler.Load(Spec(1, 1, 1000), {}, fresh.now, 0);
   Orders orders;
-  BOOST_TEST(s.Cancel(1, fresh.now, orders));
+  BOOST_TEST(scheduler.Cancel(1, fresh.now, orders));
   BOOST_TEST(orders.stops.empty());
   fresh.now += Millis(250);
-  s.OnRunning(0, {{.task = {1, 0, 0, 0}, .attempt = 1}}, fresh.now, orders);
+  scheduler.OnRunning(0, {{.task = {1, 0, 0, 0}, .attempt = 1}}, fresh.now,
+                      orders);
   BOOST_REQUIRE_EQUAL(orders.stops.size(), 1U);
   const StopOrder& stop = orders.stops[0];
   BOOST_TEST((stop.reason == StopReason::kCancelled));
   BOOST_TEST(stop.orphaned);
-  BOOST_TEST((stop.since_end == Millis(250)));
+  BOOST_TEST((stop.since_job_end == Millis(250)));
 }
 
-/// Members of a gang end together, so a fast one stays at 100 % until the
-/// slowest is done. If that member is taken for stalled, a render is broken
-/// seconds from its end and restarts again and again.
+/// The members of a gang end together, so that a fast one stays at 100 % until
+/// the slowest one is done. If the fast member were treated as stalled, the
+/// gang would be broken seconds before its end and restart again and again.
 BOOST_AUTO_TEST_CASE(FinishedGangMemberIsNotTakenForStalled) {
-  SchedulerHarness b(2);
+  SchedulerHarness harness(2);
   wire::JobSpec spec = Spec(1, 2, 10000);
   spec.steps[0].gang = true;
-  b.s.Add(spec, b.now, 0);
-  const Orders first = b.Place();
+  harness.scheduler.Add(spec, harness.now, 0);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 2U);
   for (int32_t percent = 10; percent < 50; ++percent) {
-    BOOST_TEST(b.Report(first.starts[0], 100) == 0U);
-    BOOST_TEST(b.Report(first.starts[1], percent) == 0U);
-    b.now += Millis(200);
+    BOOST_TEST(harness.ReportProgress(first.starts[0], 100) == 0U);
+    BOOST_TEST(harness.ReportProgress(first.starts[1], percent) == 0U);
+    harness.now += Millis(200);
   }
   // Now the slow member is stalled, and that breaks the gang.
-  b.now += Millis(1600);
-  BOOST_TEST(b.Report(first.starts[1], 49) == 2U);
+  harness.now += Millis(1600);
+  BOOST_TEST(harness.ReportProgress(first.starts[1], 49) == 2U);
 }
 
-/// The capacity of another gang's fast member is predicted to be free when its
-/// own part is done, although it is held until the slowest member ends. A gang
-/// that plans on it waits for capacity that does not become free.
+/// A fast member of a gang occupies its capacity until the slowest member ends.
+/// If the capacity were predicted to become free when the member's own part is
+/// done, another gang would plan to start there and wait in vain.
 BOOST_AUTO_TEST_CASE(GangCapacityIsPredictedFromSlowestMember) {
-  SchedulerHarness b(2);
+  SchedulerHarness harness(2);
   wire::JobSpec spec = Spec(1, 2, 10000);
   spec.steps[0].gang = true;
-  b.s.Add(spec, b.now, 0);
-  const Orders first = b.Place();
+  harness.scheduler.Add(spec, harness.now, 0);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 2U);
-  b.Report(first.starts[0], 10);
-  b.Report(first.starts[1], 1);
-  b.now += Millis(500);
-  b.Report(first.starts[1], 11);
-  b.Report(first.starts[0], 100);
+  harness.ReportProgress(first.starts[0], 10);
+  harness.ReportProgress(first.starts[1], 1);
+  harness.now += Millis(500);
+  harness.ReportProgress(first.starts[1], 11);
+  harness.ReportProgress(first.starts[0], 100);
   const auto free_in = [&](Millis span) {
-    return b.s.pool().FreeAt(first.starts[0].upstream,
-                             b.now + span)[Dimension::kCores];
+    return harness.scheduler.pool().FreeAt(
+        first.starts[0].upstream, harness.now + span)[Dimension::kCores];
   };
   BOOST_TEST(free_in(Millis(4000)) == 6000);
   BOOST_TEST(free_in(Millis(5000)) == 16000);
 }
 
-/// A render that failed once waits forever if capacity is reserved for it on
-/// the upstream where it failed and may not run, while small jobs keep taking
-/// what it could use. The reservation must be on upstreams where it has not
-/// failed.
+/// Capacity for a gang that has failed must be reserved on upstreams where it
+/// has not failed. If it were reserved where the gang has failed and may not
+/// start, small jobs would take all other capacity, and the gang would wait
+/// forever.
 BOOST_AUTO_TEST_CASE(FailedGangWaitsForOtherUpstreams) {
-  SchedulerHarness b(3);
+  SchedulerHarness harness(3);
   wire::JobSpec gang = Spec(1, 1, 12000);
   gang.steps[0].tasks = 2;
   gang.steps[0].gang = true;
   gang.steps[0].max_per_upstream = 1;
   gang.queue.priority = 1;
-  b.s.Add(gang, b.now, 0);
-  const Orders first = b.Place();
+  harness.scheduler.Add(gang, harness.now, 0);
+  const Orders first = harness.Place();
   BOOST_REQUIRE_EQUAL(first.starts.size(), 2U);
-  const UpstreamIndex failed_at = first.starts[0].upstream;
+  const UpstreamIndex failed_upstream = first.starts[0].upstream;
   wire::JobSpec fill = Spec(2, 2, 8000);
   fill.queue.priority = 2;
-  b.s.Add(fill, b.now, 0);
-  std::vector<StartOrder> running = b.Place().starts;
+  harness.scheduler.Add(fill, harness.now, 0);
+  std::vector<StartOrder> running = harness.Place().starts;
   BOOST_REQUIRE_EQUAL(running.size(), 2U);
-  b.End(first.starts[1], EndKind::kGangFailed);
-  b.End(first.starts[0], EndKind::kFailed);
+  harness.EndRun(first.starts[1], EndKind::kGangFailed);
+  harness.EndRun(first.starts[0], EndKind::kFailed);
   size_t gang_starts = 0;
   JobId next = 3;
   for (int i = 0; i < 60 && gang_starts == 0; ++i) {
     wire::JobSpec small = Spec(next++, 1, 6000);
     small.queue.priority = 2;
-    b.s.Add(small, b.now, 0);
-    b.now += Millis(100);
+    harness.scheduler.Add(small, harness.now, 0);
+    harness.now += Millis(100);
     if (!running.empty()) {
-      b.End(running.front(), EndKind::kDone);
+      harness.EndRun(running.front(), EndKind::kDone);
       running.erase(running.begin());
     }
-    for (const auto& start : b.Place().starts) {
+    for (const auto& start : harness.Place().starts) {
       if (start.task.job != 1) {
         running.push_back(start);
         continue;
       }
       ++gang_starts;
-      BOOST_TEST(start.upstream != failed_at);
+      BOOST_TEST(start.upstream != failed_upstream);
     }
   }
   BOOST_TEST(gang_starts == 2U);
 }
 
-/// A gang waits for two upstreams, and pushes keep taking what is already free
-/// there, although another upstream has capacity for them. Urgent work goes
-/// first, but must run elsewhere where it can.
-BOOST_AUTO_TEST_CASE(UrgentWorkAvoidsRoomReservedForGang) {
-  SchedulerHarness b(3);
+/// A gang waits for capacity on two upstreams, and another upstream has
+/// capacity for urgent work. Urgent work goes first, but must start on the
+/// other upstream instead of taking what is already free for the gang.
+BOOST_AUTO_TEST_CASE(UrgentWorkAvoidsCapacityReservedForGang) {
+  SchedulerHarness harness(3);
   for (const UpstreamIndex up : {0U, 1U}) {
-    b.s.pool().at(up).entry.labels = {"a"};
+    harness.scheduler.pool().at(up).entry.labels = {"a"};
   }
   wire::JobSpec fill = Spec(1, 2, 8000);
   fill.steps[0].label = "a";
   fill.steps[0].max_per_upstream = 1;
-  b.s.Add(fill, b.now, 0);
-  b.s.Add(Spec(2, 1, 6000), b.now, 0);
-  BOOST_REQUIRE_EQUAL(b.Place().starts.size(), 3U);
+  harness.scheduler.Add(fill, harness.now, 0);
+  harness.scheduler.Add(Spec(2, 1, 6000), harness.now, 0);
+  BOOST_REQUIRE_EQUAL(harness.Place().starts.size(), 3U);
   wire::JobSpec gang = Spec(3, 2, 12000);
   gang.steps[0].gang = true;
   gang.steps[0].label = "a";
   gang.queue.priority = 1;
-  b.s.Add(gang, b.now, 0);
-  BOOST_TEST(b.Place().starts.empty());
-  b.s.Add(Spec(4, 1, 4000), b.now, 0);
-  const Orders urgent = b.Place();
+  harness.scheduler.Add(gang, harness.now, 0);
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.scheduler.Add(Spec(4, 1, 4000), harness.now, 0);
+  const Orders urgent = harness.Place();
   BOOST_REQUIRE_EQUAL(urgent.starts.size(), 1U);
   BOOST_TEST(urgent.starts[0].upstream == 2U);
 }
 
-/// A new leader that has not heard from every upstream starts nothing that an
-/// earlier leader may have started. It adopts the runs that it finds.
+/// Until every upstream has reported to a new leader, the leader starts nothing
+/// that an earlier leader may have started. It adopts the runs that are
+/// reported.
 BOOST_AUTO_TEST_CASE(NewLeaderAdoptsRunningTasks) {
-  Scheduler s({.attempt_base = 200000});
+  Scheduler scheduler({.attempt_base = 200000});
   ports::UpstreamEntry entry{.id = "up-0", .pool = "pool"};
   entry.capacity = {.millicores = 16000, .memory_mb = 32000};
-  const UpstreamIndex up = s.pool().Update(entry);
+  const UpstreamIndex up = scheduler.pool().Update(entry);
   const TimePoint now = TimePoint() + std::chrono::hours(1);
-  s.Load(Spec(1, 2, 1000), {}, now, 0);
-  s.pool().at(up).reachable = true;
+  scheduler.Load(Spec(1, 2, 1000), {}, now, 0);
+  scheduler.pool().at(up).reachable = true;
   Orders orders;
-  s.Place(now, kAmpleBudget, orders);
+  scheduler.Place(now, kAmpleBudget, orders);
   BOOST_TEST(orders.starts.empty());
-  s.OnRunning(up, {{.task = {1, 0, 0, 0}, .attempt = 100001}}, now, orders);
-  s.ResolveAll(now, orders);
-  s.Place(now, kAmpleBudget, orders);
+  scheduler.OnRunning(up, {{.task = {1, 0, 0, 0}, .attempt = 100001}}, now,
+                      orders);
+  scheduler.ResolveAll(now, orders);
+  scheduler.Place(now, kAmpleBudget, orders);
   BOOST_REQUIRE_EQUAL(orders.starts.size(), 1U);
   BOOST_TEST(orders.starts[0].task.index == 1);
   BOOST_TEST(orders.starts[0].attempt > 200000);
 }
 
-/// Two upstreams report one failure each to a new leader, in the wrong order.
-/// Both must count; if one is lost, the task runs a third time.
+/// Two upstreams report one failure each to a new leader, the later failure
+/// first. Both must count, or the task would run a third time.
 BOOST_AUTO_TEST_CASE(FailuresReportedOutOfOrderBothCount) {
-  Scheduler s({.attempt_base = 200000});
+  Scheduler scheduler({.attempt_base = 200000});
   const TimePoint now = TimePoint() + std::chrono::hours(1);
   for (const char* id : {"up-0", "up-1"}) {
     ports::UpstreamEntry entry{.id = id, .pool = "pool"};
     entry.capacity = {.millicores = 16000, .memory_mb = 32000};
-    s.pool().at(s.pool().Update(entry)).reachable = true;
+    scheduler.pool().at(scheduler.pool().Update(entry)).reachable = true;
   }
-  s.Load(Spec(1, 1, 1000), {}, now, 0);
+  scheduler.Load(Spec(1, 1, 1000), {}, now, 0);
   Orders orders;
   const TaskId task{1, 0, 0, 0};
-  s.OnEnd(1, {.number = 1, .task = task, .attempt = 100002}, now, orders);
-  s.OnEnd(0, {.number = 1, .task = task, .attempt = 100001}, now, orders);
-  BOOST_TEST((s.Find(1)->state() == JobState::kFailed));
+  scheduler.OnEnd(1, {.number = 1, .task = task, .attempt = 100002}, now,
+                  orders);
+  scheduler.OnEnd(0, {.number = 1, .task = task, .attempt = 100001}, now,
+                  orders);
+  BOOST_TEST((scheduler.Find(1)->state() == JobState::kFailed));
 }
 
 /// A failure of an earlier run counts even if a later run was adopted first.
 BOOST_AUTO_TEST_CASE(AFailureBeforeAnAdoptedRunCounts) {
-  Scheduler s({.attempt_base = 200000});
+  Scheduler scheduler({.attempt_base = 200000});
   const TimePoint now = TimePoint() + std::chrono::hours(1);
   for (const char* id : {"up-0", "up-1"}) {
     ports::UpstreamEntry entry{.id = id, .pool = "pool"};
-    s.pool().at(s.pool().Update(entry)).reachable = true;
+    scheduler.pool().at(scheduler.pool().Update(entry)).reachable = true;
   }
-  s.Load(Spec(1, 1, 1000), {}, now, 0);
+  scheduler.Load(Spec(1, 1, 1000), {}, now, 0);
   Orders orders;
   const TaskId task{1, 0, 0, 0};
-  s.OnRunning(1, {{.task = task, .attempt = 100002}}, now, orders);
-  s.OnEnd(0, {.number = 1, .task = task, .attempt = 100001}, now, orders);
-  s.OnEnd(1, {.number = 1, .task = task, .attempt = 100002}, now, orders);
-  BOOST_TEST((s.Find(1)->state() == JobState::kFailed));
+  scheduler.OnRunning(1, {{.task = task, .attempt = 100002}}, now, orders);
+  scheduler.OnEnd(0, {.number = 1, .task = task, .attempt = 100001}, now,
+                  orders);
+  scheduler.OnEnd(1, {.number = 1, .task = task, .attempt = 100002}, now,
+                  orders);
+  BOOST_TEST((scheduler.Find(1)->state() == JobState::kFailed));
 }
 
-/// An occurrence does not start before its time, even if there is free
-/// capacity.
+/// An occurrence does not start before its scheduled time, even if there is
+/// free capacity.
 BOOST_AUTO_TEST_CASE(OccurrencesWaitForTheirTime) {
-  SchedulerHarness b(1);
+  SchedulerHarness harness(1);
   wire::JobSpec spec = Spec(1, 1, 1000);
   spec.occurrences = 2;
   spec.first_due_ms = 5000;
   spec.interval_ms = 1000;
-  b.s.Add(spec, b.now, 0);
-  b.s.Tick(b.now, 4999);
-  BOOST_TEST(b.Place().starts.empty());
-  b.s.Tick(b.now, 5000);
-  BOOST_TEST(b.Place().starts.size() == 1U);
-  b.s.Tick(b.now, 6000);
-  const Orders second = b.Place();
+  harness.scheduler.Add(spec, harness.now, 0);
+  harness.scheduler.Tick(harness.now, 4999);
+  BOOST_TEST(harness.Place().starts.empty());
+  harness.scheduler.Tick(harness.now, 5000);
+  BOOST_TEST(harness.Place().starts.size() == 1U);
+  harness.scheduler.Tick(harness.now, 6000);
+  const Orders second = harness.Place();
   BOOST_REQUIRE_EQUAL(second.starts.size(), 1U);
   BOOST_TEST(second.starts[0].task.occurrence == 1);
 }
 
 /// Labels, the limit per upstream and draining upstreams are respected.
 BOOST_AUTO_TEST_CASE(PlacementConstraintsAreRespected) {
-  SchedulerHarness b(3);
-  b.s.pool().at(0).entry.labels = {"a", "r0"};
-  b.s.pool().at(1).entry.labels = {"a", "r0"};
-  b.s.pool().at(1).entry.draining = true;
+  SchedulerHarness harness(3);
+  harness.scheduler.pool().at(0).entry.labels = {"a", "r0"};
+  harness.scheduler.pool().at(1).entry.labels = {"a", "r0"};
+  harness.scheduler.pool().at(1).entry.draining = true;
   wire::JobSpec spec = Spec(1, 5, 1000);
   spec.steps[0].label = "a";
   spec.steps[0].max_per_upstream = 2;
-  b.s.Add(spec, b.now, 0);
-  const Orders orders = b.Place();
+  harness.scheduler.Add(spec, harness.now, 0);
+  const Orders orders = harness.Place();
   BOOST_TEST(orders.starts.size() == 2U);
   for (const StartOrder& start : orders.starts) {
     BOOST_TEST(start.upstream == 0U);
   }
 }
 
-/// Overload: renders in gangs, reports and pushes at about 110 % of all cores.
-/// Pushes go first: none waits longer than one pass while there is capacity,
-/// and no upstream is ever overcommitted.
+/// Gangs and other jobs request about 110 % of all cores. Jobs of priority 0 go
+/// first: none of them waits longer than 100 ms, and no upstream is ever
+/// overcommitted.
 BOOST_AUTO_TEST_CASE(UrgentWorkIsServedUnderOverload) {
-  SchedulerHarness b(48);
+  SchedulerHarness harness(48);
   struct Running {
     StartOrder start;
     TimePoint until;
   };
   std::vector<Running> running;
   std::map<JobId, TimePoint> accepted_at;
-  Millis longest_push{0};
+  Millis longest_urgent_wait{0};
   JobId next = 1;
   const auto add = [&](int32_t priority, int32_t tasks, int32_t cores,
                        int32_t ms, bool gang) {
@@ -773,50 +796,58 @@
     spec.queue.priority = priority;
     spec.steps[0].estimate_ms = ms;
     spec.steps[0].gang = gang;
-    accepted_at[next] = b.now;
-    b.s.Add(spec, b.now, 0);
+    accepted_at[next] = harness.now;
+    harness.scheduler.Add(spec, harness.now, 0);
     ++next;
   };
   constexpr Millis kStep{20};
   for (int i = 0; i < 1000; ++i) {
-    b.now += kStep;
+    harness.now += kStep;
     if (i % 17 == 0) add(1, 8, 4500, 4000, true);
     if (i % 7 == 0) add(2, 10, 1000, 2200, false);
     add(0, 2, 1400, 800, false);
     std::erase_if(running, [&](const Running& r) {
-      if (r.until > b.now) return false;
-      b.End(r.start, EndKind::kDone);
+      if (r.until > harness.now) return false;
+      harness.EndRun(r.start, EndKind::kDone);
       return true;
     });
-    for (const StartOrder& start : b.Place().starts) {
-      const wire::StepSpec& step = b.s.Find(start.task.job)->step(0);
-      running.push_back({start, b.now + Millis(step.estimate_ms)});
-      if (b.s.Find(start.task.job)->queue().priority != 0) continue;
-      longest_push =
-          std::max(longest_push, std::chrono::duration_cast<Millis>(
-                                     b.now - accepted_at[start.task.job]));
+    for (const StartOrder& start : harness.Place().starts) {
+      const wire::StepSpec& step =
+          harness.scheduler.Find(start.task.job)->step(0);
+      running.push_back({start, harness.now + Millis(step.estimate_ms)});
+      if (harness.scheduler.Find(start.task.job)->queue().priority != 0) {
+        continue;
+      }
+      longest_urgent_wait = std::max(
+          longest_urgent_wait, std::chrono::duration_cast<Millis>(
+                                   harness.now - accepted_at[start.task.job]));
     }
-    for (const UpstreamIndex up : b.s.pool().all()) {
-      BOOST_REQUIRE(b.s.pool().at(up).free[Dimension::kCores] >= 0);
+    for (const UpstreamIndex up : harness.scheduler.pool().all()) {
+      BOOST_REQUIRE(harness.scheduler.pool().at(up).free[Dimension::kCores] >=
+                    0);
     }
   }
-  BOOST_TEST(longest_push.count() <= 100);
+  BOOST_TEST(longest_urgent_wait.count() <= 100);
 }
 
-/// One call must be sufficient nine times in ten: with seven of ten upstreams
-/// allowed, three tasks need seven upstreams named; if all are certain to be
-/// allowed, no more than the three needed.
+/// An advice call must allow enough upstreams nine times in ten. If seven of
+/// ten upstreams are allowed on average, a call for three tasks names seven. If
+/// all are certain to be allowed, it names no more than three.
 BOOST_AUTO_TEST_CASE(AdviceCallsSucceedNineTimesInTen) {
-  const std::vector<AskOption> likely(40, {.fit = 1, .rate = 0.7});
-  BOOST_TEST(AskCount(likely, 3, 100) == 7);
-  const std::vector<AskOption> certain(40, {.fit = 1, .rate = 1});
-  BOOST_TEST(AskCount(certain, 3, 100) == 3);
-  const std::vector<AskOption> rare(40, {.fit = 1, .rate = 0.05});
-  BOOST_TEST(AskCount(rare, 20, 100) == 40);
-  BOOST_TEST(AskCount(rare, 20, 30) == 30);
-}
-
-/// Calls for urgent work find a lane while long calls occupy all others.
+  const std::vector<AdviceCandidate> likely(
+      40, {.tasks = 1, .allow_probability = 0.7});
+  BOOST_TEST(AdviceCallSize(likely, 3, 100) == 7);
+  const std::vector<AdviceCandidate> certain(
+      40, {.tasks = 1, .allow_probability = 1});
+  BOOST_TEST(AdviceCallSize(certain, 3, 100) == 3);
+  const std::vector<AdviceCandidate> rare(
+      40, {.tasks = 1, .allow_probability = 0.05});
+  BOOST_TEST(AdviceCallSize(rare, 20, 100) == 40);
+  BOOST_TEST(AdviceCallSize(rare, 20, 30) == 30);
+}
+
+/// Calls for urgent work find a free lane while other calls occupy all lanes
+/// that are open to them.
 BOOST_AUTO_TEST_CASE(UrgentAdviceHasReservedLanes) {
   coordinator::AdviceLanes lanes;
   const TimePoint now = TimePoint() + std::chrono::hours(1);
@@ -829,9 +860,10 @@
   BOOST_TEST(!lanes.Take(0, now).empty());
 }
 
-/// Reports wait half a minute for a lane while most of the lanes reserved for
-/// urgent work are idle: a fixed share is too large with 36 lanes. The reserve
-/// must follow the recent urgent load, up to that share.
+/// With 36 lanes, a fixed share reserved for urgent work is too large: other
+/// calls wait half a minute for a lane while most reserved lanes are idle. The
+/// number of reserved lanes must follow the recent urgent load, up to that
+/// share.
 BOOST_AUTO_TEST_CASE(ReservedLanesFollowUrgentLoad) {
   coordinator::AdviceLanes lanes;
   TimePoint now = TimePoint() + std::chrono::hours(1);
@@ -852,11 +884,12 @@
   BOOST_TEST(lanes.Budget(now).urgent_only == 0);
 }
 
-/// Failures must not make the record of a job larger than the store accepts.
+/// Failures of long-running tasks must not make the progress record of a job
+/// larger than the store accepts.
 BOOST_AUTO_TEST_CASE(FailuresOfLongRunningTasksLeaveAJobStorable) {
   constexpr int32_t kTasks = 100;
-  constexpr int64_t kFailures =
-      1000;  // of each task: one a minute for 17 hours
+  // Failures of each task: one a minute for 17 hours.
+  constexpr int64_t kFailures = 1000;
   wire::JobSpec spec = Spec(1, kTasks, 100);
   spec.steps[0].long_running = true;
   Job job(spec);
@@ -869,7 +902,8 @@
              coordinator::kMaxRecordBytes);
 }
 
-/// Checkpoints must not make the record of a job larger than the store accepts.
+/// Checkpoints must not make the progress record of a job larger than the store
+/// accepts.
 BOOST_AUTO_TEST_CASE(CheckpointsOfManyTasksLeaveAJobStorable) {
   Job job(Spec(1, kMaxStepTasks, 100));
   for (int32_t i = 0; i < kMaxStepTasks; ++i) {
@@ -879,7 +913,7 @@
              coordinator::kMaxRecordBytes);
 }
 
-/// An entry whose call failed is not used for a while, then used again.
+/// A lane whose call failed is not used for kFailureBackoff, then used again.
 BOOST_AUTO_TEST_CASE(FailedAdviceLaneIsBackedOff) {
   coordinator::AdviceLanes lanes;
   TimePoint now = TimePoint() + std::chrono::hours(1);
