--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -1,6 +1,6 @@
-// Tests that the remaining runs of a job that was cancelled or ended otherwise
-// are found on their upstreams and stopped, regardless of which entry started
-// them and when the start took effect.
+// Tests that the remaining runs of a final job are found on their upstreams and
+// stopped, regardless of which entry started them and when the start took
+// effect.
 
 #define BOOST_TEST_MODULE cancel
 #include <boost/test/data/monomorphic.hpp>
@@ -16,19 +16,20 @@
 namespace {
 
 /// Seeds that have failed before, kept as regression cases.
-/// All but 374: a run was adopted, or started late, after its job had been
-/// cancelled, and the leader waited for the end of a stop that had never been
-/// ordered; or a stop was lost, and the leader waited for its end without
-/// repeating it.
-/// 374: a cancel was answered "no such job". The job had been submitted a
-/// moment after the cancel and accepted before that answer.
+/// All but 374: the leader waited for the end of a run without a stop on its
+/// way. Either the run was adopted, or started late, after its job had been
+/// cancelled, so that no stop had been ordered; or the stop was lost and not
+/// repeated. 374: a cancel was answered "no such job". The job had been
+/// submitted just after the cancel and was accepted before that answer.
 const std::vector<uint64_t> kRegressionSeeds{181, 277, 352, 374, 425, 444, 490,
                                              521, 608, 624, 653, 738, 752, 887};
 constexpr uint64_t kDefaultSeedCount = 60;
-/// Long-poll wait of renewals and stop time of the slowest upstreams.
+/// How long the slowest upstreams wait before they answer a renewal without
+/// news.
 constexpr Millis kLongPollWait{1000};
+/// How long the slowest upstreams take to stop a run.
 constexpr Millis kStopTime{900};
-/// Time until the lease of a run expires without a renewal.
+/// Time until the lease of a run expires if it is not renewed.
 constexpr Millis kLease{4000};
 
 uint64_t SeedCount() {
@@ -59,16 +60,16 @@
   std::string Follower() {
     return Leader() == "entry-0" ? "entry-1" : "entry-0";
   }
-  /// Submits a job of one long task and returns the upstream that runs it.
+  /// Submits a job of one long task and returns the upstream that runs it;
+  /// empty if none does.
   std::string StartLongJob(JobId id) {
     upstreams().behavior({id, 0, 0, 0}).run_time = Millis(20000);
     Submit(Leader(), OneStepJob(id, 1, 1000));
     RunFor(Millis(100));
     return upstreams().UpstreamRunning({id, 0, 0, 0});
   }
-  /// Submits such a job, whose start is executed only after its sender has
-  /// stopped waiting for the reply. Returns the upstream that received the
-  /// start.
+  /// Submits such a job, but its upstream executes the start only after
+  /// `execution_delay`. Returns the upstream that received the start.
   std::string StartLongJobLate(JobId id, Millis execution_delay) {
     for (const auto& up : upstreams().ids()) {
       faults(up).delayed_starts = 1;
@@ -91,13 +92,14 @@
   }
 };
 
-/// Plays one random schedule of cancels: entries are restarted, paused or
-/// removed permanently, starts are executed 2 to 12 s late, stops are lost, and
-/// upstreams become unreachable or leave the upstream list and return. The
-/// fakes check throughout that cancelled jobs stop.
-class CancelSchedule {
+/// Plays one random scenario of submits and cancels. Meanwhile entries are
+/// restarted, paused or removed permanently, starts are executed 2 to 12 s
+/// late, stops and replies are lost, and upstreams become unreachable or leave
+/// the upstream list and return. The fakes check throughout that cancelled jobs
+/// stop.
+class CancelScenario {
  public:
-  explicit CancelSchedule(uint64_t seed) : random_(seed) {}
+  explicit CancelScenario(uint64_t seed) : random_(seed) {}
 
   void Play() {
     for (const auto& id : cell_.upstreams().ids()) {
@@ -116,7 +118,7 @@
       cell_.RunFor(Chance(8) ? StartPeriodWithoutFaults()
                              : Millis(50 + Pick(400)));
     }
-    Heal();
+    EndFaults();
     cell_.RunFor(Millis(6000));
     for (const JobId id : jobs_) cell_.Cancel(RandomEntry(), id);
     cell_.RunFor(Millis(9000));
@@ -126,8 +128,9 @@
  private:
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
+  /// Ends all faults; returns how long to go on without new ones.
   Millis StartPeriodWithoutFaults() {
-    Heal();
+    EndFaults();
     return Millis(4500);
   }
 
@@ -198,7 +201,7 @@
                       listed ? list_records_.at(upstream) : "");
   }
 
-  void Heal() {
+  void EndFaults() {
     for (const auto& name : cell_.names()) cell_.Resume(name);
     cell_.store().faults() = {};
     for (const auto& id : cell_.upstreams().ids()) {
@@ -238,16 +241,17 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
+/// Random scenarios of cancels under faults.
 BOOST_DATA_TEST_CASE(CancelledJobsStopUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
-  BOOST_TEST_CONTEXT("seed " << seed) { CancelSchedule(seed).Play(); }
+  BOOST_TEST_CONTEXT("seed " << seed) { CancelScenario(seed).Play(); }
 }
 
-/// Guards against a cancelled job that occupies its machine for another 4 s.
-/// The leader is lost, and the next leader receives the cancel before it can
+/// Guards against a cancelled job that occupies its upstream for another 4 s.
+/// The leader fails, and the next leader receives the cancel before it can
 /// reach the upstream. When it reaches the upstream, it must order the run to
-/// stop. If it adopted the run as already ordered to stop, it would wait for
-/// the end of a stop that was never ordered.
+/// stop. If it treated the run as already being stopped, it would wait for its
+/// end in vain.
 BOOST_AUTO_TEST_CASE(RunFoundAfterItsCancelIsStoppedAtOnce) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(1);
@@ -266,9 +270,9 @@
 }
 
 /// Guards against a cancelled task that runs for another 4 s because the stop
-/// of its run was lost. The leader must repeat the stop after the next report
-/// that lists the run. If it only recorded the stop upon that report, it would
-/// wait from then on.
+/// of its run was lost. The leader must repeat the stop upon the next report
+/// that lists the run. If it started to wait for the end only upon that report,
+/// the stop would be repeated too late.
 BOOST_AUTO_TEST_CASE(LostStopIsRepeatedAfterNextReport) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(2);
@@ -280,10 +284,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A job is cancelled while the reply to its start is pending. The upstream is
-/// unreachable meanwhile, so that neither the stop nor the higher fence
-/// arrives, and executes the start 2 s late. The run is stopped upon the first
-/// report that lists it.
+/// A job is cancelled while the reply to its start is pending. Its upstream is
+/// unreachable, so that neither the stop nor the higher fence arrives, and it
+/// executes the start 2 s late. The run must be stopped upon the first report
+/// that lists it.
 BOOST_AUTO_TEST_CASE(DelayedStartOfCancelledJobIsStopped) {
   SlowCell cell;
   const std::string at = cell.StartLongJobLate(3, Millis(2000));
@@ -298,11 +302,11 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An entry sends a start and is removed permanently. The start is executed 2 s
-/// later, after the job was cancelled at the next leader, which never ordered
-/// the start and cannot reach the upstream until then. When the upstream's
-/// inventory lists the run, the leader stops it, logs one line and counts it
-/// once.
+/// The leader sends a start and is removed permanently. The next leader can't
+/// reach the upstream, and the job is cancelled at that leader. Only then is
+/// the start executed, 2 s late. When the upstream is reachable and its
+/// inventory lists the run, the next leader stops it and counts it once as
+/// orphaned.
 BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsStopped) {
   SlowCell cell;
   const std::string first = cell.Leader();
@@ -323,9 +327,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An entry sends a start and is removed permanently. The start is executed 2 s
-/// later, but the next leader can reach the upstream: its first renewal raises
-/// the upstream's fence before, so that the start is refused.
+/// The leader sends a start and is removed permanently. The start is due for
+/// execution 3.5 s later, but the next leader can reach the upstream and raises
+/// its fence with its first renewal. The start must be refused.
 BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsFenced) {
   SlowCell cell;
   const std::string first = cell.Leader();
@@ -342,8 +346,8 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// A cancel is acknowledged, and the leader is lost before its stop arrives.
-/// The next leader loads the cancel from the store and stops the run.
+/// A cancel is acknowledged, and the leader fails before its stop arrives. The
+/// next leader must load the cancel from the store and stop the run.
 BOOST_AUTO_TEST_CASE(CancelSurvivesLeaderFailure) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(6);
@@ -360,8 +364,8 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The record of a cancelled job is removed after a while. If an upstream then
-/// reports a run of that job, the run is stopped like any orphaned run.
+/// The specification of a cancelled job is no longer stored after a while. If
+/// an upstream then reports a run of that job, the run must still be stopped.
 BOOST_AUTO_TEST_CASE(RunOfRemovedJobIsStopped) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(7);
@@ -383,8 +387,8 @@
              std::string::npos);
 }
 
-/// A job is cancelled while there is no free capacity for it. No task of it
-/// starts when capacity becomes free, nor under the next leader.
+/// A job is cancelled while it waits for free capacity. No task of it may start
+/// when capacity becomes free, nor under the next leader.
 BOOST_AUTO_TEST_CASE(JobCancelledBeforeItsStartNeverRuns) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
@@ -404,9 +408,9 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// An upstream leaves the upstream list while it runs a task, and the leader is
-/// lost. The next leader knows the upstream from the registry of upstreams and
-/// stops the task.
+/// An upstream leaves the upstream list while it runs a task, and the leader
+/// fails. The next leader must know the upstream from the stored upstream
+/// records and stop the run.
 BOOST_AUTO_TEST_CASE(RunOnUnlistedUpstreamIsStopped) {
   SlowCell cell;
   const std::string at = cell.StartLongJob(10);
@@ -421,8 +425,8 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// One task of a job fails permanently, and the stop of the other task is lost.
-/// The job is reported as failed, and its remaining run is stopped
+/// One task of a job fails too often, and the stop of the other task is lost.
+/// The job is reported as failed, and its remaining run must be stopped
 /// nevertheless.
 BOOST_AUTO_TEST_CASE(RemainingTasksOfFailedJobAreStopped) {
   SlowCell cell;
@@ -440,10 +444,10 @@
 }
 
 /// Guards against a leader that steps down when the list entry of an upstream
-/// expires and returns; each time, callers are refused for a second. This
-/// happens if, after the upstream's fence has been raised for a start in doubt,
-/// the leader reconnects with its first fencing token: it attributes the
-/// refusal to another leader.
+/// expires and returns; each time, callers would be refused for a second. The
+/// fence of the upstream was raised for a start in doubt. If the leader
+/// reconnected with its first fencing token, it would be refused and conclude
+/// that another entry leads.
 BOOST_AUTO_TEST_CASE(ReturningUpstreamDoesNotDeposeLeader) {
   SlowCell cell;
   for (const auto& id : cell.upstreams().ids()) {
@@ -472,9 +476,9 @@
 }
 
 /// Guards against a cancel that is answered "no such job" while the job runs
-/// for another 20 s: the entry that receives the cancel was the leader and was
-/// paused, and it resumes with outdated state after another entry has become
-/// the leader and accepted the job.
+/// for another 20 s. The entry that receives the cancel was the leader and was
+/// paused. It resumes with outdated state after another entry has become the
+/// leader and accepted the job.
 BOOST_AUTO_TEST_CASE(FormerLeaderDoesNotReportJobAsUnknown) {
   SlowCell cell;
   const std::string paused = cell.Leader();
@@ -496,9 +500,9 @@
 }
 
 /// Guards against a cancel that is answered "no such job" although the job has
-/// been accepted by the time the caller gets that answer, and runs for 20 s.
-/// The caller submits the job at one entry and cancels it at another at the
-/// same time, and the cancel arrives first.
+/// been accepted before that answer, and runs for 20 s. The caller submits the
+/// job at one entry and cancels it at another at the same time, and the cancel
+/// arrives first.
 BOOST_AUTO_TEST_CASE(CancelConcurrentWithSubmitIsNotReportedAsUnknown) {
   SlowCell cell;
   cell.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
@@ -512,10 +516,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Guards against a job that waits forever although an upstream is idle: if a
-/// later reply to a renewal overtakes an earlier one, the earlier one still
-/// lists a task whose end has been reported meanwhile, and the leader must not
-/// keep the resources of that task reserved.
+/// Guards against a job that waits forever although an upstream is idle. A
+/// later reply to a renewal overtakes an earlier one, which still lists a task
+/// whose end has been reported meanwhile. The leader must not reserve the
+/// resources of that task again.
 BOOST_AUTO_TEST_CASE(OutdatedRenewReplyHoldsNoCapacity) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
@@ -525,7 +529,8 @@
   cell.Submit("entry-0", OneStepJob(15, 1, 4000));
   cell.RunFor(Millis(1400));
   faults.delayed_renew_replies = 1;
-  // Its start is in doubt after 0.7 s, and a second renewal is sent.
+  // The start of the second job is in doubt after 0.7 s, and a second renewal
+  // is sent.
   faults.drop_start_replies = 1;
   cell.Submit("entry-0", OneStepJob(16, 1, 1000));
   cell.RunFor(Millis(3000));
--- a/tests/crashing_tasks_test.cc
+++ b/tests/crashing_tasks_test.cc
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr Millis kStartupTime{2000};
-/// A crashing task takes its upstream down this long after its start.
+/// A task crashes its upstream this long after its start.
 constexpr Millis kCrashDelay{10};
-/// Leaves time for six starts in a row, which take 20 s: each one waits until
+/// Sufficient for six consecutive starts, which take 20 s: each one waits until
 /// the replacement of the crashed upstream has answered.
 constexpr Millis kObservationTime{40000};
-/// Number of crashes under a task from which the task may fail permanently.
+/// A task may fail permanently only after it has crashed this many upstreams.
 constexpr int kMinCrashesToFail = 2;
 constexpr uint64_t kDefaultSeedCount = 20;
 
@@ -32,8 +32,9 @@
   return out;
 }
 
-void MakeCrash(JobCell& cell, const TaskId& task, Millis after = kCrashDelay) {
-  cell.upstreams().behavior(task).crash_delay = after;
+/// Makes each run of the task crash its upstream.
+void MakeCrash(JobCell& cell, const TaskId& task, Millis delay = kCrashDelay) {
+  cell.upstreams().behavior(task).crash_delay = delay;
 }
 
 void CheckFailedPermanently(JobCell& cell, JobId id) {
@@ -42,8 +43,8 @@
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
 
-/// Waits until an upstream runs the task and returns it; empty if none does
-/// within 10 s.
+/// Waits until an upstream runs the task, and returns its id; empty if none
+/// does within 10 s.
 std::string AwaitRun(JobCell& cell, const TaskId& task) {
   constexpr int kMaxPolls = 200;
   std::string at;
@@ -54,15 +55,15 @@
   return at;
 }
 
-/// Submits harmless jobs one after another beside the job under test.
-class Callers {
+/// Submits harmless jobs every 100 ms beside the job under test.
+class HarmlessJobs {
  public:
-  explicit Callers(JobCell& cell) : cell_(cell) {}
+  explicit HarmlessJobs(JobCell& cell) : cell_(cell) {}
 
-  void RunFor(Millis span) {
+  void SubmitFor(Millis span) {
     const TimePoint until = cell_.clock().now() + span;
     while (cell_.clock().now() < until) {
-      const JobId id = kFirst + jobs_.size();
+      const JobId id = kFirstId + jobs_.size();
       cell_.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(800);
       cell_.upstreams().behavior({id, 0, 0, 1}).run_time = Millis(800);
       jobs_.push_back(id);
@@ -80,13 +81,13 @@
   }
 
  private:
-  static constexpr JobId kFirst = 0x1000;
+  static constexpr JobId kFirstId = 0x1000;
   JobCell& cell_;
   std::vector<JobId> jobs_;
 };
 
-/// Plays one random scenario: jobs of all kinds are submitted, some of which
-/// crash their upstreams, while upstreams crash for other reasons or become
+/// Plays one random scenario: jobs of one step are submitted, some of which
+/// crash their upstreams. Meanwhile upstreams crash for other reasons or become
 /// unreachable, and leaders are restarted.
 class FaultScenario {
  public:
@@ -177,29 +178,29 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// A job never ends, and callers of other jobs lose their work repeatedly: both
-/// tasks of the job crash the upstream that starts them, 10 ms after the start.
-/// The leader learns of the crash when the replacement answers at the address 3
-/// s later, and starts the tasks on another upstream, without end. Cause: a run
-/// that is lost with its upstream returns to waiting as if it had never
-/// started. The fault shows as six starts 3.2 to 3.6 s apart under one leader,
-/// with consecutive attempt numbers and no failure counted.
+/// Guards against a job that never ends and repeatedly destroys the work of
+/// other jobs. Both tasks of the job crash their upstream 10 ms after the
+/// start. The leader detects the crash when the replacement answers at the
+/// address 3 s later. If the lost run returned to waiting as if it had never
+/// started, the leader would start the tasks on one upstream after another. The
+/// fault showed as six starts 3.2 to 3.6 s apart under one leader, with
+/// consecutive attempt numbers and no failure counted.
 BOOST_AUTO_TEST_CASE(TaskThatCrashesItsUpstreamsFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
   MakeCrash(cell, {1, 0, 0, 0});
   MakeCrash(cell, {1, 0, 0, 1});
-  Callers callers(cell);
+  HarmlessJobs harmless_jobs(cell);
   cell.Submit("entry-0", OneStepJob(1, 2, 1000));
-  callers.RunFor(kObservationTime);
+  harmless_jobs.SubmitFor(kObservationTime);
   cell.RunFor(Millis(10000));
   CheckFailedPermanently(cell, 1);
-  callers.CheckAllComplete();
+  harmless_jobs.CheckAllComplete();
 }
 
-/// The replacement of the upstream appears only after its list entry has been
-/// removed and its leases have expired. Until then, the only sign of the crash
-/// is that the upstream does not respond.
+/// The replacement of the crashed upstream appears only after the list entry
+/// has been removed and the leases have expired. Until then, the only sign of
+/// the crash is that the upstream does not respond.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsReplacedLateAreCounted) {
   JobCell cell({.upstreams = 16, .replacement_delay = Millis(7000)});
   cell.RunFor(kStartupTime);
@@ -209,8 +210,8 @@
   CheckFailedPermanently(cell, 1);
 }
 
-/// The replacement appears at another address: nothing ever answers at the old
-/// one.
+/// The replacement of the crashed upstream appears at another address, and
+/// nothing ever answers at the old one.
 BOOST_AUTO_TEST_CASE(CrashesOfUpstreamsThatNeverAnswerAgainAreCounted) {
   JobCell cell({.upstreams = 16, .replacement_at_new_address = true});
   cell.RunFor(kStartupTime);
@@ -230,8 +231,8 @@
   CheckFailedPermanently(cell, 1);
 }
 
-/// A long-running task has no limit of failures, but fails permanently
-/// nevertheless.
+/// A long-running task that crashes its upstreams fails permanently, although
+/// no limit of failures applies to it.
 BOOST_AUTO_TEST_CASE(LongRunningTaskThatCrashesItsUpstreamsFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
@@ -243,7 +244,8 @@
   CheckFailedPermanently(cell, 1);
 }
 
-/// An occurrence of a timed job crashes its upstreams.
+/// A task of one occurrence of a job with scheduled times crashes its
+/// upstreams.
 BOOST_AUTO_TEST_CASE(TimedTaskThatCrashesItsUpstreamsFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
@@ -257,8 +259,8 @@
   CheckFailedPermanently(cell, 1);
 }
 
-/// The upstreams crash after the task has run for a while, so that each lost
-/// run was reported before the crash.
+/// The task crashes its upstreams only after it has run for a while, so that
+/// each lost run was reported before the crash.
 BOOST_AUTO_TEST_CASE(TaskThatCrashesItsUpstreamsLateFailsPermanently) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
@@ -269,8 +271,8 @@
   CheckFailedPermanently(cell, 1);
 }
 
-/// The leader dies after each crash, before the replacement of the upstream
-/// answers: the crashes that a leader has counted must survive it.
+/// The leader is restarted after each crash, before the replacement of the
+/// upstream answers. Crashes must be counted across leaders.
 BOOST_AUTO_TEST_CASE(CrashesAreCountedAcrossTakeovers) {
   JobCell cell({.upstreams = 12});
   cell.RunFor(kStartupTime);
@@ -282,7 +284,8 @@
     cell.RunFor(Millis(100));
     if (cell.upstreams().Crashes(task) == crashes) continue;
     crashes = cell.upstreams().Crashes(task);
-    // The first crash is observed by the leader under which it happened.
+    // The leader under which the first crash happened keeps running and
+    // observes it.
     if (crashes == 1) continue;
     const std::string leader = cell.Leader();
     if (leader.empty()) continue;
@@ -313,8 +316,8 @@
   }
 }
 
-/// An unreachable upstream keeps running and has not crashed: a task that ran
-/// on several of them must not fail permanently.
+/// An unreachable upstream has not crashed. A task whose upstreams become
+/// unreachable one after another must not fail permanently.
 BOOST_AUTO_TEST_CASE(UnreachableUpstreamsAreNotCountedAsCrashed) {
   JobCell cell({.upstreams = 8});
   cell.RunFor(kStartupTime);
@@ -334,7 +337,7 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Draining upstreams end together with their runs. This is not a crash,
+/// Upstreams that drain end while a task still runs there. That is not a crash,
 /// however often it happens to one task.
 BOOST_AUTO_TEST_CASE(DrainingUpstreamsAreNotCountedAsCrashed) {
   JobCell cell({.upstreams = 8});
@@ -357,22 +360,22 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Scenarios with crashes of all causes: no crashing task starts too often, and
-/// no job fails without a cause.
+/// Scenarios with crashes of all causes: no task that crashes its upstreams
+/// starts too often, and no job fails without a cause.
 BOOST_DATA_TEST_CASE(CrashingTasksFailPermanentlyUnderMixedFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario(seed).Play();
 }
 
-/// The same, with upstreams that are replaced only after their leases and list
-/// entries have expired.
+/// The same scenarios, with upstreams that are replaced only after their leases
+/// and list entries have expired.
 BOOST_DATA_TEST_CASE(CrashesAreCountedWhenReplacementIsLate,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario(seed, {.upstreams = 16, .replacement_delay = Millis(6000)})
       .Play();
 }
 
-/// The same, with replacements that never answer at the old address.
+/// The same scenarios, with replacements that never answer at the old address.
 BOOST_DATA_TEST_CASE(CrashesAreCountedWhenReplacementHasNewAddress,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario(seed, {.upstreams = 16, .replacement_at_new_address = true})
