--- a/src/control/upstream_session.cc
+++ b/src/control/upstream_session.cc
@@ -162,7 +162,8 @@
 /// older term is fenced from now on, so a start in doubt whose task is absent
 /// from the inventory can no longer take effect.
 void UpstreamSession::AdoptInventory(const wire::AttachReply& reply) {
-  capacity_.SetCapacity(capacity_index_, placement::ToAmount(reply.capacity, reply.slots));
+  capacity_.SetCapacity(capacity_index_,
+                        placement::ToAmount(reply.capacity, reply.slots));
   std::map<std::string, Task> before = RemoveAllTasks();
   last_result_sequence_ = 0;
   const uint64_t generation = generation_;
--- a/src/scheduling/advice_requests.cc
+++ b/src/scheduling/advice_requests.cc
@@ -250,9 +250,9 @@
       record.job.step_counts(id.occurrence, id.step).waiting;
   const Amount size = TaskResources(step);
   for (size_t d = 0; d < placement::kDimensions; ++d) {
-    order.claim.values[d] = static_cast<int32_t>(static_cast<int64_t>(size.values[d]) *
-                                             std::min(waiting, upstream_count) /
-                                             upstream_count);
+    order.claim.values[d] = static_cast<int32_t>(
+        static_cast<int64_t>(size.values[d]) *
+        std::min(waiting, upstream_count) / upstream_count);
   }
   for (const UpstreamIndex upstream : asked) {
     order.upstreams.push_back(pool_.at(upstream).entry.id);
