--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -221,13 +221,13 @@
 
  private:
   void Advance() {
-    const shutdown::ShutdownView view{
+    const shutdown::ShutdownProgress progress{
         .elapsed = Elapsed(),
         .open_requests = daemon_.job_server.open_requests() +
                          daemon_.entry.advice_in_flight(),
         .connections = daemon_.job_server.connections(),
         .accepting_stopped = accepting_stopped_};
-    switch (shutdown::NextAction(options_, view)) {
+    switch (shutdown::NextAction(options_, progress)) {
       case shutdown::ShutdownAction::kContinue:
         break;
       case shutdown::ShutdownAction::kStopAccepting:
@@ -331,7 +331,7 @@
   asio::signal_set signals(daemon.control, SIGTERM, SIGINT);
   ShutdownSequence sequence(
       daemon, {.unready_period = Millis(settings.unready_period_ms),
-               .limit = Millis(settings.shutdown_ms)});
+               .max_duration = Millis(settings.shutdown_ms)});
   signals.async_wait([&](std::error_code error, int) {
     if (!error) sequence.Begin();
   });
--- a/src/shutdown/shutdown_plan.cc
+++ b/src/shutdown/shutdown_plan.cc
@@ -3,18 +3,19 @@
 namespace mimosarail::shutdown {
 
 ShutdownAction NextAction(const ShutdownOptions& options,
-                          const ShutdownView& view) {
-  if (view.elapsed >= options.limit) return ShutdownAction::kEnd;
-  if (!view.accepting_stopped) {
-    return view.elapsed >= options.unready_period
+                          const ShutdownProgress& progress) {
+  if (progress.elapsed >= options.max_duration) return ShutdownAction::kEnd;
+  if (!progress.accepting_stopped) {
+    return progress.elapsed >= options.unready_period
                ? ShutdownAction::kStopAccepting
                : ShutdownAction::kContinue;
   }
-  // While requests are accepted, a moment without open requests proves nothing:
-  // the next one may arrive before the process has exited, and its caller would
-  // see the connection close. Once accepting has stopped, these counts only
-  // fall.
-  const bool all_answered = view.open_requests == 0 && view.connections == 0;
+  // While requests are accepted, an absence of open requests does not allow the
+  // process to exit: the next request may arrive before the exit, and its
+  // caller would see the connection close. Once accepting has stopped, these
+  // counts can only fall.
+  const bool all_answered =
+      progress.open_requests == 0 && progress.connections == 0;
   return all_answered ? ShutdownAction::kEnd : ShutdownAction::kContinue;
 }
 
--- a/tests/shutdown_test.cc
+++ b/tests/shutdown_test.cc
@@ -14,11 +14,13 @@
 
 using asio::ip::tcp;
 
+/// Interval at which the process asks for its next action.
 constexpr Millis kPollInterval{50};
-constexpr Millis kArrivalGap{20};
+constexpr Millis kArrivalInterval{20};
 
-struct Outcome {
-  Millis ended{0};
+struct ShutdownOutcome {
+  /// Time from the request of the shutdown to the exit of the process.
+  Millis duration{0};
   /// Requests that were accepted and not answered when the process exited.
   size_t unanswered = 0;
 };
@@ -26,30 +28,34 @@
 /// Simulates a process that shuts down while callers arrive at a steady rate,
 /// as when most entries of a failure domain are stopped together and the load
 /// balancer still sends requests to all of them.
-Outcome Stop(const ShutdownOptions& options, Millis answer_takes) {
+ShutdownOutcome SimulateShutdown(const ShutdownOptions& options,
+                                 Millis answer_time) {
   std::vector<Millis> answered_at;
-  ShutdownView view;
-  for (;; view.elapsed += Millis(1)) {
-    const auto now = view.elapsed;
+  ShutdownProgress progress;
+  for (;; progress.elapsed += Millis(1)) {
+    const auto now = progress.elapsed;
     answered_at.erase(std::remove_if(answered_at.begin(), answered_at.end(),
                                      [now](Millis at) { return at <= now; }),
                       answered_at.end());
-    if (!view.accepting_stopped && now.count() % kArrivalGap.count() == 0) {
-      answered_at.push_back(now + answer_takes);
+    if (!progress.accepting_stopped &&
+        now.count() % kArrivalInterval.count() == 0) {
+      answered_at.push_back(now + answer_time);
     }
-    view.open_requests = static_cast<int64_t>(answered_at.size());
-    view.connections = answered_at.size();
+    progress.open_requests = static_cast<int64_t>(answered_at.size());
+    progress.connections = answered_at.size();
     if (now.count() % kPollInterval.count() != 0) continue;
-    const ShutdownAction step = NextAction(options, view);
-    if (step == ShutdownAction::kStopAccepting) view.accepting_stopped = true;
-    if (step == ShutdownAction::kEnd) {
-      return {.ended = now, .unanswered = answered_at.size()};
+    const ShutdownAction action = NextAction(options, progress);
+    if (action == ShutdownAction::kStopAccepting) {
+      progress.accepting_stopped = true;
+    }
+    if (action == ShutdownAction::kEnd) {
+      return {.duration = now, .unanswered = answered_at.size()};
     }
   }
 }
 
-/// A server with a thread of its own, whose handler keeps the requests until
-/// the test answers them.
+/// Server with a thread of its own. Its handler keeps the requests until the
+/// test answers them.
 class DeferredServer {
  public:
   DeferredServer()
@@ -156,35 +162,36 @@
 }  // namespace
 
 /// Guards against connections that close without an answer at the end of a
-/// shutdown. While a failure domain is stopped machine by machine, the load
-/// balancer keeps sending requests to all of it. A process that accepts
-/// requests until its time limit never has a moment without an open one, and
-/// exits with the last requests unanswered.
+/// shutdown. While the entries of a failure domain are stopped one by one, the
+/// load balancer still sends requests to all of them. A process that accepts
+/// requests until its time limit always has open ones, and exits with the last
+/// requests unanswered.
 BOOST_AUTO_TEST_CASE(StoppingServerAnswersAllAcceptedRequests) {
-  for (const Millis answer : {Millis(5), Millis(60), Millis(550)}) {
-    BOOST_TEST_CONTEXT("answers take " << answer.count() << " ms") {
-      const Outcome outcome = Stop({}, answer);
+  for (const Millis answer_time : {Millis(5), Millis(60), Millis(550)}) {
+    BOOST_TEST_CONTEXT("answers take " << answer_time.count() << " ms") {
+      const ShutdownOutcome outcome = SimulateShutdown({}, answer_time);
       BOOST_TEST(outcome.unanswered == 0U);
-      // The process must not exit much later than its last answer: callers
-      // refused meanwhile go to other entries, and it is back sooner.
-      BOOST_TEST(outcome.ended.count() <=
-                 (ShutdownOptions().unready_period + answer + 3 * kPollInterval)
-                     .count());
+      // The process must exit soon after its last answer, so that it is
+      // restarted sooner. Until then, refused callers go to other entries.
+      BOOST_TEST(outcome.duration.count() <= (ShutdownOptions().unready_period +
+                                              answer_time + 3 * kPollInterval)
+                                                 .count());
     }
   }
 }
 
-/// Guards against a shutdown that waits for calls that never return: the
-/// process must exit by itself before it is killed.
+/// Guards against a shutdown that waits for requests which are never answered:
+/// the process must exit by itself before it is killed.
 BOOST_AUTO_TEST_CASE(ShutdownIsBoundedInTime) {
-  const Outcome outcome = Stop({}, Millis(60000));
-  BOOST_TEST(outcome.ended.count() == ShutdownOptions().limit.count());
+  const ShutdownOutcome outcome = SimulateShutdown({}, Millis(60000));
+  BOOST_TEST(outcome.duration.count() ==
+             ShutdownOptions().max_duration.count());
 }
 
 /// Guards against a listener that accepts connections until the process exits.
 /// A caller that connects after the server has stopped accepting requests would
 /// send a complete request and see the connection close without an answer.
-BOOST_AUTO_TEST_CASE(ServerRefusesConnectionsAfterIntakeEnds) {
+BOOST_AUTO_TEST_CASE(ServerRefusesConnectionsAfterStopAccepting) {
   DeferredServer deferred;
   deferred.server().BeginShutdown();
   deferred.server().StopAccepting();
@@ -238,8 +245,8 @@
   Send(caller, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
   deferred.WaitForPending(1);
   Send(caller, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-  // Time for the request to reach the buffer; a caller cannot observe when it
-  // does.
+  // Leaves time for the request to reach the buffer. A caller cannot observe
+  // when it does.
   std::this_thread::sleep_for(Millis(50));
   deferred.server().BeginShutdown();
   deferred.AnswerAll();
@@ -251,9 +258,9 @@
 
 /// Guards against a request that is lost when it arrives together with the
 /// timeout of its connection. The entry is shutting down and its thread is
-/// paused for a moment. When it resumes, the request has arrived and the
-/// timeout is due: the entry reads the request and passes it to the handler,
-/// and must not close the connection afterwards.
+/// paused briefly. When the thread resumes, the request has arrived and the
+/// timeout is due. The entry reads the request and passes it to the handler. It
+/// must not close the connection after that.
 BOOST_AUTO_TEST_CASE(RequestArrivingAtTimeoutIsAnswered) {
   DeferredServer deferred;
   std::error_code error;
@@ -278,7 +285,7 @@
 /// Guards against a connection that closes without an answer when its responder
 /// is destroyed, as happens to the callbacks of pending calls when leadership
 /// is lost. The caller must get an answer, since it cannot know whether its
-/// request has run.
+/// request took effect.
 BOOST_AUTO_TEST_CASE(DroppedRequestIsAnswered) {
   DeferredServer deferred;
   std::error_code error;
