--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -70,9 +70,9 @@
   out.leadership.store_unreachable_after = Millis(s.store_unreachable_after_ms);
   out.leadership.leader_lease = Millis(s.leader_lease_ms);
   out.leadership.member.fitness = static_cast<int32_t>(s.cpu_percent);
-  out.coordinator.lease = Millis(s.lease_ms);
+  out.coordinator.task_lease = Millis(s.lease_ms);
   out.coordinator.previous_leader_timeout = Millis(s.leader_lease_ms);
-  out.coordinator.list_period = Millis(s.upstream_list_period_ms);
+  out.coordinator.upstream_list_period = Millis(s.upstream_list_period_ms);
   out.coordinator.maintenance_duration =
       Millis(s.maintenance_duration_centis * kMsPerCenti);
   out.coordinator.host_lists_per_s =
@@ -109,8 +109,8 @@
         entry({.executor = executor,
                .store = store,
                .config = store,
-               .list = store,
-               .tasks = upstreams,
+               .upstream_list = store,
+               .task_port = upstreams,
                .adviser = adviser,
                .peers = peers,
                .metrics = metrics,
--- a/src/coordinator/callers.cc
+++ b/src/coordinator/callers.cc
@@ -1,5 +1,5 @@
-// The part of Coordinator that answers callers: submits, queries and cancels
-// jobs.
+// The part of Coordinator that serves callers: it accepts and cancels jobs and
+// answers queries about them.
 
 #include <algorithm>
 
@@ -15,18 +15,19 @@
 using logging::Text;
 using scheduling::Orders;
 
-/// Time after which a caller retries a refused job: the store is unavailable,
-/// there are too many jobs, or the job's record is too large.
+/// Time after which a caller retries a job that was refused because the store
+/// is unavailable, there are too many jobs, or the job's record is too large.
 constexpr int64_t kRetryAfterMs = 1000;
 
-wire::SubmitJobReply SubmitReply(JobVerdict verdict, int64_t retry_after = 0) {
+wire::SubmitJobReply SubmitReply(JobVerdict verdict,
+                                 int64_t retry_after_ms = 0) {
   wire::SubmitJobReply reply;
   reply.verdict = static_cast<int32_t>(verdict);
-  reply.retry_after_ms = retry_after;
+  reply.retry_after_ms = retry_after_ms;
   return reply;
 }
 
-bool Storable(const std::string& key, const std::string& value) {
+bool IsStorable(const std::string& key, const std::string& value) {
   return 1 + key.size() + value.size() <= kMaxRecordBytes;
 }
 
@@ -38,10 +39,10 @@
 
 }  // namespace
 
-void Coordinator::FailPendingCallers() {
-  for (auto& [id, job] : pending_submissions_) {
-    for (auto& waiter : job.waiters) {
-      waiter(SubmitReply(JobVerdict::kOutcomeUnknown));
+void Coordinator::FailPendingSubmissions() {
+  for (auto& [id, submission] : pending_submissions_) {
+    for (auto& reply : submission.replies) {
+      reply(SubmitReply(JobVerdict::kOutcomeUnknown));
     }
   }
   pending_submissions_.clear();
@@ -51,14 +52,13 @@
                          std::function<void(wire::SubmitJobReply)> done) {
   const auto id = static_cast<JobId>(spec.id);
   if (!loaded_) return done(SubmitReply(JobVerdict::kNotLeading));
-  if (scheduler_.Find(id) != nullptr || final_records_.count(id) > 0) {
+  if (scheduler_.Find(id) != nullptr || final_jobs_.count(id) > 0) {
     return done(SubmitReply(JobVerdict::kConfirmed));
   }
   if (unreadable_jobs_.count(id) > 0) {
     return done(SubmitReply(JobVerdict::kUnreadable));
   }
-  const auto waiting = pending_submissions_.find(id);
-  if (waiting == pending_submissions_.end()) {
+  if (pending_submissions_.count(id) == 0) {
     const bool store_unavailable =
         journal_->stalled_for() > options_.append_stall_timeout;
     if (store_unavailable ||
@@ -76,9 +76,9 @@
     wire::JobSpec stored_spec = spec;
     stored_spec.accepted_unix_ms = deps_.executor.UnixMillis();
     std::string record = rpc::Encode(stored_spec);
-    if (!Storable(SpecKey(id), record)) {
-      // The store would refuse every append that contains this record, and
-      // thereby block all records behind it.
+    if (!IsStorable(SpecKey(id), record)) {
+      // The store would refuse every append that contains this record, which
+      // would block all records behind it.
       logging::Event(Level::kWarning, "job refused",
                      {{"job", JobIdText(id)},
                       {"cause", "its record is too large for the store"},
@@ -86,32 +86,35 @@
       return done(SubmitReply(JobVerdict::kRefused, kRetryAfterMs));
     }
     journal_->Put(SpecKey(id), std::move(record));
-    const int64_t number = ++submissions_;
-    pending_submissions_[id].number = number;
+    const int64_t number = ++last_submission_number_;
+    pending_submissions_[id].submission_number = number;
     journal_->WhenStored(
         [weak = weak_from_this(), stored_spec, id, number](bool stored) {
           const auto self = weak.lock();
           if (!stored || !self || self->closed_) return;
-          const auto still = self->pending_submissions_.find(id);
-          if (still == self->pending_submissions_.end()) return;
-          if (still->second.number == number) self->OnJobStored(stored_spec);
+          const auto pending = self->pending_submissions_.find(id);
+          if (pending == self->pending_submissions_.end()) return;
+          if (pending->second.submission_number != number) return;
+          self->OnJobStored(stored_spec);
         });
   }
-  pending_submissions_[id].waiters.push_back(
+  pending_submissions_[id].replies.push_back(
       WithReplyDeadline<wire::SubmitJobReply>(
           std::move(done), SubmitReply(JobVerdict::kOutcomeUnknown)));
 }
 
 template <typename Reply>
 std::function<void(Reply)> Coordinator::WithReplyDeadline(
-    std::function<void(Reply)> done, Reply late) {
+    std::function<void(Reply)> done, Reply timeout_reply) {
   auto answered = std::make_shared<bool>(false);
   auto once = [answered, done = std::move(done)](const Reply& reply) {
     if (std::exchange(*answered, true)) return;
     done(reply);
   };
   deps_.executor.RunAfter(options_.reply_deadline,
-                          [once, late = std::move(late)] { once(late); });
+                          [once, timeout_reply = std::move(timeout_reply)] {
+                            once(timeout_reply);
+                          });
   return once;
 }
 
@@ -128,12 +131,12 @@
     logging::Event(
         Level::kWarning, "job refused",
         {{"job", JobIdText(at->first)},
-         {"cause", "taken back before it was sent to the store"},
+         {"cause", "withdrawn before it was sent to the store"},
          {"store_stalled_ms", Text(journal_->stalled_for().count())}});
-    const auto waiters = std::move(at->second.waiters);
+    const auto replies = std::move(at->second.replies);
     at = pending_submissions_.erase(at);
-    for (const auto& waiter : waiters) {
-      waiter(SubmitReply(JobVerdict::kStoreUnavailable, kRetryAfterMs));
+    for (const auto& reply : replies) {
+      reply(SubmitReply(JobVerdict::kStoreUnavailable, kRetryAfterMs));
     }
   }
 }
@@ -149,26 +152,26 @@
                   {"priority", Text(spec.queue.priority)},
                   {"steps", Text(static_cast<int64_t>(spec.steps.size()))},
                   {"term", Text(options_.term)}});
-  const auto waiting = pending_submissions_.extract(id);
-  if (!waiting.empty()) {
-    for (auto& waiter : waiting.mapped().waiters) {
-      waiter(SubmitReply(JobVerdict::kConfirmed));
+  const auto submission = pending_submissions_.extract(id);
+  if (!submission.empty()) {
+    for (auto& reply : submission.mapped().replies) {
+      reply(SubmitReply(JobVerdict::kConfirmed));
     }
   }
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
-  PlaceSoon();
+  SchedulePlacement();
 }
 
 JobVerdict Coordinator::VerdictOnUnknownJob() const {
-  // If the store has not confirmed the lease recently, this leader may already
-  // have a successor that has accepted jobs unknown here, even if other entries
+  // If the store has not confirmed the leader lease recently, a successor may
+  // already have accepted jobs that are unknown here, even if other entries
   // still follow this leader. The caller's entry repeats the call and finds the
   // current leader.
   return deps_.lease_confirmed_by_store() ? JobVerdict::kNoSuchJob
                                           : JobVerdict::kNotLeading;
 }
 
-wire::JobStateReply Coordinator::State(JobId id) const {
+wire::JobStateReply Coordinator::QueryState(JobId id) const {
   wire::JobStateReply reply;
   const auto answer = [&](JobVerdict verdict, JobState state) {
     reply.verdict = static_cast<int32_t>(verdict);
@@ -176,8 +179,8 @@
     return reply;
   };
   if (!loaded_) return answer(JobVerdict::kNotLeading, JobState::kQueued);
-  const auto final = final_records_.find(id);
-  if (final != final_records_.end()) {
+  const auto final = final_jobs_.find(id);
+  if (final != final_jobs_.end()) {
     return answer(JobVerdict::kConfirmed, final->second.state);
   }
   if (unreadable_jobs_.count(id) > 0) {
@@ -185,8 +188,8 @@
   }
   const Job* job = scheduler_.Find(id);
   if (job == nullptr) {
-    // A pending job is reported as queued: its record is not stored yet, and
-    // its caller has no answer yet.
+    // A job whose record is not stored yet is reported as queued. The caller
+    // that submitted it has no answer yet.
     const bool pending = pending_submissions_.count(id) > 0;
     return answer(pending ? JobVerdict::kConfirmed : VerdictOnUnknownJob(),
                   JobState::kQueued);
@@ -199,7 +202,7 @@
 void Coordinator::Cancel(JobId id,
                          std::function<void(wire::CancelJobReply)> done) {
   if (!loaded_) return done(CancelReply(JobVerdict::kNotLeading));
-  if (final_records_.count(id) > 0) {
+  if (final_jobs_.count(id) > 0) {
     return done(CancelReply(JobVerdict::kConfirmed));
   }
   if (pending_submissions_.count(id) > 0) {
@@ -223,18 +226,18 @@
   });
 }
 
-bool Coordinator::Knows(JobId id) const {
-  return scheduler_.Find(id) != nullptr || final_records_.count(id) > 0 ||
+bool Coordinator::IsJobKnown(JobId id) const {
+  return scheduler_.Find(id) != nullptr || final_jobs_.count(id) > 0 ||
          pending_submissions_.count(id) > 0;
 }
 
 void Coordinator::ReplyNoSuchJob(
     JobId id, std::function<void(wire::CancelJobReply)> done) {
-  // A leader that resumes after a process pause lacks the jobs that its
-  // successor has accepted. A caller would take "no such job" for the end of a
-  // job that still runs. Only an append under the leader's own term proves that
-  // it has no successor. This append changes nothing, since an unknown job has
-  // no progress record.
+  // A leader whose process was paused does not know the jobs that its successor
+  // has accepted meanwhile. If it replied "no such job" for one of them, the
+  // caller would assume that the job does not run. Only an append that the
+  // store accepts under this leader's term proves that it has no successor.
+  // This append changes nothing, since an unknown job has no progress record.
   journal_->Remove(ProgressKey(id));
   auto once = WithReplyDeadline<wire::CancelJobReply>(
       std::move(done), CancelReply(JobVerdict::kOutcomeUnknown));
@@ -244,13 +247,14 @@
         // If the job was submitted meanwhile, the caller has to repeat the
         // call.
         const bool no_such_job =
-            stored && self && !self->closed_ && !self->Knows(id);
+            stored && self && !self->closed_ && !self->IsJobKnown(id);
         once(CancelReply(no_such_job ? JobVerdict::kNoSuchJob
                                      : JobVerdict::kOutcomeUnknown));
       });
 }
 
-wire::PendingJobsReply Coordinator::Pending(const std::string& queue) const {
+wire::PendingJobsReply Coordinator::CountPending(
+    const std::string& queue) const {
   wire::PendingJobsReply reply;
   reply.verdict = static_cast<int32_t>(loaded_ ? JobVerdict::kConfirmed
                                                : JobVerdict::kNotLeading);
--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -11,15 +11,16 @@
 using logging::Text;
 using scheduling::Orders;
 
-constexpr Millis kTick{50};
-/// Changes within this time share one placement pass.
-constexpr Millis kPlaceDelay{2};
-/// How often, and for how many of the steps that have waited longest, the
-/// reason for the wait is logged.
+constexpr Millis kTickPeriod{50};
+/// Delay of a placement pass, so that changes shortly after each other share
+/// one pass.
+constexpr Millis kPlacementDelay{2};
+/// Interval at which the load is logged, with the reasons why steps wait.
 constexpr Millis kLoadLogPeriod{2000};
-constexpr size_t kExplainedSteps = 4;
+/// Number of steps, those that have waited longest, whose reason is logged.
+constexpr size_t kMaxExplainedSteps = 4;
 /// Added to the expected duration of an adviser call to obtain its timeout.
-constexpr Millis kAdviceSlack{600};
+constexpr Millis kAdviceTimeoutMargin{600};
 
 /// Attempt numbers reserved for each term, so that the attempts of a later
 /// leader have higher numbers than all earlier ones.
@@ -41,7 +42,7 @@
 }
 
 void Coordinator::MakeWaveManager() {
-  waves_ = std::make_shared<maintenance::WaveManager>(
+  wave_manager_ = std::make_shared<maintenance::WaveManager>(
       maintenance::WaveManager::Dependencies{
           .executor = deps_.executor,
           .store = deps_.store,
@@ -50,7 +51,7 @@
           .journal = journal_,
           .workload = *this,
           .metrics = deps_.metrics,
-          .waves = deps_.waves,
+          .waves = deps_.requested_waves,
           .on_leadership_lost = deps_.on_leadership_lost},
       maintenance::WaveManagerOptions{
           .holder = options_.holder,
@@ -64,33 +65,33 @@
 void Coordinator::Start() {
   journal_->Open([weak = weak_from_this()] {
     const auto self = weak.lock();
-    if (self && !self->closed_) self->Load("");
+    if (self && !self->closed_) self->LoadPage("");
   });
 }
 
 void Coordinator::Close() {
   closed_ = true;
   journal_->Close();
-  if (waves_) waves_->Close();
+  if (wave_manager_) wave_manager_->Close();
   for (auto& [index, link] : links_) link->Close();
-  FailPendingCallers();
+  FailPendingSubmissions();
 }
 
 void Coordinator::Tick() {
   if (closed_) return;
   scheduler_.Tick(deps_.executor.Now(), deps_.executor.UnixMillis());
   DropUnresponsiveUpstreams();
-  ResolveIfAllReported();
+  ResolveWhenRunningTasksKnown();
   RefuseUnsentJobs();
   DropFinalJobs();
-  LogLoadAndWaits();
-  PlaceSoon();
-  deps_.executor.RunAfter(kTick, [weak = weak_from_this()] {
+  ReportLoad();
+  SchedulePlacement();
+  deps_.executor.RunAfter(kTickPeriod, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Tick();
   });
 }
 
-void Coordinator::LogLoadAndWaits() {
+void Coordinator::ReportLoad() {
   const TimePoint now = deps_.executor.Now();
   if (now - load_logged_at_ < kLoadLogPeriod) return;
   load_logged_at_ = now;
@@ -104,7 +105,7 @@
                   {"lanes_free", Text(lanes.any)},
                   {"urgent_lanes_free", Text(lanes.urgent_only)}});
   for (const auto& [step, why] :
-       scheduler_.ExplainWaiting(kExplainedSteps, now)) {
+       scheduler_.ExplainWaiting(kMaxExplainedSteps, now)) {
     logging::Event(Level::kInfo, "step waits",
                    {{"step", StepIdText(step)}, {"why", why}});
   }
@@ -112,17 +113,17 @@
 
 void Coordinator::DropFinalJobs() {
   const TimePoint now = deps_.executor.Now();
-  for (auto at = final_records_.begin(); at != final_records_.end();) {
+  for (auto at = final_jobs_.begin(); at != final_jobs_.end();) {
     auto& [id, job] = *at;
-    if (job.spec_stored && now - job.since > options_.spec_retention &&
+    if (job.spec_stored && now - job.final_since > options_.spec_retention &&
         (scheduler_.Find(id) == nullptr || scheduler_.CanRemove(id))) {
       scheduler_.Remove(id);
       journal_->Remove(SpecKey(id));
       job.spec_stored = false;
     }
-    if (!job.spec_stored && now - job.since > options_.state_retention) {
+    if (!job.spec_stored && now - job.final_since > options_.state_retention) {
       journal_->Remove(ProgressKey(id));
-      at = final_records_.erase(at);
+      at = final_jobs_.erase(at);
     } else {
       ++at;
     }
@@ -156,7 +157,9 @@
                     {"checkpoint", start.checkpoint}});
     link->second->Start(start);
   }
-  for (const scheduling::AdviceOrder& ask : orders.advice) SendAdvice(ask);
+  for (const scheduling::AdviceOrder& order : orders.advice) {
+    RequestAdvice(order);
+  }
   for (const scheduling::LostRun& run : orders.lost) LogLostRun(run);
   for (const scheduling::PermanentlyFailedTask& task :
        orders.permanently_failed) {
@@ -201,16 +204,17 @@
 }
 
 void Coordinator::LogOrphanedRun(scheduling::StopOrder stop) {
-  // The scheduler forgets the tasks of a final job before its state expires
-  // here.
-  const auto final = final_records_.find(stop.task.job);
-  const bool forgotten = stop.reason == scheduling::StopReason::kUnknownJob &&
-                         final != final_records_.end();
-  if (forgotten) {
+  // The scheduler forgets a final job before its state is dropped here. For
+  // such a job, the reason is derived from that state.
+  const auto final = final_jobs_.find(stop.task.job);
+  const bool forgotten_by_scheduler =
+      stop.reason == scheduling::StopReason::kUnknownJob &&
+      final != final_jobs_.end();
+  if (forgotten_by_scheduler) {
     stop.reason = scheduling::ReasonToStop(final->second.state);
-    if (final->second.ended_here) {
+    if (final->second.ended_in_this_term) {
       stop.since_job_end = std::chrono::duration_cast<Millis>(
-          deps_.executor.Now() - final->second.since);
+          deps_.executor.Now() - final->second.final_since);
     }
   }
   const std::string why(scheduling::kStopReasonNames.Name(stop.reason));
@@ -231,7 +235,7 @@
     const Job* job = scheduler_.Find(id);
     if (job == nullptr) continue;
     journal_->Put(ProgressKey(id), rpc::Encode(job->Progress()));
-    if (!job->final() || final_records_.count(id) > 0) continue;
+    if (!job->final() || final_jobs_.count(id) > 0) continue;
     journal_->WhenStored(
         [weak = weak_from_this(), id, state = job->state()](bool stored) {
           const auto self = weak.lock();
@@ -241,10 +245,10 @@
 }
 
 void Coordinator::OnJobFinished(JobId id, JobState state) {
-  final_records_[id] = {.state = state,
-                        .since = deps_.executor.Now(),
-                        .spec_stored = true,
-                        .ended_here = true};
+  final_jobs_[id] = {.state = state,
+                     .final_since = deps_.executor.Now(),
+                     .spec_stored = true,
+                     .ended_in_this_term = true};
   deps_.metrics.Count(
       {.name = "jobs_ended",
        .labels = {{"state", std::string(kJobStateNames.Name(state))}}});
@@ -253,16 +257,16 @@
                   {"state", std::string(kJobStateNames.Name(state))}});
 }
 
-void Coordinator::PlaceSoon() {
-  if (place_due_ || closed_) return;
-  place_due_ = true;
-  deps_.executor.RunAfter(kPlaceDelay, [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->PlaceNow();
+void Coordinator::SchedulePlacement() {
+  if (placement_scheduled_ || closed_) return;
+  placement_scheduled_ = true;
+  deps_.executor.RunAfter(kPlacementDelay, [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) self->RunPlacement();
   });
 }
 
-void Coordinator::PlaceNow() {
-  place_due_ = false;
+void Coordinator::RunPlacement() {
+  placement_scheduled_ = false;
   if (!MaySendOrders() || !loaded_) return;
   const TimePoint now = deps_.executor.Now();
   Orders orders;
@@ -270,25 +274,25 @@
   ExecuteOrders(orders);
 }
 
-void Coordinator::SendAdvice(const scheduling::AdviceOrder& order) {
-  const std::string lane = lanes_.Take(order.priority, deps_.executor.Now());
+void Coordinator::RequestAdvice(const scheduling::AdviceOrder& order) {
+  const std::string lane = lanes_.Acquire(order.priority, deps_.executor.Now());
   if (lane.empty()) {
     return scheduler_.OnAdvice(order, nullptr, deps_.executor.Now());
   }
   logging::Event(
-      Level::kDebug, "advice asked",
+      Level::kDebug, "advice requested",
       {{"step", StepIdText(order.step)},
        {"entry", lane},
        {"upstreams", Text(static_cast<int64_t>(order.upstreams.size()))},
        {"expected_ms", Text(order.expected.count())}});
-  deps_.advice.Ask(
-      lane, order.step, order.upstreams, order.expected + kAdviceSlack,
+  deps_.advice_caller.RequestAdvice(
+      lane, order.step, order.upstreams, order.expected + kAdviceTimeoutMargin,
       [weak = weak_from_this(), order,
        lane](const Result<ports::Advice>& advice) {
         const auto self = weak.lock();
         if (!self || self->closed_) return;
         const TimePoint now = self->deps_.executor.Now();
-        self->lanes_.Free(lane, !advice.ok(), now);
+        self->lanes_.Release(lane, !advice.ok(), now);
         if (!advice.ok()) {
           logging::Event(Level::kWarning, "advice failed",
                          {{"step", StepIdText(order.step)},
@@ -297,7 +301,7 @@
         }
         if (advice.ok()) {
           logging::Event(
-              Level::kInfo, "advice got",
+              Level::kInfo, "advice received",
               {{"step", StepIdText(order.step)},
                {"to", std::string(
                           scheduling::kAdvicePurposeNames.Name(order.purpose))},
@@ -308,8 +312,8 @@
         }
         self->scheduler_.OnAdvice(order,
                                   advice.ok() ? &advice.value() : nullptr, now);
-        // The lane is free and the step may be able to start now.
-        self->PlaceSoon();
+        // The lane is free again, and the advice may allow the step to start.
+        self->SchedulePlacement();
       });
 }
 
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -31,45 +31,48 @@
   int64_t term = 0;
   /// Table of the store that holds the jobs.
   std::string table = "jobs";
-  /// Duration of the task leases at the upstreams; not the leader lease.
-  Millis lease{4000};
-  /// How long an earlier leader may keep giving orders without being noticed.
+  /// Duration of the task leases at the upstreams, as opposed to the leader
+  /// lease.
+  Millis task_lease{4000};
+  /// How long an earlier leader may continue to renew task leases undetected.
   Millis previous_leader_timeout{2000};
   /// An upstream counts as ended if it is not listed, has not answered for this
-  /// long and has no valid lease. Until then it may be merely unreachable, and
-  /// come back.
+  /// long and has no valid lease. Before that it may be only unreachable and
+  /// recover.
   Millis unresponsive_upstream_timeout{5000};
-  /// Interval between reads of the list of upstreams. No task may start on a
-  /// draining upstream later than 2 s after it has reported that it drains.
-  Millis list_period{250};
-  /// Maximum number of jobs kept in memory, those not stored yet included; new
-  /// ones are refused beyond it. A job takes about 4 KB.
+  /// Pause between reads of the list of upstreams. The list has to be read
+  /// often enough that no task starts on an upstream later than 2 s after it
+  /// has reported that it drains.
+  Millis upstream_list_period{250};
+  /// Maximum number of jobs kept in memory, including those not stored yet.
+  /// Further jobs are refused. A job takes about 4 KB.
   size_t max_jobs = 20000;
   /// New jobs are refused once the store has not answered an append for this
   /// long.
   Millis append_stall_timeout{400};
-  /// Jobs that wait behind an unanswered append are withdrawn after this, or
-  /// after twice the duration of the last append if that is longer. A slow
-  /// store, at about 0.4 s an append, thus still takes them; an unresponsive
-  /// one does not.
+  /// A job that waits behind an unanswered append is refused after this, or
+  /// after twice the duration of the last append if that is longer. Jobs are
+  /// thus still accepted with a slow store, at about 0.4 s for each append, but
+  /// not with an unresponsive one.
   Millis unsent_job_timeout{700};
-  /// A caller whose job or cancellation is not stored within this time gets
-  /// the verdict "unknown".
+  /// A caller whose job or cancellation is not confirmed as stored within this
+  /// time gets the verdict kOutcomeUnknown.
   Millis reply_deadline{900};
-  /// How long the spec of a final job is kept, since its tasks may still be
-  /// listed as running.
+  /// Minimum time for which the spec of a final job is kept, since upstreams
+  /// may still report its tasks as running.
   Millis spec_retention{15000};
-  /// How long the state of a final job can be queried.
+  /// Minimum time for which the state of a final job can be queried.
   Millis state_retention{150000};
   /// Name under which this entry calls the platform's host API.
   std::string holder;
   /// How long a host is unavailable during its maintenance.
   Millis maintenance_duration{2000};
-  /// Rates of calls that the host API accepts.
+  /// Maximum rates of list calls and of orders that the host API accepts.
   double host_lists_per_s = 10;
   double host_orders_per_s = 10;
   /// Two leaders must not give orders to the same host within this time of each
-  /// other, so a new leader waits this long.
+  /// other. A new leader that finds stored orders waits this long before its
+  /// first order.
   Millis host_holder_timeout{3000};
 };
 
@@ -84,32 +87,35 @@
   struct Dependencies {
     Executor& executor;
     ports::RecordStorePort& store;
-    ports::UpstreamListPort& list;
-    ports::TaskPort& tasks;
-    AdviceCaller& advice;
+    ports::UpstreamListPort& upstream_list;
+    ports::TaskPort& task_port;
+    AdviceCaller& advice_caller;
     metrics::Registry& metrics;
     faults::MalformedRecordReporter& malformed_records;
-    /// Pools that the configuration names; null while none is known.
-    std::function<const std::set<std::string>*()> pools;
-    /// Whether the leader lease is valid, so that orders may be given now.
+    /// Pools that the configuration names; null while no configuration is
+    /// known.
+    std::function<const std::set<std::string>*()> configured_pools;
+    /// Whether the leader lease is valid. Orders may be given only then.
     std::function<bool()> leader_lease_valid;
     /// Whether the store has recently confirmed that no other entry leads.
     std::function<bool()> lease_confirmed_by_store;
-    /// Called when the stored state is loaded; calls are accepted from then on.
+    /// Called when the stored state is loaded. Callers are served from then on.
     std::function<void()> on_loaded;
     /// Called when another leader is detected.
     std::function<void(const std::string& cause)> on_leadership_lost;
-    /// Null where hosts have no API: then there is no maintenance.
+    /// Null where hosts have no API. Then there is no host maintenance.
     ports::HostPort* hosts = nullptr;
+    /// Not null if `hosts` is not.
     ports::WaveStatusPort* wave_status = nullptr;
-    std::function<const maintenance::WaveManager::Waves&()> waves{};
+    /// Returns the waves that operators have requested, as known now.
+    std::function<const maintenance::WaveManager::Waves&()> requested_waves{};
   };
 
   Coordinator(Dependencies deps, CoordinatorOptions options);
 
   void Start();
   /// Stops giving orders. Callers that wait for an answer get the verdict
-  /// "unknown", so that their calls are repeated at the next leader.
+  /// kOutcomeUnknown, so that their calls are repeated at the next leader.
   void Close();
 
   /// Sets the entries that may call the adviser, including this one.
@@ -117,12 +123,14 @@
 
   void Submit(const wire::JobSpec& spec,
               std::function<void(wire::SubmitJobReply)> done);
-  wire::JobStateReply State(JobId id) const;
+  wire::JobStateReply QueryState(JobId id) const;
   void Cancel(JobId id, std::function<void(wire::CancelJobReply)> done);
-  wire::PendingJobsReply Pending(const std::string& queue) const;
+  /// Counts the accepted jobs of the queue of which no task has started.
+  wire::PendingJobsReply CountPending(const std::string& queue) const;
 
+  /// When the store last confirmed an append.
   TimePoint last_stored() const { return journal_->last_stored(); }
-  /// When the last stored append was sent for the first time.
+  /// When the last confirmed append was first sent.
   TimePoint last_stored_sent() const {
     return journal_->last_stored() - journal_->last_append_duration();
   }
@@ -152,11 +160,12 @@
   /// A job whose record is not stored yet.
   struct PendingSubmission {
     /// Distinguishes this submission from an earlier, withdrawn one of the job.
-    int64_t number = 0;
-    std::vector<std::function<void(wire::SubmitJobReply)>> waiters;
+    int64_t submission_number = 0;
+    /// Reply functions of the callers that have submitted the job.
+    std::vector<std::function<void(wire::SubmitJobReply)>> replies;
   };
-  /// The result of a task whose job's records could not be read when the
-  /// upstream reported it.
+  /// Completion of a task, reported by an upstream while the records of the
+  /// task's job could not be read.
   struct UnmatchedCompletion {
     TaskId task;
     int64_t attempt = 0;
@@ -166,83 +175,99 @@
   struct InheritedClosure {
     /// The only jobs that may have tasks running there.
     std::unordered_set<JobId> jobs;
-    /// The runs that were there if the upstream has crashed.
-    scheduling::SuspectRuns runs;
+    /// The runs that ended with the upstream if it has crashed.
+    scheduling::SuspectRuns suspect_runs;
   };
   struct FinalJob {
     JobState state = JobState::kComplete;
-    TimePoint since{};
+    /// When its final state was stored, or loaded if it ended in an earlier
+    /// term.
+    TimePoint final_since{};
+    /// Whether the store still holds the job's spec.
     bool spec_stored = false;
-    /// The job ended in this term; `since` is then the time of its end.
-    bool ended_here = false;
+    bool ended_in_this_term = false;
   };
 
   void MakeWaveManager();
-  void Load(const std::string& after);
-  void OnPage(const std::string& after, const ports::NewestPage& page);
-  /// `end_offset` is the end of the table when its last page was read.
-  void OnLoaded(int64_t end_offset);
+  /// Reads the page of the job table that follows the key `after`.
+  void LoadPage(const std::string& after);
+  void OnPageRead(const std::string& after, const ports::NewestPage& page);
+  /// Takes over the loaded state and begins to serve. `end_offset` is the end
+  /// of the table when its last page was read.
+  void FinishLoading(int64_t end_offset);
+  /// Decodes a record; reports it if it is malformed.
   void LoadRecord(const ports::KeyedRecord& record);
-  /// Decodes one record into the maps of loaded state. Returns why it is
+  /// Decodes a record into the maps of loaded state. Returns why it is
   /// malformed, or an empty string.
   std::string DecodeRecord(const ports::KeyedRecord& record);
   std::string DecodeUpstream(const ports::KeyedRecord& record);
   std::string DecodeSpec(JobId id, const std::string& value);
   std::string DecodeProgress(JobId id, const std::string& value);
   std::string DecodeUnmatchedCompletion(const ports::KeyedRecord& record);
-  /// Merges unmatched completions into the progress of jobs that can be read
-  /// again.
+  /// Merges unmatched completions into the progress of those jobs whose records
+  /// can now be read.
   void ApplyUnmatchedCompletions();
   /// Stores a completion if the records of its job cannot be read.
-  void StoreUnmatchedCompletion(const ports::EndedTask& end);
+  void StoreUnmatchedCompletion(const ports::EndedTask& completion);
+  /// Passes the loaded jobs to the scheduler.
   void LoadJobs();
-  void ReadList();
-  void OnList(const ports::UpstreamListUpdate& update, bool whole);
-  void OnEntry(const ports::UpstreamEntry& entry);
-  void OnMalformedEntry(const ports::UpstreamEntry& entry);
+  void ReadUpstreamList();
+  /// `whole` is set if the update names all upstreams, and not only changes.
+  void OnUpstreamList(const ports::UpstreamListUpdate& update, bool whole);
+  void OnListEntry(const ports::UpstreamEntry& entry);
+  void OnMalformedListEntry(const ports::UpstreamEntry& entry);
   /// Whether the configuration or a job names the pool.
   bool IsPoolReferenced(const std::string& pool) const;
-  /// Adopts the listed upstreams whose pool is named by now.
+  /// Adopts the listed upstreams whose pool the configuration or a job names.
   void AdoptReferencedUpstreams();
+  /// Stores the upstream's record, then uses the upstream.
   void AdoptUpstream(const ports::UpstreamEntry& entry);
+  /// Adds the upstream to the pool and opens a link to it once the records put
+  /// so far are stored.
   void OpenLink(const ports::UpstreamEntry& entry);
   /// Closes the upstream to new work and stores which jobs may still have tasks
   /// there.
   void CloseUpstream(UpstreamIndex upstream);
   /// Opens the upstream to new work once the reopening is stored.
   void ReopenUpstream(UpstreamIndex upstream);
-  /// Passes the uncertain jobs to the scheduler, once UncertainJobs() knows
-  /// them, and again when their number changes.
-  void ResolveIfAllReported();
+  /// Tells the scheduler which jobs are uncertain, as soon as UncertainJobs()
+  /// is known, and again when their number changes.
+  void ResolveWhenRunningTasksKnown();
   /// Jobs that may have tasks on upstreams which have not reported their
-  /// running tasks yet; nullopt if that is unknown for one of these upstreams.
+  /// running tasks yet; nullopt if the jobs of one such upstream are unknown.
   std::optional<std::unordered_set<JobId>> UncertainJobs() const;
+  /// Does the periodic work and schedules the next tick.
   void Tick();
-  /// Drops upstreams that are unlisted and have been unresponsive for
-  /// `unresponsive_upstream_timeout`.
+  /// Drops upstreams that are unlisted, have no valid lease and have been
+  /// unresponsive for `unresponsive_upstream_timeout`.
   void DropUnresponsiveUpstreams();
   void DropUpstream(UpstreamIndex upstream, scheduling::UpstreamLoss why);
+  /// Drops the specs and then the states of final jobs after their retention
+  /// times.
   void DropFinalJobs();
   /// Sets the metrics of the load; logs the load and why steps wait.
-  void LogLoadAndWaits();
+  void ReportLoad();
 
-  /// Returns a function that passes its reply to `done`. `done` runs only once:
-  /// after `reply_deadline` without a confirmation of the store it gets `late`.
+  /// Wraps `done` so that it runs once: with the first reply, or with
+  /// `timeout_reply` if there is none within `reply_deadline`.
   template <typename Reply>
   std::function<void(Reply)> WithReplyDeadline(std::function<void(Reply)> done,
-                                               Reply late);
+                                               Reply timeout_reply);
+  /// Verdict on a query for a job that this leader does not know.
   JobVerdict VerdictOnUnknownJob() const;
-  /// Replies "unknown" to all callers whose jobs are not stored yet.
-  void FailPendingCallers();
+  /// Replies kOutcomeUnknown to all callers whose jobs are not stored yet.
+  void FailPendingSubmissions();
   void OnJobStored(const wire::JobSpec& spec);
   /// Withdraws and refuses the jobs that wait for an unresponsive store.
   void RefuseUnsentJobs();
+  /// Called when the final state of a job is stored.
   void OnJobFinished(JobId id, JobState state);
-  /// Stores the changes of jobs and executes the orders.
+  /// Stores the changes of jobs and executes the scheduler's orders.
   void ExecuteOrders(scheduling::Orders& orders);
+  /// Stores the progress of the jobs that have changed.
   void StoreChanges();
   /// Whether the job is open, final or about to be stored.
-  bool Knows(JobId id) const;
+  bool IsJobKnown(JobId id) const;
   /// Replies that there is no such job, once the store has confirmed that this
   /// entry still leads.
   void ReplyNoSuchJob(JobId id, std::function<void(wire::CancelJobReply)> done);
@@ -251,20 +276,23 @@
   void LogPermanentlyFailed(const scheduling::PermanentlyFailedTask& task);
   /// Logs the stop of an orphaned run, which no valid order accounts for.
   void LogOrphanedRun(scheduling::StopOrder stop);
-  void PlaceSoon();
-  void PlaceNow();
-  void SendAdvice(const scheduling::AdviceOrder& order);
+  /// Schedules a placement pass after kPlacementDelay, unless one is scheduled.
+  void SchedulePlacement();
+  void RunPlacement();
+  /// Calls the adviser through a free lane and passes its advice to the
+  /// scheduler.
+  void RequestAdvice(const scheduling::AdviceOrder& order);
 
   Dependencies deps_;
   CoordinatorOptions options_;
   scheduling::Scheduler scheduler_;
   std::shared_ptr<journal::Journal> journal_;
   /// Null where hosts have no API.
-  std::shared_ptr<maintenance::WaveManager> waves_;
+  std::shared_ptr<maintenance::WaveManager> wave_manager_;
   AdviceLanes lanes_;
   bool closed_ = false;
   bool loaded_ = false;
-  bool place_due_ = false;
+  bool placement_scheduled_ = false;
   std::map<UpstreamIndex, std::shared_ptr<fleet::UpstreamLink>> links_;
   /// First fencing token of the next link to be opened.
   int64_t next_fence_ = 0;
@@ -272,22 +300,22 @@
   /// still name them for some seconds.
   std::set<std::string> ended_upstreams_;
   std::unordered_map<JobId, PendingSubmission> pending_submissions_;
-  int64_t submissions_ = 0;
-  std::unordered_map<JobId, FinalJob> final_records_;
-  /// While loading: records read so far, to be matched by job in LoadJobs().
+  int64_t last_submission_number_ = 0;
+  std::unordered_map<JobId, FinalJob> final_jobs_;
+  /// Records read so far while loading, matched by job in LoadJobs().
   std::unordered_map<JobId, wire::JobSpec> loaded_specs_;
   std::unordered_map<JobId, wire::ProgressRecord> loaded_progress_;
   std::unordered_map<JobId, std::vector<UnmatchedCompletion>>
       unmatched_completions_;
   std::vector<ports::UpstreamEntry> loaded_upstreams_;
-  /// Upstreams that an earlier leader closed, until they have reported their
-  /// running tasks.
+  /// Closures by earlier leaders, by upstream id. Each one is kept until the
+  /// upstream is reachable.
   std::map<std::string, InheritedClosure> inherited_closures_;
   /// Number of times each upstream was closed. ReopenUpstream() compares it to
   /// detect that the upstream was closed again before the reopening was stored.
   std::map<UpstreamIndex, int64_t> close_counts_;
-  /// Number of jobs that waited for an upstream's report at the last check.
-  size_t uncertain_count_ = 0;
+  /// Number of jobs in UncertainJobs() when the scheduler was last told.
+  size_t uncertain_job_count_ = 0;
   /// Jobs whose records this version can't read. They are neither run nor
   /// overwritten here.
   std::unordered_set<JobId> unreadable_jobs_;
@@ -299,7 +327,10 @@
   /// Time at which the last lease of an upstream whose record can't be read has
   /// certainly expired. Until then it may run tasks.
   TimePoint unreadable_leases_end_{};
+  /// Position in the changes of the upstream list; negative if the whole list
+  /// has to be read.
   int64_t list_cursor_ = -1;
+  /// Whether the whole upstream list was read in this term.
   bool list_known_ = false;
   TimePoint load_logged_at_{};
 };
--- a/src/coordinator/job_table.cc
+++ b/src/coordinator/job_table.cc
@@ -5,11 +5,11 @@
 std::string SpecKey(JobId id) { return kSpecPrefix + JobIdText(id); }
 std::string ProgressKey(JobId id) { return kProgressPrefix + JobIdText(id); }
 
-std::string EndKey(const TaskId& task, int64_t attempt) {
-  return kEndPrefix + TaskIdText(task) + "." + std::to_string(attempt);
+std::string CompletionKey(const TaskId& task, int64_t attempt) {
+  return kCompletionPrefix + TaskIdText(task) + "." + std::to_string(attempt);
 }
 
-wire::UpstreamRecord ToRecord(const ports::UpstreamEntry& entry) {
+wire::UpstreamRecord ToUpstreamRecord(const ports::UpstreamEntry& entry) {
   wire::UpstreamRecord out;
   out.id = entry.id;
   out.pool = entry.pool;
@@ -23,7 +23,7 @@
   return out;
 }
 
-std::vector<wire::RunRecord> ToRecords(const scheduling::SuspectRuns& runs) {
+std::vector<wire::RunRecord> ToRunRecords(const scheduling::SuspectRuns& runs) {
   std::vector<wire::RunRecord> out;
   for (const auto& [run, early] : runs) {
     wire::RunRecord& record = out.emplace_back();
@@ -44,7 +44,7 @@
   return out;
 }
 
-ports::UpstreamEntry FromRecord(const wire::UpstreamRecord& record) {
+ports::UpstreamEntry FromUpstreamRecord(const wire::UpstreamRecord& record) {
   return {.id = record.id,
           .listed = false,
           .pool = record.pool,
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -13,9 +13,11 @@
 using logging::Level;
 using logging::Text;
 
-constexpr Millis kStoreRetry{150};
+/// Delay before a failed read of the store is retried.
+constexpr Millis kStoreRetryDelay{150};
 
-/// Applies a stored task result to a job whose records can be read again.
+/// Applies a completion that was stored while the records of its job could not
+/// be read.
 void ApplyUnmatchedCompletion(Job& job, const TaskId& task, int64_t attempt,
                               bool failed) {
   if (job.final()) return;
@@ -30,9 +32,9 @@
   }
   if (step.long_running) return;
   // The completion of one member completes its whole gang.
-  const int32_t first = step.gang ? 0 : task.index;
-  const int32_t last = step.gang ? step.tasks - 1 : task.index;
-  for (int32_t i = first; i <= last; ++i) {
+  const int32_t first_index = step.gang ? 0 : task.index;
+  const int32_t last_index = step.gang ? step.tasks - 1 : task.index;
+  for (int32_t i = first_index; i <= last_index; ++i) {
     job.SetPhase({task.job, task.occurrence, task.step, i}, TaskPhase::kDone);
   }
   if (job.AllDone()) job.SetState(JobState::kComplete);
@@ -40,31 +42,31 @@
 
 }  // namespace
 
-void Coordinator::Load(const std::string& after) {
+void Coordinator::LoadPage(const std::string& after) {
   deps_.store.ReadNewest(
-      options_.table, after, kStoreTimeout,
+      options_.table, after, kStoreReadTimeout,
       [weak = weak_from_this(), after](const Result<ports::NewestPage>& page) {
         const auto self = weak.lock();
         if (!self || self->closed_) return;
         if (!page.ok()) {
           logging::Event(Level::kWarning, "jobs not read",
                          {{"cause", page.error().message}});
-          return self->deps_.executor.RunAfter(kStoreRetry, [weak, after] {
+          return self->deps_.executor.RunAfter(kStoreRetryDelay, [weak, after] {
             const auto again = weak.lock();
-            if (again && !again->closed_) again->Load(after);
+            if (again && !again->closed_) again->LoadPage(after);
           });
         }
-        self->OnPage(after, page.value());
+        self->OnPageRead(after, page.value());
       });
 }
 
-void Coordinator::OnPage(const std::string& after,
-                         const ports::NewestPage& page) {
+void Coordinator::OnPageRead(const std::string& after,
+                             const ports::NewestPage& page) {
   for (const ports::KeyedRecord& record : page.records) LoadRecord(record);
   if (page.more && !page.last_key.empty() && page.last_key != after) {
-    return Load(page.last_key);
+    return LoadPage(page.last_key);
   }
-  OnLoaded(page.end_offset);
+  FinishLoading(page.end_offset);
 }
 
 void Coordinator::LoadRecord(const ports::KeyedRecord& record) {
@@ -74,9 +76,10 @@
                                  cause);
   // A job whose record can't be read still exists. If it were accepted as new
   // when submitted again, it would overwrite that record and run a second time.
-  const bool of_job = !record.key.empty() && (record.key[0] == kSpecPrefix ||
-                                              record.key[0] == kProgressPrefix);
-  if (!of_job) return;
+  const bool is_job_record =
+      !record.key.empty() &&
+      (record.key[0] == kSpecPrefix || record.key[0] == kProgressPrefix);
+  if (!is_job_record) return;
   if (const auto id = ParseJobId(record.key.substr(1))) {
     unreadable_jobs_.insert(*id);
   }
@@ -88,15 +91,16 @@
   if (record.key.empty()) return "no key";
   const char kind = record.key[0];
   if (kind == kUpstreamPrefix) return DecodeUpstream(record);
-  if (kind == kEndPrefix) return DecodeUnmatchedCompletion(record);
+  if (kind == kCompletionPrefix) return DecodeUnmatchedCompletion(record);
   if (kind == maintenance::kWavePrefix) {
     // Without a host API the record is left to a leader that has one.
-    const bool taken = waves_ == nullptr || waves_->Load(record);
-    return taken ? "" : "does not decode";
+    const bool valid = wave_manager_ == nullptr || wave_manager_->Load(record);
+    return valid ? "" : "does not decode";
   }
-  if (kind != kSpecPrefix && kind != kProgressPrefix) return "unknown kind";
+  if (kind != kSpecPrefix && kind != kProgressPrefix)
+    return "unknown key prefix";
   const auto id = ParseJobId(record.key.substr(1));
-  if (!id) return "no id of a job";
+  if (!id) return "key contains no job id";
   return kind == kSpecPrefix ? DecodeSpec(*id, record.value)
                              : DecodeProgress(*id, record.value);
 }
@@ -105,25 +109,25 @@
   const auto upstream = rpc::Decode<wire::UpstreamRecord>(record.value);
   if (upstream.ok() && record.key.substr(1) == upstream.value().id &&
       !upstream.value().id.empty() && !upstream.value().address.empty()) {
-    loaded_upstreams_.push_back(FromRecord(upstream.value()));
+    loaded_upstreams_.push_back(FromUpstreamRecord(upstream.value()));
     if (upstream.value().closed) {
       InheritedClosure& closure = inherited_closures_[upstream.value().id];
       for (const int64_t id : upstream.value().jobs) {
         closure.jobs.insert(static_cast<JobId>(id));
       }
-      closure.runs = RunsFromRecord(upstream.value());
-      if (closure.runs.size() != upstream.value().runs.size()) {
+      closure.suspect_runs = RunsFromRecord(upstream.value());
+      if (closure.suspect_runs.size() != upstream.value().runs.size()) {
         deps_.malformed_records.Report(faults::RecordSource::kJobs, record.key,
                                        "contains malformed runs");
       }
     }
     return {};
   }
-  // The upstream may run tasks of this service. Only the expiry of its leases
-  // is certain.
+  // The upstream may run tasks of this service. All that is certain is when its
+  // leases will have expired.
   unreadable_leases_end_ = deps_.executor.Now() +
                            options_.previous_leader_timeout +
-                           fleet::MaxLeaseDuration(options_.lease);
+                           fleet::MaxLeaseDuration(options_.task_lease);
   return "does not decode";
 }
 
@@ -152,54 +156,56 @@
     const ports::KeyedRecord& record) {
   const std::string_view key = record.key;
   const size_t dot = key.rfind('.');
-  const auto end = rpc::Decode<wire::TaskRecord>(record.value);
-  if (dot == std::string::npos || !end.ok()) return "does not decode";
+  const auto task_record = rpc::Decode<wire::TaskRecord>(record.value);
+  if (dot == std::string::npos || !task_record.ok()) return "does not decode";
   const auto task = ParseTaskId(key.substr(1, dot - 1));
   const std::string_view digits = key.substr(dot + 1);
   int64_t attempt = 0;
   std::from_chars(digits.data(), digits.data() + digits.size(), attempt);
-  if (!task || attempt < 1) return "names no attempt of a task";
+  if (!task || attempt < 1) return "key contains no attempt of a task";
   unmatched_completions_[task->job].push_back(
       {.task = *task,
        .attempt = attempt,
-       .failed = !end.value().failed_attempts.empty()});
+       .failed = !task_record.value().failed_attempts.empty()});
   return {};
 }
 
-void Coordinator::StoreUnmatchedCompletion(const ports::EndedTask& end) {
-  const bool failed = end.kind == ports::EndKind::kFailed;
-  if (unreadable_jobs_.count(end.task.job) == 0) return;
-  if (!failed && end.kind != ports::EndKind::kDone) return;
-  // The upstream discards the completion once it is stored here. A version that
-  // can read the job's records learns only from this record not to run the task
-  // again.
+void Coordinator::StoreUnmatchedCompletion(const ports::EndedTask& completion) {
+  const bool failed = completion.kind == ports::EndKind::kFailed;
+  if (unreadable_jobs_.count(completion.task.job) == 0) return;
+  if (!failed && completion.kind != ports::EndKind::kDone) return;
+  // The upstream discards the completion once this leader has acknowledged it.
+  // Only this record then tells a version that can read the job's records not
+  // to run the task again.
   wire::TaskRecord record;
-  record.task = end.task.index;
-  if (failed) record.failed_attempts = {end.attempt};
-  journal_->Put(EndKey(end.task, end.attempt), rpc::Encode(record));
+  record.task = completion.task.index;
+  if (failed) record.failed_attempts = {completion.attempt};
+  journal_->Put(CompletionKey(completion.task, completion.attempt),
+                rpc::Encode(record));
 }
 
 void Coordinator::ApplyUnmatchedCompletions() {
-  std::vector<std::string> merged;
+  std::vector<std::string> merged_keys;
   for (const auto& [id, completions] :
        std::exchange(unmatched_completions_, {})) {
     const auto spec = loaded_specs_.find(id);
     if (spec == loaded_specs_.end() || unreadable_jobs_.count(id) > 0) continue;
     Job job(spec->second);
     job.Restore(loaded_progress_[id]);
-    for (const UnmatchedCompletion& end : completions) {
-      merged.push_back(EndKey(end.task, end.attempt));
-      if (!job.Has(end.task)) continue;
-      ApplyUnmatchedCompletion(job, end.task, end.attempt, end.failed);
+    for (const UnmatchedCompletion& completion : completions) {
+      merged_keys.push_back(CompletionKey(completion.task, completion.attempt));
+      if (!job.Has(completion.task)) continue;
+      ApplyUnmatchedCompletion(job, completion.task, completion.attempt,
+                               completion.failed);
     }
     loaded_progress_[id] = job.Progress();
     journal_->Put(ProgressKey(id), rpc::Encode(loaded_progress_[id]));
   }
-  if (merged.empty()) return;
-  journal_->WhenStored([weak = weak_from_this(), merged](bool stored) {
+  if (merged_keys.empty()) return;
+  journal_->WhenStored([weak = weak_from_this(), merged_keys](bool stored) {
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
-    for (const std::string& key : merged) self->journal_->Remove(key);
+    for (const std::string& key : merged_keys) self->journal_->Remove(key);
   });
 }
 
@@ -220,11 +226,11 @@
   for (const auto& [id, progress] : loaded_progress_) {
     const auto state = static_cast<JobState>(progress.state);
     if (!IsFinal(state)) continue;
-    // The outcome is known, whatever the job's spec record holds.
+    // The outcome is known, even if the job's spec cannot be read.
     unreadable_jobs_.erase(id);
-    final_records_[id] = {.state = state,
-                          .since = now,
-                          .spec_stored = loaded_specs_.count(id) > 0};
+    final_jobs_[id] = {.state = state,
+                       .final_since = now,
+                       .spec_stored = loaded_specs_.count(id) > 0};
   }
   for (const auto& [id, spec] : loaded_specs_) {
     if (unreadable_jobs_.count(id) > 0) continue;
@@ -233,7 +239,7 @@
   }
 }
 
-void Coordinator::OnLoaded(int64_t end_offset) {
+void Coordinator::FinishLoading(int64_t end_offset) {
   const TimePoint now = deps_.executor.Now();
   const int64_t wall = deps_.executor.UnixMillis();
   LoadJobs();
@@ -242,7 +248,7 @@
       {{"term", Text(options_.term)},
        {"end_offset", Text(end_offset)},
        {"open", Text(static_cast<int64_t>(loaded_specs_.size()))},
-       {"final", Text(static_cast<int64_t>(final_records_.size()))},
+       {"final", Text(static_cast<int64_t>(final_jobs_.size()))},
        {"unreadable", Text(static_cast<int64_t>(unreadable_jobs_.size()))},
        {"upstreams", Text(static_cast<int64_t>(loaded_upstreams_.size()))}});
   loaded_specs_.clear();
@@ -251,8 +257,8 @@
   scheduler_.Tick(now, wall);
   for (const ports::UpstreamEntry& entry : loaded_upstreams_) OpenLink(entry);
   loaded_upstreams_.clear();
-  ReadList();
-  if (waves_) waves_->Start();
+  ReadUpstreamList();
+  if (wave_manager_) wave_manager_->Start();
   Tick();
   deps_.on_loaded();
 }
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -18,17 +18,17 @@
 
 }  // namespace
 
-void Coordinator::ReadList() {
+void Coordinator::ReadUpstreamList() {
   const bool whole = list_cursor_ < 0;
   auto done = [weak = weak_from_this(),
                whole](const Result<ports::UpstreamListUpdate>& update) {
     const auto self = weak.lock();
     if (!self || self->closed_) return;
     if (update.ok()) {
-      self->OnList(update.value(), whole);
+      self->OnUpstreamList(update.value(), whole);
     } else {
-      // The history after the cursor is no longer available, or malformed: the
-      // whole list has to be read.
+      // The changes after the cursor are no longer available or are malformed,
+      // so the whole list has to be read.
       const std::error_code& code = update.error().code;
       if (code == Errc::kInvalid || code == Errc::kMalformed) {
         self->list_cursor_ = -1;
@@ -36,20 +36,23 @@
       logging::Event(Level::kWarning, "upstream list not read",
                      {{"cause", update.error().message}});
     }
-    self->deps_.executor.RunAfter(self->options_.list_period, [weak] {
+    self->deps_.executor.RunAfter(self->options_.upstream_list_period, [weak] {
       const auto again = weak.lock();
-      if (again && !again->closed_) again->ReadList();
+      if (again && !again->closed_) again->ReadUpstreamList();
     });
   };
-  if (whole) return deps_.list.ReadAll(kStoreTimeout, std::move(done));
-  deps_.list.ReadChanges(list_cursor_, kStoreTimeout, std::move(done));
+  if (whole)
+    return deps_.upstream_list.ReadAll(kStoreReadTimeout, std::move(done));
+  deps_.upstream_list.ReadChanges(list_cursor_, kStoreReadTimeout,
+                                  std::move(done));
 }
 
-void Coordinator::OnList(const ports::UpstreamListUpdate& update, bool whole) {
+void Coordinator::OnUpstreamList(const ports::UpstreamListUpdate& update,
+                                 bool whole) {
   list_cursor_ = update.cursor;
   if (whole) {
-    // An upstream that is missing here has left, or its entry has expired,
-    // since the last read.
+    // An upstream that is missing from the list has left, or its list entry has
+    // expired.
     for (const UpstreamIndex index : scheduler_.pool().all()) {
       const std::string& id = scheduler_.pool().at(index).entry.id;
       const bool still_listed = std::any_of(
@@ -60,16 +63,16 @@
     list_known_ = true;
     unreferenced_upstreams_.clear();
   }
-  for (const ports::UpstreamEntry& entry : update.entries) OnEntry(entry);
+  for (const ports::UpstreamEntry& entry : update.entries) OnListEntry(entry);
   AdoptReferencedUpstreams();
-  ResolveIfAllReported();
-  PlaceSoon();
+  ResolveWhenRunningTasksKnown();
+  SchedulePlacement();
 }
 
-void Coordinator::OnEntry(const ports::UpstreamEntry& entry) {
+void Coordinator::OnListEntry(const ports::UpstreamEntry& entry) {
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
-  if (!entry.decode_error.empty()) return OnMalformedEntry(entry);
+  if (!entry.decode_error.empty()) return OnMalformedListEntry(entry);
   if (ended_upstreams_.count(entry.id) > 0) return;
   if (!entry.listed) {
     unreferenced_upstreams_.erase(entry.id);
@@ -94,23 +97,23 @@
   unreferenced_upstreams_[entry.id] = entry;
 }
 
-void Coordinator::OnMalformedEntry(const ports::UpstreamEntry& entry) {
+void Coordinator::OnMalformedListEntry(const ports::UpstreamEntry& entry) {
   deps_.malformed_records.Report(faults::RecordSource::kUpstreamList, entry.id,
                                  entry.decode_error);
   unreferenced_upstreams_.erase(entry.id);
   scheduling::UpstreamPool& pool = scheduler_.pool();
   const UpstreamIndex known = pool.Find(entry.id);
   if (known == kNoUpstream) return;
-  // A malformed entry cannot be used, but it does not mean that the upstream
-  // has left. No new task starts there, and running tasks keep their leases at
-  // the known address. If they were stopped or forgotten instead, one malformed
-  // entry would lose them.
+  // A malformed list entry cannot be used, but it does not mean that the
+  // upstream has left. No new task starts there, and running tasks keep their
+  // leases at the known address. If these tasks were stopped or forgotten
+  // instead, one malformed entry would lose them.
   pool.at(known).listed = true;
   pool.at(known).entry_malformed = true;
 }
 
 bool Coordinator::IsPoolReferenced(const std::string& pool) const {
-  const std::set<std::string>* pools = deps_.pools();
+  const std::set<std::string>* pools = deps_.configured_pools();
   return job_pools_.count(pool) > 0 ||
          (pools != nullptr && pools->count(pool) > 0);
 }
@@ -120,9 +123,9 @@
        at != unreferenced_upstreams_.end();) {
     const ports::UpstreamEntry& entry = at->second;
     if (!IsPoolReferenced(entry.pool)) {
-      // Checked again with each read of the list, since a configuration that
-      // names the pool may still arrive.
-      if (deps_.pools() != nullptr) {
+      // The entry is kept and checked again after each read of the list, since
+      // a configuration that names the pool may still arrive.
+      if (deps_.configured_pools() != nullptr) {
         deps_.malformed_records.Report(
             faults::RecordSource::kUpstreamList, entry.id,
             "neither the configuration nor a job names its pool");
@@ -136,11 +139,12 @@
 }
 
 void Coordinator::AdoptUpstream(const ports::UpstreamEntry& entry) {
-  // A later leader must know every upstream that may run tasks. The list entry
-  // of an upstream expires while the store is unavailable, although its tasks
-  // continue. So no task starts there before the upstream's own record is
-  // stored.
-  journal_->Put(kUpstreamPrefix + entry.id, rpc::Encode(ToRecord(entry)));
+  // A later leader must know every upstream that may run tasks. The list is not
+  // enough: an upstream's entry there expires while the store is unavailable,
+  // although its tasks continue. So no task starts on the upstream before its
+  // record in the job table is stored.
+  journal_->Put(kUpstreamPrefix + entry.id,
+                rpc::Encode(ToUpstreamRecord(entry)));
   OpenLink(entry);
 }
 
@@ -154,15 +158,15 @@
   }
   if (links_.count(index) > 0) return;
   if (closure != inherited_closures_.end()) {
-    scheduler_.pool().at(index).suspect_runs = closure->second.runs;
+    scheduler_.pool().at(index).suspect_runs = closure->second.suspect_runs;
   }
   auto link = std::make_shared<fleet::UpstreamLink>(
-      deps_.executor, deps_.tasks, *this,
+      deps_.executor, deps_.task_port, *this,
       fleet::UpstreamLinkOptions{
           .index = index,
           .target = {.address = entry.address, .id = entry.id},
           .first_fence = next_fence_,
-          .lease = options_.lease,
+          .lease = options_.task_lease,
           .previous_leader_timeout = options_.previous_leader_timeout});
   links_[index] = link;
   journal_->WhenStored([weak = weak_from_this(), link](bool stored) {
@@ -173,18 +177,18 @@
 
 void Coordinator::CloseUpstream(UpstreamIndex upstream) {
   // The record tells the next leader which jobs may have tasks on this
-  // upstream, so that only these few jobs wait. Without it, an upstream that
-  // disappears during a change of leaders delays all loaded jobs for 6 s, until
-  // its leases have certainly expired: 20 of 119 urgent jobs were late after a
-  // power loss because one upstream had left.
-  // An upstream that has not answered in this term is not closed, since an
-  // earlier leader could still start tasks there.
+  // upstream, so that only these few jobs wait. Without the record, an upstream
+  // that disappears during a takeover delays all loaded jobs for 6 s, until its
+  // leases have certainly expired. After a power loss, 20 of 119 urgent jobs
+  // were late because one upstream had left.
+  // An upstream that has not reported its tasks in this term is not closed,
+  // since an earlier leader could still start tasks there.
   const auto link = links_.find(upstream);
   if (link == links_.end() || !link->second->reconciled()) return;
   scheduling::Upstream& it = scheduler_.pool().at(upstream);
   it.closed = true;
   ++close_counts_[upstream];
-  wire::UpstreamRecord record = ToRecord(it.entry);
+  wire::UpstreamRecord record = ToUpstreamRecord(it.entry);
   record.closed = true;
   std::set<JobId> jobs;
   for (const auto& [run, allocation] : it.reservations) {
@@ -193,9 +197,9 @@
   for (const JobId id : jobs) record.jobs.push_back(static_cast<int64_t>(id));
   if (!it.reachable) {
     // If this leader fails before it knows whether the upstream has crashed,
-    // the next one needs the runs that the crash would have ended.
+    // the next leader needs the runs that such a crash ended.
     record.runs =
-        ToRecords(scheduler_.SuspectRunsOn(upstream, deps_.executor.Now()));
+        ToRunRecords(scheduler_.SuspectRunsOn(upstream, deps_.executor.Now()));
   }
   logging::Event(Level::kInfo, "upstream closed",
                  {{"upstream", it.entry.id},
@@ -210,7 +214,8 @@
   if (!it.reachable || it.entry.draining) return;
   // No task may start there while the stored record says that the upstream is
   // closed: a later leader would start the same tasks elsewhere.
-  journal_->Put(kUpstreamPrefix + it.entry.id, rpc::Encode(ToRecord(it.entry)));
+  journal_->Put(kUpstreamPrefix + it.entry.id,
+                rpc::Encode(ToUpstreamRecord(it.entry)));
   journal_->WhenStored([weak = weak_from_this(), upstream,
                         close_count = close_counts_[upstream]](bool stored) {
     const auto self = weak.lock();
@@ -219,9 +224,9 @@
     if (self->close_counts_[upstream] != close_count) return;
     scheduling::Upstream& reopened = self->scheduler_.pool().at(upstream);
     reopened.closed = false;
-    logging::Event(Level::kInfo, "upstream open again",
+    logging::Event(Level::kInfo, "upstream reopened",
                    {{"upstream", reopened.entry.id}});
-    self->PlaceSoon();
+    self->SchedulePlacement();
   });
 }
 
@@ -237,18 +242,19 @@
   return out;
 }
 
-void Coordinator::ResolveIfAllReported() {
+void Coordinator::ResolveWhenRunningTasksKnown() {
   if (!list_known_ || deps_.executor.Now() < unreadable_leases_end_) return;
-  if (scheduler_.resolved() && uncertain_count_ == 0) return;
+  if (scheduler_.resolved() && uncertain_job_count_ == 0) return;
   const auto uncertain = UncertainJobs();
   if (!uncertain) return;
-  if (scheduler_.resolved() && uncertain->size() == uncertain_count_) return;
-  uncertain_count_ = uncertain->size();
+  if (scheduler_.resolved() && uncertain->size() == uncertain_job_count_)
+    return;
+  uncertain_job_count_ = uncertain->size();
   logging::Event(
-      Level::kInfo, "all upstreams have told what they run",
+      Level::kInfo, "running tasks known",
       {{"term", Text(options_.term)},
        {"upstreams", Text(static_cast<int64_t>(links_.size()))},
-       {"jobs_uncertain", Text(static_cast<int64_t>(uncertain_count_))}});
+       {"jobs_uncertain", Text(static_cast<int64_t>(uncertain_job_count_))}});
   Orders orders;
   scheduler_.Resolve(*uncertain, deps_.executor.Now(), orders);
   ExecuteOrders(orders);
@@ -263,33 +269,35 @@
                            const std::vector<ports::EndedTask>& ended) {
   const TimePoint now = deps_.executor.Now();
   Orders orders;
-  for (const ports::EndedTask& end : ended) {
+  for (const ports::EndedTask& completion : ended) {
     deps_.metrics.Count(
         {.name = "task_ends",
-         .labels = {
-             {"how", std::string(ports::kEndKindNames.Name(end.kind))}}});
-    if (end.kind != ports::EndKind::kDone) {
+         .labels = {{"how", std::string(
+                                ports::kEndKindNames.Name(completion.kind))}}});
+    if (completion.kind != ports::EndKind::kDone) {
       logging::Event(
           Level::kInfo, "task ended early",
-          {{"task", TaskIdText(end.task)},
-           {"attempt", Text(end.attempt)},
+          {{"task", TaskIdText(completion.task)},
+           {"attempt", Text(completion.attempt)},
            {"upstream", scheduler_.pool().at(upstream).entry.id},
-           {"how", std::string(ports::kEndKindNames.Name(end.kind))}});
+           {"how", std::string(ports::kEndKindNames.Name(completion.kind))}});
     }
-    StoreUnmatchedCompletion(end);
-    scheduler_.OnEnd(upstream, end, now, orders);
+    StoreUnmatchedCompletion(completion);
+    scheduler_.OnEnd(upstream, completion, now, orders);
   }
   scheduler_.OnRunning(upstream, running, now, orders);
   ExecuteOrders(orders);
   if (ended.empty()) return;
-  PlaceSoon();
-  const int64_t last = ended.back().number;
-  journal_->WhenStored([weak = weak_from_this(), upstream, last](bool stored) {
-    const auto self = weak.lock();
-    if (!stored || !self || self->closed_) return;
-    const auto link = self->links_.find(upstream);
-    if (link != self->links_.end()) link->second->AcknowledgeCompletions(last);
-  });
+  SchedulePlacement();
+  const int64_t last_completion = ended.back().number;
+  journal_->WhenStored(
+      [weak = weak_from_this(), upstream, last_completion](bool stored) {
+        const auto self = weak.lock();
+        if (!stored || !self || self->closed_) return;
+        const auto link = self->links_.find(upstream);
+        if (link != self->links_.end())
+          link->second->AcknowledgeCompletions(last_completion);
+      });
 }
 
 void Coordinator::OnReachable(UpstreamIndex upstream, bool reachable) {
@@ -302,8 +310,8 @@
   inherited_closures_.erase(it.entry.id);
   if (it.entry.draining && !it.closed) CloseUpstream(upstream);
   if (!it.entry.draining && it.closed) ReopenUpstream(upstream);
-  ResolveIfAllReported();
-  PlaceSoon();
+  ResolveWhenRunningTasksKnown();
+  SchedulePlacement();
 }
 
 void Coordinator::OnAllRunsEnded(UpstreamIndex upstream, UpstreamLoss why) {
@@ -314,14 +322,14 @@
   Orders orders;
   scheduler_.OnAllRunsEnded(upstream, why, deps_.executor.Now(), orders);
   ExecuteOrders(orders);
-  // An upstream whose leases expired is kept while it is listed, or while it
-  // may still turn out to have crashed with its runs.
+  // An upstream whose leases expired is kept while it is listed, or while its
+  // runs may still turn out to have ended in a crash.
   const scheduling::Upstream& it = scheduler_.pool().at(upstream);
   const bool ended = why != UpstreamLoss::kLeasesExpired ||
                      (!it.listed && it.suspect_runs.empty());
   if (ended) DropUpstream(upstream, why);
-  ResolveIfAllReported();
-  PlaceSoon();
+  ResolveWhenRunningTasksKnown();
+  SchedulePlacement();
 }
 
 void Coordinator::DropUpstream(UpstreamIndex upstream, UpstreamLoss why) {
@@ -331,9 +339,9 @@
       {{"upstream", id},
        {"why", std::string(scheduling::kUpstreamLossNames.Name(why))}});
   journal_->Remove(kUpstreamPrefix + id);
-  // The upstream may come back under its id and has then seen all tokens that
-  // this link used. A link opened with an earlier token would be fenced as if
-  // another entry led, and this entry would step down.
+  // The upstream may come back under the same id, and has then seen all fencing
+  // tokens that this link used. A link opened with an earlier token would be
+  // fenced as if another entry led, and this entry would step down.
   next_fence_ = std::max(next_fence_, links_.at(upstream)->fence() + 1);
   links_.at(upstream)->Close();
   links_.erase(upstream);
@@ -342,16 +350,16 @@
 
 void Coordinator::DropUnresponsiveUpstreams() {
   const TimePoint now = deps_.executor.Now();
-  std::vector<UpstreamIndex> dead;
+  std::vector<UpstreamIndex> ended;
   for (const auto& [index, link] : links_) {
     const scheduling::Upstream& it = scheduler_.pool().at(index);
     if (it.listed || !link->all_runs_ended()) continue;
     const TimePoint since = it.unresponsive_since.value_or(it.known_since);
     if (now - since >= options_.unresponsive_upstream_timeout) {
-      dead.push_back(index);
+      ended.push_back(index);
     }
   }
-  for (const UpstreamIndex index : dead) {
+  for (const UpstreamIndex index : ended) {
     OnAllRunsEnded(index, UpstreamLoss::kCrashed);
   }
 }
@@ -370,7 +378,7 @@
   }
   scheduler_.OnStartReply(order, reply.verdict, deps_.executor.Now(), orders);
   ExecuteOrders(orders);
-  if (reply.verdict != ports::CallVerdict::kDone) PlaceSoon();
+  if (reply.verdict != ports::CallVerdict::kDone) SchedulePlacement();
 }
 
 void Coordinator::OnStopFailed(UpstreamIndex upstream, const TaskId& task,
@@ -401,12 +409,13 @@
 
 int64_t Coordinator::FreeMillicores() {
   const scheduling::UpstreamPool& pool = scheduler_.pool();
-  int64_t free = 0;
+  int64_t free_millicores = 0;
   for (const UpstreamIndex index : pool.all()) {
     if (!pool.at(index).AcceptsWork()) continue;
-    free += std::max(0, pool.at(index).free[scheduling::Dimension::kCores]);
+    free_millicores +=
+        std::max(0, pool.at(index).free[scheduling::Dimension::kCores]);
   }
-  return free;
+  return free_millicores;
 }
 
 void Coordinator::SetCordoned(const std::set<std::string>& upstreams) {
@@ -414,7 +423,7 @@
   for (const UpstreamIndex index : pool.all()) {
     pool.at(index).cordoned = upstreams.count(pool.at(index).entry.id) > 0;
   }
-  PlaceSoon();
+  SchedulePlacement();
 }
 
 void Coordinator::EvictTasks(const std::string& upstream, bool all) {
--- a/src/jobentry/entry_rpc_handlers.cc
+++ b/src/jobentry/entry_rpc_handlers.cc
@@ -3,7 +3,7 @@
 namespace mimosarail::jobentry {
 namespace {
 
-/// Registers a handler that answers asynchronously.
+/// Registers a handler that replies asynchronously.
 template <typename Call, typename Reply>
 void ServeAsync(rpc::Server& server, Executor& executor, rpc::Method method,
                 JobEntry& entry,
@@ -16,7 +16,7 @@
       });
 }
 
-/// Registers a handler that returns its answer.
+/// Registers a handler that returns its reply.
 template <typename Call, typename Reply>
 void ServeSync(rpc::Server& server, Executor& executor, rpc::Method method,
                JobEntry& entry, Reply (JobEntry::*handle)(const Call&)) {
@@ -36,10 +36,11 @@
             &JobEntry::OnHeartbeat);
   ServeSync(server, executor, Method::kAnnounce, entry, &JobEntry::OnAnnounce);
   ServeAsync(server, executor, Method::kSubmitJob, entry, &JobEntry::OnSubmit);
-  ServeAsync(server, executor, Method::kJobState, entry, &JobEntry::OnState);
+  ServeAsync(server, executor, Method::kJobState, entry,
+             &JobEntry::OnQueryState);
   ServeAsync(server, executor, Method::kCancelJob, entry, &JobEntry::OnCancel);
   ServeAsync(server, executor, Method::kPendingJobs, entry,
-             &JobEntry::OnPending);
+             &JobEntry::OnCountPending);
   ServeAsync(server, executor, Method::kAdvise, entry, &JobEntry::OnAdvise);
 }
 
--- a/src/jobentry/entry_rpc_handlers.h
+++ b/src/jobentry/entry_rpc_handlers.h
@@ -5,8 +5,8 @@
 
 namespace mimosarail::jobentry {
 
-/// Registers the handlers of other entries' calls. Must be called before
-/// Listen(); `executor` and `entry` must outlive the server.
+/// Registers the handlers of calls from other entries. Must be called before
+/// Server::Listen(). `executor` and `entry` must outlive the server.
 void RegisterEntryHandlers(rpc::Server& server, Executor& executor,
                            JobEntry& entry);
 
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -11,26 +11,27 @@
 using coordinator::ToJobVerdict;
 using logging::Level;
 
-/// An entry that has no heartbeat reply from a leader for this long can't serve
-/// callers.
+/// An entry without a heartbeat reply from a leader for this long is not ready
+/// for callers.
 constexpr Millis kReadyTimeout{2500};
-/// Callers retry a refused request after this.
+/// Callers retry a refused call after this.
 constexpr Millis kRetryAfter{1000};
-constexpr Millis kLanesPeriod{200};
+/// Interval between updates of the coordinator's list of lanes.
+constexpr Millis kLaneRefreshPeriod{200};
 /// A call that the leader has not answered is retried after
 /// JobEntryOptions::first_retry_pause. The pause then doubles up to three
-/// times, to 0.4 s: each retry uses link and processor capacity that the leader
-/// needs to answer at all.
-constexpr int kMaxDoublings = 3;
-/// A call that waits for a leader checks its deadline again at this interval,
-/// since the deadline becomes earlier when its entry shuts down.
+/// times, to 0.4 s, because each retry uses link and processor capacity that
+/// the leader needs to answer at all.
+constexpr int kMaxPauseDoublings = 3;
+/// A call that waits for a leader checks its deadline at this interval, since
+/// the deadline becomes earlier when the entry shuts down.
 constexpr Millis kLeaderWaitPeriod{500};
-/// Longest retry pause that is accepted from another entry's refusal.
+/// Longest retry pause that is accepted in another entry's refusal.
 constexpr Millis kMaxRetryAfter{60000};
-/// Longest timeout of an advice call that another entry may request, and
-/// longest validity accepted in an advice reply: 30 days, far above the values
-/// of queues.
+/// Longest timeout of an advice call that another entry may request.
 constexpr Millis kMaxAdviceTimeout{60000};
+/// Longest validity that is accepted in an advice reply: 30 days, far above the
+/// values of queues.
 constexpr Millis kMaxAdviceValidity{kMaxSpecDurationMs};
 
 wire::AdviseReply ToReply(const Result<ports::Advice>& advice) {
@@ -84,23 +85,24 @@
 }  // namespace
 
 template <typename Reply>
-struct JobEntry::Forwarded {
-  /// The call's kind and subject, for the log.
-  std::string name;
-  /// Time at which the call is refused if it cannot have taken effect.
-  TimePoint refuse_at;
+struct JobEntry::ForwardedCall {
+  /// The call's kind and its job or queue, for the log.
+  std::string description;
+  /// Time at which an unanswered call is refused if it is not in doubt.
+  TimePoint refusal_deadline;
   /// Time at which the caller stops waiting.
   TimePoint caller_deadline;
   /// Runs the call at this entry.
-  std::function<void(std::function<void(Reply)>)> run_local;
-  /// Sends the call to another entry.
+  std::function<void(std::function<void(Reply)>)> run_locally;
+  /// Sends the call to the entry with this address, with this timeout.
   std::function<void(const std::string&, Millis, Callback<Reply>)> send;
   JobDone done;
-  /// The outcome is unknown: the call may have taken effect at a leader.
+  /// The outcome is unknown, since the call may have taken effect at a leader.
   bool in_doubt = false;
+  /// Number of times that the call was sent to a leader or run here.
   int tries = 0;
   /// Outcome of the last try, for the log.
-  std::string last_try = "none";
+  std::string last_try_outcome = "none";
   /// The call changes nothing, so it is never in doubt.
   bool read_only = false;
 };
@@ -108,7 +110,7 @@
 JobEntry::JobEntry(Dependencies deps, JobEntryOptions options)
     : deps_(deps),
       options_(std::move(options)),
-      waiting_(deps_.executor),
+      waiting_calls_(deps_.executor),
       malformed_records_(deps_.metrics),
       config_(deps_.executor, deps_.config, malformed_records_, options_.config,
               [] {}),
@@ -117,12 +119,13 @@
           options_.leadership,
           {.on_elected = [this](int64_t term) { OnElected(term); },
            .on_leadership_lost = [this] { OnLeadershipLost(); },
-           .on_leader_ready = [this] { waiting_.ReleaseAll(); },
+           .on_leader_ready = [this] { waiting_calls_.ReleaseAll(); },
            .on_heartbeat_reply =
                [this](const wire::HeartbeatReply& reply) {
                  last_leader_reply_ = deps_.executor.Now();
                  // A leader that cannot reach the store may have an outdated
-                 // configuration; an entry that has none does not accept it.
+                 // configuration. An entry without a configuration does not
+                 // accept it; an entry with one accepts only a later version.
                  const bool usable = reply.store_reachable || config_.known();
                  if (!reply.config.empty() && usable) {
                    config_.Offer(reply.config);
@@ -146,7 +149,7 @@
 void JobEntry::Start() {
   config_.Start();
   leadership_.Start();
-  RunEvery(deps_.executor, kLanesPeriod, [this] { RefreshLanes(); });
+  RunEvery(deps_.executor, kLaneRefreshPeriod, [this] { RefreshLanes(); });
 }
 
 void JobEntry::OnElected(int64_t term) {
@@ -160,12 +163,12 @@
       coordinator::Coordinator::Dependencies{
           .executor = deps_.executor,
           .store = deps_.store,
-          .list = deps_.list,
-          .tasks = deps_.tasks,
-          .advice = *this,
+          .upstream_list = deps_.upstream_list,
+          .task_port = deps_.task_port,
+          .advice_caller = *this,
           .metrics = deps_.metrics,
           .malformed_records = malformed_records_,
-          .pools = [this] { return KnownPools(); },
+          .configured_pools = [this] { return ConfiguredPools(); },
           .leader_lease_valid = [this] { return leadership_.lease_valid(); },
           .lease_confirmed_by_store =
               [this] { return leadership_.lease_confirmed_by_store(); },
@@ -179,13 +182,13 @@
               },
           .hosts = deps_.hosts,
           .wave_status = deps_.wave_status,
-          .waves = waves},
+          .requested_waves = waves},
       options_.coordinator);
   coordinator_->Start();
   RefreshLanes();
 }
 
-const std::set<std::string>* JobEntry::KnownPools() const {
+const std::set<std::string>* JobEntry::ConfiguredPools() const {
   return config_.known() ? &config_.config().pools : nullptr;
 }
 
@@ -217,7 +220,7 @@
   return deps_.executor.Now() - last_leader_reply_ < kReadyTimeout;
 }
 
-Route JobEntry::Find(const std::string& host, const std::string& path) {
+Route JobEntry::FindRoute(const std::string& host, const std::string& path) {
   Route out;
   if (!config_.known()) return out;
   out.kind = RouteKind::kNoQueue;
@@ -234,62 +237,64 @@
 }
 
 template <typename Reply>
-void JobEntry::Forward(std::shared_ptr<Forwarded<Reply>> call) {
+void JobEntry::Forward(std::shared_ptr<ForwardedCall<Reply>> call) {
   const TimePoint now = deps_.executor.Now();
-  // A call that may have taken effect can't be refused any more, so its outcome
-  // is resolved for as long as its caller waits. An entry that shuts down must
-  // answer each call before it exits.
+  // A call that may have taken effect can't be refused any more, so it is
+  // retried, to resolve its outcome, for as long as its caller waits. An entry
+  // that shuts down must answer each call before it exits.
   const TimePoint deadline =
-      std::min(call->in_doubt ? call->caller_deadline : call->refuse_at,
+      std::min(call->in_doubt ? call->caller_deadline : call->refusal_deadline,
                shutdown_reply_deadline_);
   const auto remaining = std::chrono::duration_cast<Millis>(deadline - now);
   if (remaining <= Millis(0)) {
     logging::Event(Level::kWarning, "no answer from a leader",
-                   {{"call", call->name},
+                   {{"call", call->description},
                     {"term", std::to_string(leadership_.term())},
                     {"leader", leadership_.leader().name},
                     {"leader_heard_ms", LeaderHeartbeatAge()},
                     {"tries", std::to_string(call->tries)},
-                    {"last_try", call->last_try},
+                    {"last_try", call->last_try_outcome},
                     {"stopping", shutting_down_ ? "yes" : "no"},
-                    {"doubtful", call->in_doubt ? "yes" : "no"}});
+                    {"in_doubt", call->in_doubt ? "yes" : "no"}});
     return call->done({.verdict = call->in_doubt ? JobVerdict::kOutcomeUnknown
                                                  : JobVerdict::kRefused,
                        .retry_after = kRetryAfter});
   }
   const auto retry = [this, call, remaining] {
-    const int doublings = std::clamp(call->tries - 1, 0, kMaxDoublings);
-    waiting_.Wait(
+    const int doublings = std::clamp(call->tries - 1, 0, kMaxPauseDoublings);
+    waiting_calls_.Wait(
         std::min(remaining, options_.first_retry_pause * (1 << doublings)),
         [this, call] { Forward(call); });
   };
-  const auto retry_later = [this, call] {
+  const auto retry_after_store_pause = [this, call] {
     deps_.executor.RunAfter(options_.store_retry_pause,
                             [this, call] { Forward(call); });
   };
-  const auto answer = [this, retry, retry_later, call](const Reply& reply) {
+  const auto handle_reply = [this, retry, retry_after_store_pause,
+                             call](const Reply& reply) {
     JobAnswer out = ToAnswer(reply);
-    call->last_try = coordinator::kJobVerdictNames.Name(out.verdict);
+    call->last_try_outcome = coordinator::kJobVerdictNames.Name(out.verdict);
     if (out.verdict == JobVerdict::kNotLeading) return retry();
     if (out.verdict == JobVerdict::kStoreUnavailable) {
       // If the store still serves this entry, an entry that can write takes
-      // over within a second and accepts the job. If the store is unavailable
-      // to all entries, waiting is useless. The outcome of a call in doubt is
-      // resolved for as long as its caller waits.
-      if (call->in_doubt) return retry_later();
-      return CheckStore([retry_later, call, out](bool served) {
-        if (served) return retry_later();
+      // over within a second and accepts the job. If the store serves no entry,
+      // waiting is useless. A call in doubt is retried in either case, to
+      // resolve its outcome.
+      if (call->in_doubt) return retry_after_store_pause();
+      return CheckStore([retry_after_store_pause, call, out](bool served) {
+        if (served) return retry_after_store_pause();
         call->done(
             {.verdict = JobVerdict::kRefused, .retry_after = out.retry_after});
       });
     }
-    // The leader has lost leadership or its store meanwhile. Repeating the call
-    // resolves its outcome, at this leader or the next.
+    // The leader has meanwhile lost its leadership or its connection to the
+    // store. Repeating the call at this leader or the next resolves the
+    // outcome.
     if (out.verdict == JobVerdict::kOutcomeUnknown) {
       call->in_doubt = true;
       return retry();
     }
-    // A refusal of this try does not undo an earlier one that may have taken
+    // A refusal of this try does not undo an earlier try that may have taken
     // effect.
     if (out.verdict == JobVerdict::kRefused && call->in_doubt) {
       out.verdict = JobVerdict::kOutcomeUnknown;
@@ -297,25 +302,26 @@
     call->done(out);
   };
   if (!leadership_.leader_ready()) {
-    // A leader that is still loading can only reject the call. Repeated every
-    // 50 ms by 18 entries, such calls used half of a leader's 2 Mbit/s link.
-    // Its lease renewals were late, and the next leader had to load everything
-    // again: 15 changes of leader in 20 s, and no request was served.
-    call->last_try = leadership_.leader().address.empty()
-                         ? "no leader known"
-                         : "the leader still loads";
-    return waiting_.Wait(std::min(remaining, kLeaderWaitPeriod),
-                         [this, call] { Forward(call); });
+    // A leader that is still loading can only reject the call. When 18 entries
+    // repeated such calls every 50 ms, they used half of the leader's 2 Mbit/s
+    // link. Its lease renewals were late, and the next leader had to load
+    // everything again: there were 15 takeovers in 20 s, and no request was
+    // served.
+    call->last_try_outcome = leadership_.leader().address.empty()
+                                 ? "no leader known"
+                                 : "the leader is still loading";
+    return waiting_calls_.Wait(std::min(remaining, kLeaderWaitPeriod),
+                               [this, call] { Forward(call); });
   }
   ++call->tries;
-  if (coordinator_) return call->run_local(answer);
+  if (coordinator_) return call->run_locally(handle_reply);
   call->send(leadership_.leader().address,
              std::min(remaining, options_.call_timeout),
-             [retry, answer, call](const Result<Reply>& reply) {
-               if (reply.ok()) return answer(reply.value());
-               call->last_try = reply.error().message.empty()
-                                    ? reply.error().code.message()
-                                    : reply.error().message;
+             [retry, handle_reply, call](const Result<Reply>& reply) {
+               if (reply.ok()) return handle_reply(reply.value());
+               call->last_try_outcome = reply.error().message.empty()
+                                            ? reply.error().code.message()
+                                            : reply.error().message;
                if (reply.error().code != Errc::kUnavailable) {
                  call->in_doubt = !call->read_only;
                }
@@ -345,11 +351,11 @@
         store_serves_ = page.ok();
         store_checked_at_ = deps_.executor.Now();
         logging::Event(
-            Level::kInfo, "store looked at",
+            Level::kInfo, "store checked",
             {{"serves", page.ok() ? "yes" : "no"},
              {"waiting", std::to_string(store_check_waiters_.size())}});
-        for (const auto& waiting : std::exchange(store_check_waiters_, {})) {
-          waiting(store_serves_);
+        for (const auto& waiter : std::exchange(store_check_waiters_, {})) {
+          waiter(store_serves_);
         }
       });
 }
@@ -359,12 +365,15 @@
   const auto id = static_cast<JobId>(spec.id);
   auto message = std::make_shared<wire::SubmitJobCall>();
   message->job = spec;
-  auto call = std::make_shared<Forwarded<wire::SubmitJobReply>>();
-  call->name = "submit " + JobIdText(id);
+  auto call = std::make_shared<ForwardedCall<wire::SubmitJobReply>>();
+  call->description = "submit " + JobIdText(id);
   call->caller_deadline = deps_.executor.Now() + caller_timeout;
-  call->refuse_at = deps_.executor.Now() +
-                    std::min(caller_timeout, options_.leader_wait_timeout);
-  call->run_local = [this, message](auto reply) { OnSubmit(*message, reply); };
+  call->refusal_deadline =
+      deps_.executor.Now() +
+      std::min(caller_timeout, options_.leader_wait_timeout);
+  call->run_locally = [this, message](auto reply) {
+    OnSubmit(*message, reply);
+  };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
     deps_.peers.SubmitJob(address, *message, timeout, std::move(reply));
@@ -373,20 +382,23 @@
   Forward(call);
 }
 
-void JobEntry::State(JobId id, Millis caller_timeout, JobDone done) {
+void JobEntry::QueryState(JobId id, Millis caller_timeout, JobDone done) {
   const auto known = final_states_.find(id);
   if (known != final_states_.end()) {
     return done({.verdict = JobVerdict::kConfirmed, .state = known->second});
   }
   wire::JobStateCall message;
   message.id = static_cast<int64_t>(id);
-  auto call = std::make_shared<Forwarded<wire::JobStateReply>>();
+  auto call = std::make_shared<ForwardedCall<wire::JobStateReply>>();
   call->read_only = true;
-  call->name = "state " + JobIdText(id);
+  call->description = "state " + JobIdText(id);
   call->caller_deadline = deps_.executor.Now() + caller_timeout;
-  call->refuse_at = deps_.executor.Now() +
-                    std::min(caller_timeout, options_.leader_wait_timeout);
-  call->run_local = [this, message](auto reply) { OnState(message, reply); };
+  call->refusal_deadline =
+      deps_.executor.Now() +
+      std::min(caller_timeout, options_.leader_wait_timeout);
+  call->run_locally = [this, message](auto reply) {
+    OnQueryState(message, reply);
+  };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
     deps_.peers.JobState(address, message, timeout, std::move(reply));
@@ -402,21 +414,22 @@
 
 void JobEntry::RememberFinalState(JobId id, JobState state) {
   if (!final_states_.emplace(id, state).second) return;
-  final_order_.push_back(id);
-  if (final_order_.size() <= options_.max_final_states) return;
-  final_states_.erase(final_order_.front());
-  final_order_.pop_front();
+  final_state_order_.push_back(id);
+  if (final_state_order_.size() <= options_.max_final_states) return;
+  final_states_.erase(final_state_order_.front());
+  final_state_order_.pop_front();
 }
 
 void JobEntry::Cancel(JobId id, Millis caller_timeout, JobDone done) {
   wire::CancelJobCall message;
   message.id = static_cast<int64_t>(id);
-  auto call = std::make_shared<Forwarded<wire::CancelJobReply>>();
-  call->name = "cancel " + JobIdText(id);
+  auto call = std::make_shared<ForwardedCall<wire::CancelJobReply>>();
+  call->description = "cancel " + JobIdText(id);
   call->caller_deadline = deps_.executor.Now() + caller_timeout;
-  call->refuse_at = deps_.executor.Now() +
-                    std::min(caller_timeout, options_.leader_wait_timeout);
-  call->run_local = [this, message](auto reply) { OnCancel(message, reply); };
+  call->refusal_deadline =
+      deps_.executor.Now() +
+      std::min(caller_timeout, options_.leader_wait_timeout);
+  call->run_locally = [this, message](auto reply) { OnCancel(message, reply); };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
     deps_.peers.CancelJob(address, message, timeout, std::move(reply));
@@ -425,17 +438,20 @@
   Forward(call);
 }
 
-void JobEntry::Pending(const std::string& queue, Millis caller_timeout,
-                       JobDone done) {
+void JobEntry::CountPending(const std::string& queue, Millis caller_timeout,
+                            JobDone done) {
   wire::PendingJobsCall message;
   message.queue = queue;
-  auto call = std::make_shared<Forwarded<wire::PendingJobsReply>>();
+  auto call = std::make_shared<ForwardedCall<wire::PendingJobsReply>>();
   call->read_only = true;
-  call->name = "pending " + queue;
+  call->description = "pending " + queue;
   call->caller_deadline = deps_.executor.Now() + caller_timeout;
-  call->refuse_at = deps_.executor.Now() +
-                    std::min(caller_timeout, options_.leader_wait_timeout);
-  call->run_local = [this, message](auto reply) { OnPending(message, reply); };
+  call->refusal_deadline =
+      deps_.executor.Now() +
+      std::min(caller_timeout, options_.leader_wait_timeout);
+  call->run_locally = [this, message](auto reply) {
+    OnCountPending(message, reply);
+  };
   call->send = [this, message](const std::string& address, Millis timeout,
                                auto reply) {
     deps_.peers.PendingJobs(address, message, timeout, std::move(reply));
@@ -444,9 +460,10 @@
   Forward(call);
 }
 
-void JobEntry::Ask(const std::string& entry_address, const StepId& step,
-                   const std::vector<std::string>& upstreams, Millis timeout,
-                   Callback<ports::Advice> done) {
+void JobEntry::RequestAdvice(const std::string& entry_address,
+                             const StepId& step,
+                             const std::vector<std::string>& upstreams,
+                             Millis timeout, Callback<ports::Advice> done) {
   if (entry_address == options_.leadership.member.address) {
     return deps_.adviser.RequestAdvice(step, upstreams, timeout,
                                        std::move(done));
@@ -491,10 +508,10 @@
   done(reply);
 }
 
-void JobEntry::OnState(const wire::JobStateCall& call,
-                       std::function<void(wire::JobStateReply)> done) {
+void JobEntry::OnQueryState(const wire::JobStateCall& call,
+                            std::function<void(wire::JobStateReply)> done) {
   if (coordinator_) {
-    return done(coordinator_->State(static_cast<JobId>(call.id)));
+    return done(coordinator_->QueryState(static_cast<JobId>(call.id)));
   }
   wire::JobStateReply reply;
   reply.verdict = static_cast<int32_t>(JobVerdict::kNotLeading);
@@ -511,9 +528,10 @@
   done(reply);
 }
 
-void JobEntry::OnPending(const wire::PendingJobsCall& call,
-                         std::function<void(wire::PendingJobsReply)> done) {
-  if (coordinator_) return done(coordinator_->Pending(call.queue));
+void JobEntry::OnCountPending(
+    const wire::PendingJobsCall& call,
+    std::function<void(wire::PendingJobsReply)> done) {
+  if (coordinator_) return done(coordinator_->CountPending(call.queue));
   wire::PendingJobsReply reply;
   reply.verdict = static_cast<int32_t>(JobVerdict::kNotLeading);
   done(reply);
@@ -521,8 +539,8 @@
 
 void JobEntry::OnAdvise(const wire::AdviseCall& call,
                         std::function<void(wire::AdviseReply)> done) {
-  // The adviser takes up to a second. The process would have exited by then,
-  // and the step would have waited without result.
+  // The adviser takes up to a second. This process would have exited by then,
+  // and the step would have waited in vain.
   if (accepting_stopped_) return done(ToReply(Errc::kUnavailable));
   ++advice_in_flight_;
   deps_.adviser.RequestAdvice(
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -20,20 +20,20 @@
   leadership::LeadershipOptions leadership;
   coordinator::CoordinatorOptions coordinator;
   cellconfig::CellConfigWatcherOptions config;
-  /// Longest time that a call waits for a leader, unless its outcome is in
-  /// doubt. A takeover takes about 1.2 s.
+  /// Longest time that a call waits for a leader's answer, unless its outcome
+  /// is in doubt. A takeover takes about 1.2 s.
   Millis leader_wait_timeout{1300};
-  /// Pause between the first two attempts to reach the leader.
+  /// Pause before the first retry of a call to the leader.
   Millis first_retry_pause{50};
   /// Pause before a call is repeated at a leader that cannot reach the store.
   Millis store_retry_pause{150};
-  /// An entry that shuts down answers its accepted calls within this time: the
-  /// platform ends the process 6 s after it requested the stop.
+  /// An entry that shuts down answers its accepted calls within this time,
+  /// since the platform ends the process 6 s after it has requested the
+  /// shutdown.
   Millis shutdown_reply_timeout{4400};
-  /// How long the result of a check whether the store serves this entry is
-  /// reused.
+  /// How long the result of a check of the store is reused.
   Millis store_check_max_age{500};
-  /// Timeout of such a check.
+  /// Timeout of a check of the store.
   Millis store_check_timeout{450};
   /// Timeout of one call to the leader.
   Millis call_timeout{1000};
@@ -42,7 +42,7 @@
   size_t max_final_states = 20000;
 };
 
-/// One entry instance: accepts callers' requests, forwards them to the leader,
+/// Entry instance: accepts callers' requests, forwards them to the leader,
 /// calls the adviser on behalf of the leader, and runs the coordinator while it
 /// is the leader itself. Has no threads or sockets of its own. Control thread
 /// only.
@@ -52,13 +52,14 @@
     Executor& executor;
     ports::RecordStorePort& store;
     ports::CellConfigPort& config;
-    ports::UpstreamListPort& list;
-    ports::TaskPort& tasks;
+    ports::UpstreamListPort& upstream_list;
+    ports::TaskPort& task_port;
     ports::AdvicePort& adviser;
     leadership::EntryClientPort& peers;
     metrics::Registry& metrics;
     /// Null where hosts have no API.
     ports::HostPort* hosts = nullptr;
+    /// Not null if `hosts` is not.
     ports::WaveStatusPort* wave_status = nullptr;
   };
 
@@ -68,79 +69,87 @@
   void Start();
   /// Makes the entry unready and, if it leads, resigns leadership.
   void BeginShutdown();
-  /// Rejects further advice calls of the leader; accepted ones are still
+  /// Rejects further advice calls from the leader; accepted ones are still
   /// answered.
   void StopAccepting() { accepting_stopped_ = true; }
   /// Advice calls that were accepted and not yet answered.
   int64_t advice_in_flight() const { return advice_in_flight_; }
 
-  Route Find(const std::string& host, const std::string& path) override;
+  Route FindRoute(const std::string& host, const std::string& path) override;
   void Submit(const wire::JobSpec& spec, Millis caller_timeout,
               JobDone done) override;
-  void State(JobId id, Millis caller_timeout, JobDone done) override;
+  void QueryState(JobId id, Millis caller_timeout, JobDone done) override;
   void Cancel(JobId id, Millis caller_timeout, JobDone done) override;
-  void Pending(const std::string& queue, Millis caller_timeout,
-               JobDone done) override;
+  void CountPending(const std::string& queue, Millis caller_timeout,
+                    JobDone done) override;
   bool Ready() override;
 
-  void Ask(const std::string& entry_address, const StepId& step,
-           const std::vector<std::string>& upstreams, Millis timeout,
-           Callback<ports::Advice> done) override;
+  void RequestAdvice(const std::string& entry_address, const StepId& step,
+                     const std::vector<std::string>& upstreams, Millis timeout,
+                     Callback<ports::Advice> done) override;
 
-  /// Handlers of calls of other entries.
+  /// Handlers of calls from other entries.
   wire::HeartbeatReply OnHeartbeat(const wire::HeartbeatCall& call);
   wire::AnnounceReply OnAnnounce(const wire::AnnounceCall& call);
   void OnSubmit(const wire::SubmitJobCall& call,
                 std::function<void(wire::SubmitJobReply)> done);
-  void OnState(const wire::JobStateCall& call,
-               std::function<void(wire::JobStateReply)> done);
+  void OnQueryState(const wire::JobStateCall& call,
+                    std::function<void(wire::JobStateReply)> done);
   void OnCancel(const wire::CancelJobCall& call,
                 std::function<void(wire::CancelJobReply)> done);
-  void OnPending(const wire::PendingJobsCall& call,
-                 std::function<void(wire::PendingJobsReply)> done);
+  void OnCountPending(const wire::PendingJobsCall& call,
+                      std::function<void(wire::PendingJobsReply)> done);
   void OnAdvise(const wire::AdviseCall& call,
                 std::function<void(wire::AdviseReply)> done);
 
   const leadership::Leadership& leadership() const { return leadership_; }
 
  private:
-  /// A call that is retried until the leader has answered it.
+  /// A call that is retried until the leader has answered it or its deadline
+  /// has passed.
   template <typename Reply>
-  struct Forwarded;
+  struct ForwardedCall;
 
   void OnElected(int64_t term);
   void OnLeadershipLost();
+  /// Tells the coordinator which entries may call the adviser: this one and its
+  /// followers.
   void RefreshLanes();
-  /// Pools that the configuration names; null while none is known.
-  const std::set<std::string>* KnownPools() const;
+  /// Pools that the configuration names; null while no configuration is known.
+  const std::set<std::string>* ConfiguredPools() const;
   void RememberFinalState(JobId id, JobState state);
   /// Time since the leader last answered a heartbeat, in ms, for the log.
   std::string LeaderHeartbeatAge() const;
   /// Checks whether the store serves this entry and passes the result to
-  /// `done`.
+  /// `done`. A recent result is reused.
   void CheckStore(std::function<void(bool served)> done);
+  /// Runs the call at this entry if it leads, or else at the leader. Retries it
+  /// as needed.
   template <typename Reply>
-  void Forward(std::shared_ptr<Forwarded<Reply>> call);
+  void Forward(std::shared_ptr<ForwardedCall<Reply>> call);
 
   Dependencies deps_;
   JobEntryOptions options_;
-  WaitingCalls waiting_;
+  WaitingCalls waiting_calls_;
   faults::MalformedRecordReporter malformed_records_;
   cellconfig::CellConfigWatcher config_;
   leadership::Leadership leadership_;
+  /// Null unless this entry leads.
   std::shared_ptr<coordinator::Coordinator> coordinator_;
   bool shutting_down_ = false;
   bool accepting_stopped_ = false;
   int64_t advice_in_flight_ = 0;
-  /// When an entry that shuts down gives its last answers.
+  /// When this entry answers its last calls; set when its shutdown begins.
   TimePoint shutdown_reply_deadline_ = TimePoint::max();
+  /// Result of the last check of the store.
   bool store_serves_ = true;
   bool store_check_running_ = false;
   TimePoint store_checked_at_{};
   std::vector<std::function<void(bool)>> store_check_waiters_;
   TimePoint last_leader_reply_{};
   std::unordered_map<JobId, JobState> final_states_;
-  std::deque<JobId> final_order_;
+  /// Keys of final_states_, oldest first.
+  std::deque<JobId> final_state_order_;
 };
 
 }  // namespace mimosarail::jobentry
--- a/src/jobentry/waiting_calls.h
+++ b/src/jobentry/waiting_calls.h
@@ -8,8 +8,8 @@
 
 namespace mimosarail::jobentry {
 
-/// Holds calls at the entry that received them while the leader can't accept
-/// them. This avoids repeated calls to the leader. Control thread only. Must
+/// Holds calls at the entry that received them while no leader can accept them,
+/// so that they need not be repeated at the leader. Control thread only. Must
 /// outlive the callbacks queued in its executor.
 class WaitingCalls {
  public:
@@ -23,6 +23,7 @@
  private:
   Executor& executor_;
   int64_t last_number_ = 0;
+  /// By number of the Wait().
   std::map<int64_t, std::function<void()>> waiting_;
 };
 
--- a/tests/job_fault_injection_test.cc
+++ b/tests/job_fault_injection_test.cc
@@ -421,7 +421,7 @@
   };
   // Messages that arrived during the pause are read first.
   cell.entry(paused)->Cancel(69, Millis(3000), note);
-  cell.entry(paused)->State(69, Millis(3000), note);
+  cell.entry(paused)->QueryState(69, Millis(3000), note);
   cell.Resume(paused);
   cell.RunFor(Millis(4000));
   BOOST_REQUIRE_EQUAL(verdicts.size(), 2U);
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cell.cc
@@ -34,8 +34,8 @@
                 .executor = executor,
                 .store = store,
                 .config = store,
-                .list = store,
-                .tasks = tasks,
+                .upstream_list = store,
+                .task_port = tasks,
                 .adviser = tasks,
                 .peers = peers,
                 .metrics = metrics,
@@ -279,7 +279,7 @@
   if (!process) return;
   auto* target = process->entry.get();
   process->executor.Post([target, id, done = std::move(done)] {
-    target->State(id, kCallTimeout, done);
+    target->QueryState(id, kCallTimeout, done);
   });
 }
 
@@ -341,7 +341,7 @@
     auto query = std::make_shared<Query>();
     auto* target = process->entry.get();
     process->executor.Post([query, target, id] {
-      target->State(id, Millis(500), [query](jobentry::JobAnswer answer) {
+      target->QueryState(id, Millis(500), [query](jobentry::JobAnswer answer) {
         query->answered = true;
         if (answer.verdict == coordinator::JobVerdict::kConfirmed) {
           query->state = answer.state;
@@ -472,7 +472,7 @@
                                Callback<wire::JobStateReply> done) {
   Call<wire::JobStateReply>(
       address, WireBytes(call), timeout, std::move(done),
-      [call](auto& entry, auto reply) { entry.OnState(call, reply); });
+      [call](auto& entry, auto reply) { entry.OnQueryState(call, reply); });
 }
 void EntryClientFake::CancelJob(const std::string& address,
                                 const wire::CancelJobCall& call, Millis timeout,
@@ -487,7 +487,7 @@
                                   Callback<wire::PendingJobsReply> done) {
   Call<wire::PendingJobsReply>(
       address, WireBytes(call), timeout, std::move(done),
-      [call](auto& entry, auto reply) { entry.OnPending(call, reply); });
+      [call](auto& entry, auto reply) { entry.OnCountPending(call, reply); });
 }
 void EntryClientFake::Advise(const std::string& address,
                              const wire::AdviseCall& call, Millis timeout,
--- a/tests/leader_partition_test.cc
+++ b/tests/leader_partition_test.cc
@@ -166,7 +166,7 @@
   cell.RunFor(Millis(4000));
   BOOST_REQUIRE(cell.accepted(2));
   std::optional<coordinator::JobVerdict> verdict;
-  cell.entry(old)->State(2, Millis(2000), [&](const jobentry::JobAnswer& it) {
+  cell.entry(old)->QueryState(2, Millis(2000), [&](const jobentry::JobAnswer& it) {
     verdict = it.verdict;
   });
   cell.RunFor(Millis(2500));
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -230,7 +230,7 @@
   }
   const SuspectRuns expected{{{task, 5}, true}};
   BOOST_TEST((coordinator::RunsFromRecord(record) == expected));
-  BOOST_TEST((coordinator::ToRecords(expected).at(0) == record.runs.at(0)));
+  BOOST_TEST((coordinator::ToRunRecords(expected).at(0) == record.runs.at(0)));
 }
 
 /// An upstream that fails every task at once looks idle and would attract all
@@ -853,11 +853,11 @@
   const TimePoint now = TimePoint() + std::chrono::hours(1);
   lanes.SetEntries({"a", "b", "c", "d", "e", "f", "g"}, now);
   int taken = 0;
-  while (!lanes.Take(1, now).empty()) ++taken;
+  while (!lanes.Acquire(1, now).empty()) ++taken;
   BOOST_TEST(taken == 5);
   BOOST_TEST(lanes.Budget(now).any == 0);
   BOOST_TEST(lanes.Budget(now).urgent_only == 2);
-  BOOST_TEST(!lanes.Take(0, now).empty());
+  BOOST_TEST(!lanes.Acquire(0, now).empty());
 }
 
 /// With 36 lanes, a fixed share reserved for urgent work is too large: other
@@ -872,14 +872,14 @@
   lanes.SetEntries(entries, now);
   BOOST_TEST(lanes.Budget(now).urgent_only == 2);
   std::vector<std::string> taken;
-  for (int i = 0; i < 6; ++i) taken.push_back(lanes.Take(0, now));
+  for (int i = 0; i < 6; ++i) taken.push_back(lanes.Acquire(0, now));
   lanes.Budget(now);
-  for (const std::string& lane : taken) lanes.Free(lane, false, now);
+  for (const std::string& lane : taken) lanes.Release(lane, false, now);
   now += Millis(1000);
   BOOST_TEST(lanes.Budget(now).urgent_only == 8);
   now += Millis(60000);
   BOOST_TEST(lanes.Budget(now).urgent_only == 3);
-  for (int i = 0; i < 36; ++i) lanes.Take(0, now);
+  for (int i = 0; i < 36; ++i) lanes.Acquire(0, now);
   BOOST_TEST(lanes.Budget(now).any == 0);
   BOOST_TEST(lanes.Budget(now).urgent_only == 0);
 }
@@ -918,11 +918,11 @@
   coordinator::AdviceLanes lanes;
   TimePoint now = TimePoint() + std::chrono::hours(1);
   lanes.SetEntries({"a"}, now);
-  BOOST_TEST(lanes.Take(1, now) == "a");
-  lanes.Free("a", true, now);
-  BOOST_TEST(lanes.Take(1, now).empty());
+  BOOST_TEST(lanes.Acquire(1, now) == "a");
+  lanes.Release("a", true, now);
+  BOOST_TEST(lanes.Acquire(1, now).empty());
   now += coordinator::AdviceLanes::kFailureBackoff;
-  BOOST_TEST(lanes.Take(1, now) == "a");
+  BOOST_TEST(lanes.Acquire(1, now) == "a");
 }
 
 }  // namespace mimosarail::scheduling
