--- a/tests/high_latency_test.cc
+++ b/tests/high_latency_test.cc
@@ -9,21 +9,20 @@
 namespace {
 
 /// One-way latency to a slow entry. Its replies to heartbeats arrive after 1 s,
-/// when the senders have already timed out.
+/// when the calls have already timed out.
 constexpr Millis kSlowLinkLatency{500};
-/// Time in which a leader is elected and its term becomes old enough for it to
-/// be replaced.
+/// Time in which a leader is elected and its term becomes old enough that it
+/// may be replaced.
 constexpr Millis kStartupTime{6000};
-/// Interval at which an outcome is polled.
-constexpr Millis kStep{10};
+constexpr Millis kPollInterval{10};
 
-/// Returns how long it takes until one run of the task has ended "done", or
-/// `limit` if longer.
+/// Returns how long it takes until a run of the task is done, or `limit` if
+/// longer.
 Millis TimeToDone(JobCell& cell, const TaskId& task, Millis limit) {
   Millis waited{0};
   while (waited < limit && cell.upstreams().DoneRuns(task) == 0) {
-    cell.RunFor(kStep);
-    waited += kStep;
+    cell.RunFor(kPollInterval);
+    waited += kPollInterval;
   }
   return waited;
 }
@@ -32,13 +31,13 @@
 Millis TimeToAccept(JobCell& cell, JobId id, Millis limit) {
   Millis waited{0};
   while (waited < limit && !cell.accepted(id)) {
-    cell.RunFor(kStep);
-    waited += kStep;
+    cell.RunFor(kPollInterval);
+    waited += kPollInterval;
   }
   return waited;
 }
 
-std::string SomeFollower(JobCell& cell, const std::string& leader) {
+std::string AnyFollower(JobCell& cell, const std::string& leader) {
   for (const std::string& name : cell.names()) {
     if (name != leader) return name;
   }
@@ -51,8 +50,8 @@
 
 /// The leader's host becomes several times slower. The leader still renews its
 /// record in the store in time, so entries that check the record consider it
-/// alive, while callers of all entries wait for its replies until they time
-/// out.
+/// alive. Meanwhile, callers of all entries wait for its replies until they
+/// time out. It must be replaced.
 BOOST_AUTO_TEST_CASE(SlowLeaderIsReplaced) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -61,28 +60,28 @@
   cell.RunFor(Millis(2500));
   BOOST_TEST(cell.Leader() != slow);
   BOOST_TEST(!cell.entry(slow)->leadership().leading());
-  cell.Submit(SomeFollower(cell, slow), OneStepJob(5, 1, 1000));
+  cell.Submit(AnyFollower(cell, slow), OneStepJob(5, 1, 1000));
   BOOST_TEST(TimeToAccept(cell, 5, Millis(1000)) < Millis(100));
   BOOST_TEST(cell.RunUntilFinal(5, Millis(5000)));
   BOOST_TEST(cell.Violations().empty());
 }
 
 /// A follower's own host becomes slow. It waits long for the leader's replies,
-/// but the other entries don't: the leader must not be replaced.
+/// but the other entries don't, so the leader must not be replaced.
 BOOST_AUTO_TEST_CASE(SlowFollowerDoesNotReplaceLeader) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
   const std::string leader = cell.Leader();
   const int64_t term = cell.entry(leader)->leadership().term();
-  cell.SetPeerLatency(SomeFollower(cell, leader), kSlowLinkLatency);
+  cell.SetPeerLatency(AnyFollower(cell, leader), kSlowLinkLatency);
   cell.RunFor(Millis(6000));
   BOOST_TEST(cell.Leader() == leader);
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
 }
 
 /// Every leader is slow, as under a load that is too high for any host. Another
-/// leader does no better, so takeovers must not follow each other closely:
-/// callers wait during each one.
+/// leader does no better, and callers wait during each takeover, so takeovers
+/// must not follow each other closely.
 BOOST_AUTO_TEST_CASE(TakeoversAreRareWhenEveryLeaderIsSlow) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -95,16 +94,16 @@
     }
     cell.RunFor(Millis(100));
   }
-  // One takeover after 1 s, because the first term is old, and then one every 3
-  // s.
+  // One takeover after 1 s, because the first term is old enough, and then one
+  // every 3 s.
   const int64_t after = cell.entry(cell.Leader())->leadership().term();
   BOOST_TEST(after - before >= 1);
   BOOST_TEST(after - before <= 4);
 }
 
-/// More than half of the followers that gave their view must be waiting.
-/// Outdated votes, or the vote of a single follower, must not replace the
-/// leader.
+/// The leader is replaced only if more than half of the followers with a recent
+/// vote report a timeout. Outdated votes, or the vote of a single follower,
+/// must not replace it.
 BOOST_AUTO_TEST_CASE(LeaderIsReplacedOnlyByRecentMajorityVote) {
   const TimePoint start = TimePoint() + std::chrono::hours(1);
   leadership::LeaderTimeoutVotes votes;
@@ -123,8 +122,8 @@
 }
 
 /// An upstream leaves a start order unanswered and carries it out seconds
-/// later. The caller's urgent job must be started again as soon as the reply is
-/// overdue by the typical reply time there, not after a fixed 0.7 s.
+/// later. The urgent task must be started again as soon as the reply is overdue
+/// by the typical reply time of this upstream, not after a fixed 0.7 s.
 BOOST_AUTO_TEST_CASE(UnansweredStartTimesOutByTypicalReplyTime) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(Millis(2000));
@@ -141,13 +140,13 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// The store takes 300 ms for an append. Jobs that arrive continuously must not
-/// wait for an append in flight and then for their own.
+/// The store takes 300 ms for an append. A job that arrives while an append is
+/// in flight must not wait first for that append and then for its own.
 BOOST_AUTO_TEST_CASE(JobWaitsForAtMostOneSlowAppend) {
   JobCell cell({});
   cell.RunFor(Millis(2000));
   cell.store().faults().append_latency = Millis(300);
-  Millis longest{0};
+  Millis longest_wait{0};
   constexpr JobId kJobs = 40;
   for (JobId id = 100; id < 100 + kJobs; ++id) {
     cell.Submit("entry-0", OneStepJob(id, 1, 100));
@@ -155,11 +154,11 @@
   }
   for (JobId id = 200; id < 200 + kJobs / 4; ++id) {
     cell.Submit("entry-0", OneStepJob(id, 1, 100));
-    longest = std::max(longest, TimeToAccept(cell, id, Millis(2000)));
+    longest_wait = std::max(longest_wait, TimeToAccept(cell, id, Millis(2000)));
     cell.RunFor(Millis(70));
   }
-  BOOST_TEST_MESSAGE("longest wait " << longest.count() << " ms");
-  BOOST_TEST(longest <= Millis(300 + 100));
+  BOOST_TEST_MESSAGE("longest wait " << longest_wait.count() << " ms");
+  BOOST_TEST(longest_wait <= Millis(300 + 100));
   BOOST_TEST(cell.Violations().empty());
 }
 
--- a/tests/job_durability_test.cc
+++ b/tests/job_durability_test.cc
@@ -26,9 +26,9 @@
 constexpr uint64_t kFirstSeed = 7000;
 /// Time until a leader serves after a start without faults.
 constexpr Millis kStartupTime{2000};
-/// Time until all accepted jobs are final after the last fault is cleared: task
-/// leases and the leader leases of earlier leaders expire, and the waiting jobs
-/// run.
+/// Time within which all accepted jobs are final after the last fault is
+/// cleared: task leases and the leader leases of earlier leaders expire, and
+/// the waiting jobs run.
 constexpr Millis kRecoveryTime{40000};
 constexpr Millis kPollInterval{500};
 /// Every entry answers within this time: it lets a caller wait for at most 3 s,
@@ -42,10 +42,9 @@
 constexpr Millis kShutdownTime{5200};
 constexpr int32_t kMillicores = 500;
 
-/// Seeds that have failed before, kept as regression cases.
-/// 7482, 8628, 10595, 11580: the check was wrong, not the entry: a cancel was
-/// answered "no such job" 20 ms before the submission of the job was answered,
-/// and the check treated the submission as finished by then.
+/// Regression cases. In these scenarios, a cancel is answered "no such job" 20
+/// ms before the submission of the job is answered. The submission may then
+/// still take effect, so the job may run.
 const std::vector<uint64_t> kRegressionSeeds{7482, 8628, 10595, 11580};
 
 uint64_t SeedCount() {
@@ -63,7 +62,8 @@
   return JobIdText(call.job) + " at " + call.entry;
 }
 
-/// A job answered as accepted is stored, so that any later leader finds it.
+/// A job that was acknowledged as accepted is stored, so that any later leader
+/// finds it.
 void CheckStored(JobCell& cell, JobId id) {
   const auto& records = cell.store().Records(kJobTable);
   const bool stored = records.count(coordinator::SpecKey(id)) > 0 ||
@@ -71,8 +71,8 @@
   BOOST_CHECK_MESSAGE(stored, "accepted but not stored: " << JobIdText(id));
 }
 
-/// Each call gets exactly one answer in time, unless the process of its entry
-/// ended first. An answer may be late if that process was paused.
+/// Each call gets exactly one answer in time, unless the process of the called
+/// entry ended first. An answer may be late if that process was paused.
 void CheckOneAnswerEach(const JobCell& cell) {
   for (const CallerCall& call : cell.calls()) {
     const bool expected = !call.connection_lost;
@@ -88,14 +88,14 @@
 
 /// No entry answers "no such job" to a cancel that was sent after the job had
 /// been accepted.
-void CheckNoneReportedUnknown(const JobCell& cell) {
+void CheckNoAcceptedJobReportedUnknown(const JobCell& cell) {
   std::map<JobId, TimePoint> accepted_at;
   for (const CallerCall& call : cell.calls()) {
     const bool confirmed =
         call.answers > 0 && call.verdict == JobVerdict::kConfirmed;
     if (call.kind != CallKind::kSubmit || !confirmed) continue;
-    const auto [at, fresh] = accepted_at.emplace(call.job, call.ended);
-    if (!fresh) at->second = std::min(at->second, call.ended);
+    const auto [at, inserted] = accepted_at.emplace(call.job, call.ended);
+    if (!inserted) at->second = std::min(at->second, call.ended);
   }
   for (const CallerCall& call : cell.calls()) {
     if (call.kind != CallKind::kCancel || call.answers == 0) continue;
@@ -108,11 +108,12 @@
   }
 }
 
-/// Answer of each entry on the state of each job.
+/// Answers to queries for the state of a job, by entry and job.
 using JobAnswers = std::map<std::pair<std::string, JobId>, jobentry::JobAnswer>;
 
-std::shared_ptr<JobAnswers> AskAll(JobCell& cell, const std::set<JobId>& jobs,
-                                   Millis wait) {
+std::shared_ptr<JobAnswers> QueryAllEntries(JobCell& cell,
+                                            const std::set<JobId>& jobs,
+                                            Millis wait) {
   // Shared, because an entry may answer after this function has returned.
   auto answers_by_entry = std::make_shared<JobAnswers>();
   for (const std::string& name : cell.names()) {
@@ -128,7 +129,7 @@
 }
 
 bool AllFinal(JobCell& cell, const std::set<JobId>& jobs) {
-  const auto answers_by_entry = AskAll(cell, jobs, kPollInterval);
+  const auto answers_by_entry = QueryAllEntries(cell, jobs, kPollInterval);
   return answers_by_entry->size() == jobs.size() * cell.names().size() &&
          std::all_of(answers_by_entry->begin(), answers_by_entry->end(),
                      [](const auto& row) {
@@ -140,38 +141,38 @@
 /// Every entry knows each of the jobs and reports it as final.
 void CheckAllFound(JobCell& cell, const std::set<JobId>& jobs,
                    const std::string& when) {
-  const auto answers_by_entry = AskAll(cell, jobs, kAnswerLimit);
+  const auto answers_by_entry = QueryAllEntries(cell, jobs, kAnswerLimit);
   for (const std::string& name : cell.names()) {
     for (const JobId id : jobs) {
-      const std::string what = JobIdText(id) + " at " + name + " " + when;
+      const std::string subject = JobIdText(id) + " at " + name + " " + when;
       const auto answer = answers_by_entry->find({name, id});
       BOOST_CHECK_MESSAGE(answer != answers_by_entry->end(),
-                          "no answer on " << what);
+                          "no answer on " << subject);
       if (answer == answers_by_entry->end()) continue;
       const JobVerdict verdict = answer->second.verdict;
       BOOST_CHECK_MESSAGE(verdict == JobVerdict::kConfirmed,
                           "accepted but unknown ("
                               << coordinator::kJobVerdictNames.Name(verdict)
-                              << "): " << what);
+                              << "): " << subject);
       if (verdict != JobVerdict::kConfirmed) continue;
       BOOST_CHECK_MESSAGE(IsFinal(answer->second.state),
-                          "accepted but never finished: " << what);
-      const bool wrong = answer->second.state != JobState::kComplete &&
-                         !(answer->second.state == JobState::kCancelled &&
-                           cell.cancel_called(id));
+                          "accepted but never finished: " << subject);
+      const bool unexplained = answer->second.state != JobState::kComplete &&
+                               !(answer->second.state == JobState::kCancelled &&
+                                 cell.cancel_called(id));
       BOOST_CHECK_MESSAGE(
-          !wrong, "ended without a cause as "
-                      << kJobStateNames.Name(answer->second.state) << ": "
-                      << what);
+          !unexplained, "ended without a cause as "
+                            << kJobStateNames.Name(answer->second.state) << ": "
+                            << subject);
       const bool ran = cell.upstreams().DoneRuns({id, 0, 0, 0}) > 0;
       BOOST_CHECK_MESSAGE(ran || answer->second.state != JobState::kComplete,
-                          "complete without a run: " << what);
+                          "complete without a run: " << subject);
     }
   }
 }
 
 /// Jobs that were acknowledged to a caller as accepted or as cancelled.
-std::set<JobId> Accepted(const JobCell& cell) {
+std::set<JobId> AcceptedJobs(const JobCell& cell) {
   std::set<JobId> out;
   for (const CallerCall& call : cell.calls()) {
     const bool acknowledged =
@@ -182,21 +183,21 @@
 }
 
 /// Checks the guarantees given to callers after all faults have ended: first
-/// with the running entries, then after a restart of all entries, from the
-/// stored state alone.
+/// with the running entries, then after a restart of all entries, which have
+/// only the stored state.
 void CheckInvariants(JobCell& cell) {
   for (const std::string& name : cell.names()) {
     if (cell.entry(name) == nullptr) cell.Restart(name);
   }
   cell.RunFor(kStartupTime);
-  const std::set<JobId> jobs = Accepted(cell);
+  const std::set<JobId> jobs = AcceptedJobs(cell);
   const TimePoint until = cell.clock().now() + kRecoveryTime;
   while (cell.clock().now() < until && !AllFinal(cell, jobs)) {
     cell.RunFor(kPollInterval);
   }
   CheckAllFound(cell, jobs, "after recovery");
   CheckOneAnswerEach(cell);
-  CheckNoneReportedUnknown(cell);
+  CheckNoAcceptedJobReportedUnknown(cell);
   for (const std::string& name : cell.names()) cell.Restart(name);
   cell.RunFor(kStartupTime);
   CheckAllFound(cell, jobs, "after a restart of all entries");
@@ -224,7 +225,7 @@
 };
 ScenarioTotals totals;
 
-/// Plays one random scenario: callers submit jobs at all entries and repeat
+/// Runs one random scenario: callers submit jobs at all entries and repeat
 /// unanswered calls, while leaders and the store fail.
 class FaultScenario {
  public:
@@ -232,7 +233,7 @@
     cell_.store().Seed(seed + 1);
   }
 
-  void Play() {
+  void Run() {
     cell_.RunFor(kStartupTime);
     if (Chance(50)) SlowDownStore();
     constexpr int kSteps = 80;
@@ -241,7 +242,7 @@
       if (Chance(30)) InjectFault();
       RunCallersFor(Millis(50 + Pick(250)));
     }
-    Heal();
+    ClearFaults();
     // Callers continue until each of them knows the outcome of its job.
     constexpr int kLastSteps = 20;
     for (int i = 0; i < kLastSteps; ++i) RunCallersFor(Millis(200));
@@ -294,7 +295,7 @@
     constexpr Millis kStep{25};
     while (Now() < until) {
       cell_.RunFor(kStep);
-      if (cell_.store().faults().append_latency > kUsualLatency) {
+      if (cell_.store().faults().append_latency > kUsualAppendLatency) {
         cell_.upstreams().RecordFault();
       }
       for (SubmittedJob& job : submitted_jobs_) ProcessAnswer(job);
@@ -343,7 +344,7 @@
     SendSubmit(job);
   }
 
-  /// All callers reconnect at once, and each resubmits its unanswered jobs.
+  /// All callers resubmit their unresolved jobs at once and submit new ones.
   void ResubmitAllAtOnce() {
     for (SubmittedJob& job : submitted_jobs_) {
       if (!job.resolved) SendSubmit(job);
@@ -353,7 +354,7 @@
 
   void CancelRandomJob() {
     const SubmittedJob& job = submitted_jobs_[Pick(submitted_jobs_.size())];
-    cancels_.push_back(cell_.calls().size());
+    pending_cancels_.push_back(cell_.calls().size());
     cell_.Cancel(RandomEntry(), static_cast<JobId>(job.spec.id));
   }
 
@@ -371,10 +372,10 @@
     return false;
   }
 
-  /// Records jobs whose cancel was answered "no such job": such a job must not
-  /// start until it is submitted again.
+  /// Records the jobs whose cancel was answered "no such job". Such a job must
+  /// not start until it is submitted again.
   void RecordReportedUnknown() {
-    std::erase_if(cancels_, [this](size_t at) {
+    std::erase_if(pending_cancels_, [this](size_t at) {
       const CallerCall& call = cell_.calls()[at];
       if (call.answers == 0) return call.connection_lost;
       const bool reported_unknown = call.verdict == JobVerdict::kNoSuchJob;
@@ -434,18 +435,18 @@
   }
 
   void Restart(const std::string& name) {
-    stopping_.erase(name);
+    shutting_down_.erase(name);
     cell_.Restart(name);
   }
 
   void RestartLater(const std::string& name, Millis after) {
     cell_.clock().At(Now() + after, [this, name] {
-      if (!healed_) Restart(name);
+      if (!faults_cleared_) Restart(name);
     });
   }
 
-  /// Takes the leadership from an entry in one of several ways.
-  void Depose(const std::string& name) {
+  /// Makes an entry unable to lead: kills, pauses, isolates or shuts it down.
+  void FailEntry(const std::string& name) {
     switch (Pick(5)) {
       case 0:
       case 1:
@@ -463,7 +464,7 @@
       default:
         if (cell_.entry(name) == nullptr) return;
         cell_.entry(name)->BeginShutdown();
-        stopping_.insert(name);
+        shutting_down_.insert(name);
         RestartLater(name, kShutdownTime);
     }
   }
@@ -476,15 +477,15 @@
     return cell_.Leader();
   }
 
-  /// Each successive leader loses leadership before or just after it has loaded
-  /// the stored state.
-  void DeposeSuccessiveLeaders() {
+  /// Each successive leader fails before or just after it has loaded the stored
+  /// state.
+  void FailSuccessiveLeaders() {
     const uint64_t times = 2 + Pick(3);
     for (uint64_t i = 0; i < times; ++i) {
       const std::string leader = AwaitLeader();
       if (leader.empty()) return;
       cell_.RunFor(Millis(Pick(120)));
-      Depose(leader);
+      FailEntry(leader);
       SubmitJobs(Pick(3));
     }
   }
@@ -510,7 +511,7 @@
 
   void RestoreStoreSpeed() {
     StoreFaults& store = cell_.store().faults();
-    store.append_latency = kUsualLatency;
+    store.append_latency = kUsualAppendLatency;
     store.jitter = Millis(0);
     store.refused_percent = 0;
   }
@@ -545,47 +546,48 @@
         store.down = Chance(50);
         return;
       case 10:
-        return Chance(40) ? RestartAll() : DeposeSuccessiveLeaders();
+        return Chance(40) ? RestartAll() : FailSuccessiveLeaders();
       default:
-        return Depose(leader.empty() ? RandomEntry() : leader);
+        return FailEntry(leader.empty() ? RandomEntry() : leader);
     }
   }
 
-  void Heal() {
-    healed_ = true;
+  void ClearFaults() {
+    faults_cleared_ = true;
     cell_.store().faults() = {};
     for (const std::string& name : cell_.names()) {
       cell_.Resume(name);
       cell_.SetIsolated(name, false);
-      const bool stops = stopping_.count(name) > 0;
-      if (stops || cell_.entry(name) == nullptr) Restart(name);
+      const bool shutting_down = shutting_down_.count(name) > 0;
+      if (shutting_down || cell_.entry(name) == nullptr) Restart(name);
     }
   }
 
-  static constexpr Millis kUsualLatency{4};
+  static constexpr Millis kUsualAppendLatency{4};
 
   std::mt19937_64 random_;
   JobCell cell_{{}};
   std::vector<SubmittedJob> submitted_jobs_;
   std::set<JobId> acknowledged_cancels_;
   std::set<JobId> cancelled_before_completion_;
-  /// Indexes of cancels that are not yet answered.
-  std::vector<size_t> cancels_;
-  /// Jobs reported unknown on a cancel, and their number of starts by then.
+  /// Indexes of the cancels not yet answered, among the calls of the cell.
+  std::vector<size_t> pending_cancels_;
+  /// Jobs whose cancel was answered "no such job", with the number of their
+  /// starts by then.
   std::map<JobId, int> reported_unknown_;
   /// Entries that are shutting down and have not been restarted.
-  std::set<std::string> stopping_;
-  bool healed_ = false;
+  std::set<std::string> shutting_down_;
+  bool faults_cleared_ = false;
 };
 
-/// Submits a job at a follower every 20 ms.
+/// Submits a new job at a follower every 20 ms, with ids from `first`.
 void SubmitJobsFor(JobCell& cell, JobId first, Millis span, Millis run_time) {
-  constexpr Millis kGap{20};
+  constexpr Millis kSubmitInterval{20};
   const std::string entry = AnyFollower(cell, cell.Leader());
-  for (Millis passed{0}; passed < span; passed += kGap) {
+  for (Millis passed{0}; passed < span; passed += kSubmitInterval) {
     cell.upstreams().behavior({first, 0, 0, 0}).run_time = run_time;
     cell.Submit(entry, OneStepJob(first++, 1, kMillicores));
-    cell.RunFor(kGap);
+    cell.RunFor(kSubmitInterval);
   }
 }
 
@@ -612,10 +614,10 @@
 BOOST_DATA_TEST_CASE(RepliesToCallersHoldUnderFaults,
                      boost::unit_test::data::make(Seeds()), seed) {
   FaultScenario scenario(seed);
-  BOOST_TEST_CONTEXT("seed " << seed) { scenario.Play(); }
+  BOOST_TEST_CONTEXT("seed " << seed) { scenario.Run(); }
 }
 
-/// The scenarios above cover enough of each outcome and fault.
+/// The scenarios above must cover enough of each outcome and fault.
 BOOST_AUTO_TEST_CASE(FaultScenariosInjectEnoughFaults) {
   BOOST_TEST_MESSAGE("scenarios "
                      << totals.scenarios << ", accepted " << totals.accepted
@@ -650,16 +652,16 @@
   AwaitLeader(cell);
   SubmitJobsFor(cell, 0xfa0000, Millis(2000), Millis(5000));
   store = {};
-  const std::set<JobId> accepted = Accepted(cell);
+  const std::set<JobId> accepted = AcceptedJobs(cell);
   BOOST_TEST(!accepted.empty());
   for (const JobId id : accepted) CheckStored(cell, id);
-  // State held only in this leader's memory is lost with it.
+  // Whatever only this leader holds in memory is lost with it.
   ReplaceLeader(cell);
   CheckInvariants(cell);
 }
 
-/// Guards against a second run or a missing answer when a leader dies after
-/// storing a job and before answering its caller.
+/// Guards against a second run or a missing answer when a leader dies between
+/// storing a job and answering its caller.
 BOOST_AUTO_TEST_CASE(JobStoredByDyingLeaderIsAccepted) {
   constexpr JobId kJob = 0xfb0000;
   JobCell cell({});
@@ -689,7 +691,7 @@
       JobCell cell({});
       cell.RunFor(kStartupTime);
       SubmitJobsFor(cell, 0xfc0000, Millis(400), Millis(5000));
-      const size_t before = Accepted(cell).size();
+      const size_t before = AcceptedJobs(cell).size();
       BOOST_REQUIRE(before > 0U);
       cell.store().faults().append_latency = Millis(400);
       ReplaceLeader(cell);
@@ -710,14 +712,14 @@
       cell.Resume(second);
       cell.store().faults() = {};
       cell.RunFor(kStartupTime);
-      BOOST_TEST(Accepted(cell).size() > before);
+      BOOST_TEST(AcceptedJobs(cell).size() > before);
       CheckInvariants(cell);
     }
   }
 }
 
-/// Guards against a resubmitted job running twice when the append of an earlier
-/// leader takes effect late.
+/// Guards against a second run of a resubmitted job when an append of an
+/// earlier leader takes effect late.
 BOOST_DATA_TEST_CASE(ResubmittedJobRunsOnceDespiteDelayedAppend,
                      boost::unit_test::data::xrange(300, 4200, 300) *
                          boost::unit_test::data::make({false, true}),
@@ -754,8 +756,9 @@
   BOOST_TEST(cell.upstreams().Starts({kRepeatedJob, 0, 0, 0}) == 1);
 }
 
-/// Guards against a job that is answered "no such job" because its record was
-/// stored late, and that runs afterwards.
+/// Guards against a job that runs after its cancel was answered "no such job".
+/// Its record is stored late, close to the time when the new leader fences the
+/// earlier one.
 BOOST_DATA_TEST_CASE(NewLeaderLoadsRecordsStoredBeforeItsFence,
                      boost::unit_test::data::xrange(1000, 1600, 20), delay_ms) {
   constexpr JobId kJob = 0xff0000;
--- a/tests/leader_partition_test.cc
+++ b/tests/leader_partition_test.cc
@@ -8,18 +8,19 @@
 namespace {
 
 constexpr Millis kStartupTime{5000};
-/// Time after a new leader's claim from which its predecessor gives no more
-/// orders; the new leader relies on this.
+/// Time after a new leader's claim until which its predecessor may give orders.
+/// The new leader relies on it.
 constexpr Millis kPredecessorLease{2000};
 constexpr Millis kFailoverTimeout{6000};
 constexpr Millis kPollInterval{10};
 
-/// Runs until an entry other than `before` leads; false if none does in time.
-bool RunUntilNewLeader(JobCell& cell, const std::string& before) {
+/// Runs until an entry other than `old_leader` leads. Returns false if none
+/// does within kFailoverTimeout.
+bool RunUntilNewLeader(JobCell& cell, const std::string& old_leader) {
   const TimePoint limit = cell.clock().now() + kFailoverTimeout;
   while (cell.clock().now() < limit) {
     const std::string leader = cell.Leader();
-    if (!leader.empty() && leader != before) return true;
+    if (!leader.empty() && leader != old_leader) return true;
     cell.RunFor(kPollInterval);
   }
   return false;
@@ -29,54 +30,54 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Guards against a leader whose lease is extended by a late answer of the
-/// store: the answer confirms leadership only as of the time of the call.
+/// Guards against a leader whose lease is extended by a late reply of the
+/// store: the reply confirms leadership only as of the time of the call.
 BOOST_AUTO_TEST_CASE(DelayedStoreReplyDoesNotRenewLeadership) {
   constexpr Millis kReplyDelay{1450};
-  constexpr int kMoments = 40;  // one renewal period
+  constexpr int kSteps = 40;  // one renewal period
   constexpr Millis kStep{5};
-  for (int moment = 0; moment < kMoments; ++moment) {
-    BOOST_TEST_CONTEXT("partitioned after " << moment << " steps") {
+  for (int step = 0; step < kSteps; ++step) {
+    BOOST_TEST_CONTEXT("partitioned after " << step << " steps") {
       JobCell cell({});
-      cell.RunFor(kStartupTime + moment * kStep);
-      const std::string old = cell.Leader();
+      cell.RunFor(kStartupTime + step * kStep);
+      const std::string old_leader = cell.Leader();
       StoreFaults& store = cell.store().faults();
-      store.append_reply_delays[old] = kReplyDelay;
-      cell.SetIsolated(old, true);
-      std::set<std::string> island{old};
-      for (const std::string& id : cell.upstreams().ids()) island.insert(id);
-      cell.upstreams().SetPartition(island);
+      store.append_reply_delays[old_leader] = kReplyDelay;
+      cell.SetIsolated(old_leader, true);
+      std::set<std::string> partition{old_leader};
+      for (const std::string& id : cell.upstreams().ids()) partition.insert(id);
+      cell.upstreams().SetPartition(partition);
       cell.RunFor(Millis(500));
-      cell.Submit(old, OneStepJob(1, 1, 1000));
+      cell.Submit(old_leader, OneStepJob(1, 1, 1000));
       cell.RunFor(Millis(50));
-      store.partitioned_entries.insert(old);
-      BOOST_REQUIRE(RunUntilNewLeader(cell, old));
+      store.partitioned_entries.insert(old_leader);
+      BOOST_REQUIRE(RunUntilNewLeader(cell, old_leader));
       cell.RunFor(kPredecessorLease);
-      BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
+      BOOST_TEST(!cell.entry(old_leader)->leadership().lease_valid());
     }
   }
 }
 
-/// Guards against a task that runs at two upstreams: a partitioned leader must
-/// not keep its lease by the heartbeats of one other entry in its partition
-/// while the rest of the cell has another leader.
+/// Guards against a task that runs at two upstreams because a partitioned
+/// leader keeps its lease by the heartbeats of one other entry in its
+/// partition, while the rest of the cell has another leader.
 BOOST_AUTO_TEST_CASE(HeartbeatFromPartitionedEntryDoesNotConfirmLeader) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
-  const std::string old = cell.Leader();
+  const std::string old_leader = cell.Leader();
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(90000);
-  cell.Submit(old, OneStepJob(1, 1, 1000));
+  cell.Submit(old_leader, OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
   const std::string upstream = cell.upstreams().UpstreamRunning(task);
   BOOST_REQUIRE(!upstream.empty());
   std::string other;
   for (const std::string& name : cell.names()) {
-    if (name != old) other = name;
+    if (name != old_leader) other = name;
   }
-  cell.SetPartition({old, other}, {upstream});
-  BOOST_REQUIRE(RunUntilNewLeader(cell, old));
-  // The heartbeats do not extend the lease however long the partition lasts.
+  cell.SetPartition({old_leader, other}, {upstream});
+  BOOST_REQUIRE(RunUntilNewLeader(cell, old_leader));
+  // The heartbeats must not extend the lease however long the partition lasts.
   cell.RunFor(Millis(60000));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
   // The part of the cell that reaches the store restarts the task.
@@ -91,9 +92,9 @@
 /// few entries have sent a heartbeat to the new leader.
 BOOST_AUTO_TEST_CASE(EntriesWithoutHeartbeatToNewLeaderCountTowardMajority) {
   constexpr Millis kStep{20};
-  constexpr int kMoments = 15;  // longer than one heartbeat interval
-  for (int moment = 0; moment < kMoments; ++moment) {
-    BOOST_TEST_CONTEXT("partitioned after " << moment << " steps") {
+  constexpr int kSteps = 15;  // longer than one heartbeat interval
+  for (int step = 0; step < kSteps; ++step) {
+    BOOST_TEST_CONTEXT("partitioned after " << step << " steps") {
       JobCell cell({.entries = 6});
       cell.RunFor(kStartupTime);
       const std::string first = cell.Leader();
@@ -105,17 +106,17 @@
       BOOST_REQUIRE(!upstream.empty());
       cell.Kill(first);
       BOOST_REQUIRE(RunUntilNewLeader(cell, first));
-      const std::string old = cell.Leader();
-      cell.RunFor(moment * kStep);
-      BOOST_REQUIRE(cell.Leader() == old);
+      const std::string old_leader = cell.Leader();
+      cell.RunFor(step * kStep);
+      BOOST_REQUIRE(cell.Leader() == old_leader);
       std::string other;
       for (const std::string& name : cell.names()) {
-        if (name != old && name != first) other = name;
+        if (name != old_leader && name != first) other = name;
       }
-      cell.SetPartition({old, other}, {upstream});
-      BOOST_REQUIRE(RunUntilNewLeader(cell, old));
+      cell.SetPartition({old_leader, other}, {upstream});
+      BOOST_REQUIRE(RunUntilNewLeader(cell, old_leader));
       cell.RunFor(Millis(30000));
-      BOOST_TEST(!cell.entry(old)->leadership().lease_valid());
+      BOOST_TEST(!cell.entry(old_leader)->leadership().lease_valid());
       for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
     }
   }
@@ -127,18 +128,18 @@
 BOOST_AUTO_TEST_CASE(MajorityPartitionedFromStoreDoesNotConfirmLeader) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
-  const std::string old = cell.Leader();
+  const std::string old_leader = cell.Leader();
   const TaskId task{1, 0, 0, 0};
   cell.upstreams().behavior(task).run_time = Millis(90000);
-  cell.Submit(old, OneStepJob(1, 1, 1000));
+  cell.Submit(old_leader, OneStepJob(1, 1, 1000));
   cell.RunFor(Millis(500));
   const std::string upstream = cell.upstreams().UpstreamRunning(task);
   BOOST_REQUIRE(!upstream.empty());
   const std::vector<std::string> names = cell.names();
-  std::set<std::string> island(names.begin(), names.end());
-  island.erase(names.front() == old ? names.back() : names.front());
-  cell.SetPartition(island, {upstream});
-  BOOST_REQUIRE(RunUntilNewLeader(cell, old));
+  std::set<std::string> partition(names.begin(), names.end());
+  partition.erase(names.front() == old_leader ? names.back() : names.front());
+  cell.SetPartition(partition, {upstream});
+  BOOST_REQUIRE(RunUntilNewLeader(cell, old_leader));
   cell.RunFor(Millis(20000));
   for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
 }
@@ -148,34 +149,35 @@
 BOOST_AUTO_TEST_CASE(LeaderWithoutStoreDoesNotReportJobAsUnknown) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
-  const std::string old = cell.Leader();
-  std::set<std::string> island{old};
+  const std::string old_leader = cell.Leader();
+  std::set<std::string> partition{old_leader};
   std::string outside;
   for (const std::string& name : cell.names()) {
-    if (name == old) continue;
+    if (name == old_leader) continue;
     if (outside.empty()) {
       outside = name;
     } else {
-      island.insert(name);
+      partition.insert(name);
     }
   }
-  cell.SetPartition(island, {});
-  BOOST_REQUIRE(RunUntilNewLeader(cell, old));
+  cell.SetPartition(partition, {});
+  BOOST_REQUIRE(RunUntilNewLeader(cell, old_leader));
   cell.RunFor(Millis(4000));
   cell.Submit(outside, OneStepJob(2, 1, 1000));
   cell.RunFor(Millis(4000));
   BOOST_REQUIRE(cell.accepted(2));
   std::optional<coordinator::JobVerdict> verdict;
-  cell.entry(old)->QueryState(2, Millis(2000), [&](const jobentry::JobAnswer& it) {
-    verdict = it.verdict;
-  });
+  cell.entry(old_leader)
+      ->QueryState(2, Millis(2000), [&](const jobentry::JobAnswer& it) {
+        verdict = it.verdict;
+      });
   cell.RunFor(Millis(2500));
   BOOST_REQUIRE(verdict.has_value());
   BOOST_TEST((*verdict != coordinator::JobVerdict::kNoSuchJob));
 }
 
 /// Guards against a leader that loses its lease and its running tasks in a
-/// store outage because entries that ended earlier still count toward the
+/// store outage because entries that ended before it still count toward the
 /// majority.
 BOOST_AUTO_TEST_CASE(EntriesStoppedBeforeStoreOutageDoNotCountTowardMajority) {
   JobCell cell({});
@@ -202,10 +204,10 @@
 }
 
 /// Guards against replacing a leader that does not know yet that its claim was
-/// stored, since the store's answer is late.
+/// stored, because the store's reply is late.
 BOOST_AUTO_TEST_CASE(LeaderNotYetAwareOfElectionIsNotReplaced) {
   constexpr Millis kReplyDelay{850};  // below the timeout of a claim
-  int claimed = 0;
+  int claims = 0;
   for (int number = 0; number < 6; ++number) {
     BOOST_TEST_CONTEXT("store replies to entry " << number << " are late") {
       JobCell cell({.entries = 6});
@@ -228,28 +230,28 @@
       BOOST_REQUIRE(!follower.empty());
       const wire::Member leader = cell.entry(follower)->leadership().leader();
       if (leader.name != claimer) continue;  // another entry claimed first
-      ++claimed;
+      ++claims;
       cell.store().faults().append_reply_delays.clear();
       cell.RunFor(kStartupTime);
       BOOST_TEST(cell.Leader() == claimer);
       BOOST_TEST(cell.entry(claimer)->leadership().term() == term + 1);
     }
   }
-  BOOST_TEST(claimed > 0);
+  BOOST_TEST(claims > 0);
 }
 
-/// Guards against replacing a leader because the store becomes gradually slower
-/// for all entries.
+/// Guards against a takeover when the store becomes gradually slower for all
+/// entries.
 BOOST_AUTO_TEST_CASE(LeaderWithDelayedRenewalsIsNotReplaced) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
   const std::string leader = cell.Leader();
   const int64_t term = cell.entry(leader)->leadership().term();
   constexpr Millis kStep{100};
-  constexpr Millis kLatest{700};
-  for (Millis late = kStep; late <= kLatest; late += kStep) {
+  constexpr Millis kMaxDelay{700};
+  for (Millis delay = kStep; delay <= kMaxDelay; delay += kStep) {
     for (const std::string& name : cell.names()) {
-      cell.store().faults().append_reply_delays[name] = late;
+      cell.store().faults().append_reply_delays[name] = delay;
     }
     cell.RunFor(Millis(2000));
   }
@@ -257,17 +259,17 @@
   BOOST_TEST(cell.entry(leader)->leadership().term() == term);
 }
 
-/// Guards against repeated failovers when the store becomes slow for all
-/// entries at once.
+/// Guards against repeated takeovers when the store suddenly becomes slow for
+/// all entries.
 BOOST_AUTO_TEST_CASE(SuddenStoreLatencyCausesAtMostOneTakeover) {
-  for (const Millis late : {Millis(500), Millis(700)}) {
-    BOOST_TEST_CONTEXT("append replies delayed by " << late.count() << " ms") {
+  for (const Millis delay : {Millis(500), Millis(700)}) {
+    BOOST_TEST_CONTEXT("append replies delayed by " << delay.count() << " ms") {
       JobCell cell({});
       cell.RunFor(kStartupTime);
       const std::string leader = cell.Leader();
       const int64_t term = cell.entry(leader)->leadership().term();
       for (const std::string& name : cell.names()) {
-        cell.store().faults().append_reply_delays[name] = late;
+        cell.store().faults().append_reply_delays[name] = delay;
       }
       cell.RunFor(Millis(20000));
       BOOST_TEST(cell.entry(leader)->leadership().term() <= term + 1);
@@ -275,8 +277,8 @@
   }
 }
 
-/// Guards against a leader that loses its lease and its running tasks in a
-/// store outage when one entry dies, although most entries still follow it.
+/// Guards against a leader that loses its lease and its running tasks when an
+/// entry dies in a store outage, although most entries still follow the leader.
 BOOST_AUTO_TEST_CASE(MajorityKeepsLeaderDuringStoreOutage) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
--- a/tests/takeover_load_test.cc
+++ b/tests/takeover_load_test.cc
@@ -12,22 +12,24 @@
 namespace mimosarail::jobsim {
 namespace {
 
-/// The jobs that a new leader must load after a takeover, and the capacity that
-/// it has for that.
-struct Fleet {
+/// The jobs that a new leader has to load, and the capacity of its machine.
+struct LoadScenario {
   /// Jobs in the table; one in three is open, the others have ended.
   int jobs = 0;
   double link_bytes_per_s = 0;
-  /// Processor time for each message, and bytes decoded per second.
+  /// Processor time for each message.
   std::chrono::microseconds message_time{0};
+  /// Bytes that the processor decodes per second.
   double processor_bytes_per_s = 0;
   /// Size of each job's payload.
   size_t payload_bytes = 300;
-  friend std::ostream& operator<<(std::ostream& out, const Fleet& fleet) {
-    return out << fleet.jobs << " jobs, link " << fleet.link_bytes_per_s
-               << " B/s, " << fleet.message_time.count() << " us a message, "
-               << fleet.processor_bytes_per_s << " B/s decoded, texts of "
-               << fleet.payload_bytes << " B";
+  friend std::ostream& operator<<(std::ostream& out,
+                                  const LoadScenario& scenario) {
+    return out << scenario.jobs << " jobs, link " << scenario.link_bytes_per_s
+               << " B/s, " << scenario.message_time.count()
+               << " us per message, " << scenario.processor_bytes_per_s
+               << " B/s decoded, payloads of " << scenario.payload_bytes
+               << " B";
   }
 };
 
@@ -38,12 +40,12 @@
 constexpr std::chrono::microseconds kFastMessage{100};
 constexpr double kSlowDecoding = 2e6;
 constexpr double kFastDecoding = 20e6;
-/// A page of jobs with such payloads takes about 5 s over the slow link.
+/// With such payloads, one page of jobs takes about 5 s over the slow link.
 constexpr size_t kLargePayload = 4000;
 constexpr int kEntries = 24;
 constexpr Millis kStep{20};
 
-const std::vector<Fleet> kFleets{
+const std::vector<LoadScenario> kLoadScenarios{
     {30, kSlowLink, kSlowMessage, kSlowDecoding},
     {30, kFastLink, kFastMessage, kFastDecoding},
     {1200, kSlowLink, kSlowMessage, kSlowDecoding},
@@ -57,8 +59,8 @@
     {1200, kMediumLink, kFastMessage, kFastDecoding, kLargePayload},
 };
 
-/// Puts jobs of an earlier leader into the table. Returns their size in the
-/// encoding of the store's replies.
+/// Puts jobs of an earlier leader into the table. Returns the size of their
+/// records in the store's replies, where values are encoded in base64.
 size_t FillTable(JobCell& cell, int jobs, size_t payload_bytes) {
   size_t bytes = 0;
   const auto put = [&](const std::string& key, const std::string& value) {
@@ -82,11 +84,11 @@
   return bytes;
 }
 
-/// Submits jobs at every entry until the first one is accepted. Returns the
-/// time until then, or `limit` if it takes longer.
+/// Submits jobs at all entries in turn until the first one is accepted. Returns
+/// the time until then, or `limit` if it takes longer.
 Millis TimeToServe(JobCell& cell, Millis limit) {
-  JobId next = 0xca00000;
-  const JobId first = next;
+  const JobId first = 0xca00000;
+  JobId next = first;
   for (Millis waited{0}; waited < limit; waited += kStep) {
     for (int i = 0; i < 2; ++i) {
       wire::JobSpec spec = OneStepJob(next, 3, 100);
@@ -108,25 +110,25 @@
 
 /// Guards against a service that never recovers after all entries have lost
 /// power together. The new leader loads the stored jobs over a slow link or
-/// with a slow processor while callers of all entries wait. When these calls
-/// were repeated at the loading leader, they used half of its link: its lease
-/// renewals were late, and the next leader had to load everything again. The
-/// leader must serve within four times the time that loading takes alone,
+/// with a slow processor, while calls wait at all entries. When the entries
+/// repeated these calls at the loading leader, they used half of its link. Its
+/// lease renewals were late, and the next leader had to load everything again.
+/// The leader must serve within four times the time that loading alone takes,
 /// plus 3 s.
 BOOST_DATA_TEST_CASE(NewLeaderServesInTimeOnSlowLinks,
-                     boost::unit_test::data::make(kFleets), fleet) {
+                     boost::unit_test::data::make(kLoadScenarios), scenario) {
   JobCell cell({.entries = kEntries,
                 .upstreams = 6,
-                .link = {.bytes_per_s = fleet.link_bytes_per_s},
-                .processor = {.bytes_per_s = fleet.processor_bytes_per_s,
-                              .per_message = fleet.message_time}});
-  const size_t bytes = FillTable(cell, fleet.jobs, fleet.payload_bytes);
+                .link = {.bytes_per_s = scenario.link_bytes_per_s},
+                .processor = {.bytes_per_s = scenario.processor_bytes_per_s,
+                              .per_message = scenario.message_time}});
+  const size_t bytes = FillTable(cell, scenario.jobs, scenario.payload_bytes);
   for (const std::string& name : cell.names()) cell.Kill(name);
   cell.RunFor(Millis(1000));
   for (const std::string& name : cell.names()) cell.Restart(name);
   const double loading_s =
-      static_cast<double>(bytes) / fleet.link_bytes_per_s +
-      static_cast<double>(bytes) / fleet.processor_bytes_per_s;
+      static_cast<double>(bytes) / scenario.link_bytes_per_s +
+      static_cast<double>(bytes) / scenario.processor_bytes_per_s;
   constexpr double kMillisPerSecond = 1000;
   const Millis loading(static_cast<int64_t>(loading_s * kMillisPerSecond));
   const Millis bound = 4 * loading + Millis(3000);
@@ -138,13 +140,13 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Guards against heartbeat replies that overload the leader's link. With 97
-/// entries the leader sent 1.5 MB/s of heartbeat replies over a link of 2.5
-/// MB/s, and callers waited behind them: each reply listed all entries, so the
-/// total grew with the square of their number. The bytes sent to one follower
+/// Guards against heartbeat replies that overload the leader's link. When each
+/// reply listed all entries, the total grew with the square of their number.
+/// With 97 entries, the leader sent 1.5 MB/s of heartbeat replies over a link
+/// of 2.5 MB/s, and callers waited behind them. The bytes sent to one follower
 /// must not grow with the number of followers.
-BOOST_AUTO_TEST_CASE(HeartbeatReplySizeIsIndependentOfFleetSize) {
-  const auto sent_to_each = [](int entries) {
+BOOST_AUTO_TEST_CASE(HeartbeatReplySizeIsIndependentOfNumberOfEntries) {
+  const auto bytes_to_each = [](int entries) {
     JobCell cell({.entries = entries, .upstreams = 2});
     cell.RunFor(Millis(15000));
     const std::string leader = cell.Leader();
@@ -153,11 +155,11 @@
     BOOST_TEST(cell.Leader() == leader);
     return static_cast<double>(cell.BytesSent(leader) - before) / entries;
   };
-  const double few = sent_to_each(12);
-  const double many = sent_to_each(96);
-  BOOST_TEST_MESSAGE("bytes to each in 10 s: of 12 " << few << ", of 96 "
-                                                     << many);
-  BOOST_TEST(many <= 1.1 * few);
+  const double with_few = bytes_to_each(12);
+  const double with_many = bytes_to_each(96);
+  BOOST_TEST_MESSAGE("bytes sent to each entry in 10 s: with 12 entries "
+                     << with_few << ", with 96 entries " << with_many);
+  BOOST_TEST(with_many <= 1.1 * with_few);
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/upstream_takeover_test.cc
+++ b/tests/upstream_takeover_test.cc
@@ -34,8 +34,8 @@
 /// Guards against a takeover that delays tasks which a lost upstream cannot
 /// run. The leader has detected the loss of an upstream and dies while half of
 /// a job's tasks wait for free capacity. The next leader does not know what the
-/// lost upstream runs and has to wait 6 s for its leases. None of the waiting
-/// tasks can run there, so they must start without this delay.
+/// lost upstream runs and has to wait 6 s until its leases have expired. None
+/// of the waiting tasks can run there, so they must start without this delay.
 BOOST_AUTO_TEST_CASE(LostUpstreamDoesNotDelayUnstartedTasks) {
   JobCell cell({});
   cell.RunFor(kStartupTime);
@@ -67,8 +67,8 @@
 }
 
 /// Guards against an upstream that gets no work after its drain was cancelled.
-/// The drain closes the upstream in the store; tasks must start there again
-/// once the list no longer names it as draining.
+/// The drain closes the upstream in the store. Tasks must start there again
+/// once the list no longer names the upstream as draining.
 BOOST_AUTO_TEST_CASE(UpstreamTakesWorkAfterDrainIsCancelled) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kStartupTime);
@@ -88,8 +88,8 @@
 
 /// Guards against a second start of a task that is still running. An upstream
 /// was unreachable for a while and has recovered, and a job starts there. Then
-/// the leader dies and the upstream becomes unreachable again. If the store
-/// still had it as closed, the next leader would start the task elsewhere.
+/// the leader dies and the upstream becomes unreachable again. If the upstream
+/// were still stored as closed, the next leader would start the task elsewhere.
 BOOST_AUTO_TEST_CASE(RecoveredUpstreamIsAwaitedByNextLeader) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kStartupTime);
@@ -111,10 +111,10 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Guards against tasks that run on an upstream which the store has as closed.
-/// The store is unavailable when an upstream recovers. New tasks must wait
-/// until the reopening is stored; otherwise a later leader would act on the old
-/// record.
+/// Guards against tasks that run on an upstream which is stored as closed. The
+/// store is unavailable when an upstream recovers. New tasks must wait until
+/// the reopening is stored, since a later leader would otherwise act on the
+/// outdated record.
 BOOST_AUTO_TEST_CASE(NoTaskStartsBeforeUpstreamRecoveryIsStored) {
   JobCell cell({.upstreams = 1});
   cell.RunFor(kStartupTime);
@@ -134,19 +134,19 @@
   BOOST_TEST(cell.Violations().empty());
 }
 
-/// Guards against placement by outdated capacity. All upstreams shrink to a
-/// quarter of their capacity, and the leader dies. The store holds the capacity
-/// of their first registration, which the next leader must not use.
+/// Guards against placement by outdated capacity. The capacity of all upstreams
+/// is reduced to a quarter, and the leader dies. The job table holds the former
+/// capacity, which the next leader must not use.
 BOOST_AUTO_TEST_CASE(NewLeaderUsesCurrentUpstreamCapacity) {
   constexpr int kUpstreams = 4;
-  constexpr int32_t kShrunk = 2000;
+  constexpr int32_t kReducedMillicores = 2000;
   JobCell cell({.upstreams = kUpstreams});
   cell.RunFor(kStartupTime);
   for (int i = 0; i < kUpstreams; ++i) {
     wire::UpstreamRecord entry = cell.ListEntry(i);
-    entry.millicores = kShrunk;
+    entry.millicores = kReducedMillicores;
     cell.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
-    cell.upstreams().Resize(entry.id, kShrunk);
+    cell.upstreams().Resize(entry.id, kReducedMillicores);
   }
   cell.Kill(cell.Leader());
   cell.RunFor(kTakeoverTime);
