--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -121,9 +121,13 @@
   /// Sets the entries that may call the adviser, including this one.
   void SetLanes(const std::vector<std::string>& addresses);
 
+  /// Accepts a job. `done` runs once, with kConfirmed only if the job is
+  /// stored.
   void Submit(const wire::JobSpec& spec,
               std::function<void(wire::SubmitJobReply)> done);
   wire::JobStateReply QueryState(JobId id) const;
+  /// Cancels a job. `done` runs once, with kConfirmed only if a final state of
+  /// the job is stored.
   void Cancel(JobId id, std::function<void(wire::CancelJobReply)> done);
   /// Counts the accepted jobs of the queue of which no task has started.
   wire::PendingJobsReply CountPending(const std::string& queue) const;
--- a/src/jobentry/job_entry.cc
+++ b/src/jobentry/job_entry.cc
@@ -103,7 +103,8 @@
   int tries = 0;
   /// Outcome of the last try, for the log.
   std::string last_try_outcome = "none";
-  /// The call changes nothing, so it is never in doubt.
+  /// The call changes nothing, so a try without a reply leaves nothing in
+  /// doubt.
   bool read_only = false;
 };
 
