--- a/src/coordinator/coordinator.cc
+++ b/src/coordinator/coordinator.cc
@@ -204,13 +204,13 @@
 }
 
 void Coordinator::LogOrphanedRun(scheduling::StopOrder stop) {
-  // The scheduler forgets a final job before its state is dropped here. For
+  // The scheduler removes a final job before its state is dropped here. For
   // such a job, the reason is derived from that state.
   const auto final = final_jobs_.find(stop.task.job);
-  const bool forgotten_by_scheduler =
+  const bool removed_by_scheduler =
       stop.reason == scheduling::StopReason::kUnknownJob &&
       final != final_jobs_.end();
-  if (forgotten_by_scheduler) {
+  if (removed_by_scheduler) {
     stop.reason = scheduling::ReasonToStop(final->second.state);
     if (final->second.ended_in_this_term) {
       stop.since_job_end = std::chrono::duration_cast<Millis>(
