--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -146,7 +146,7 @@
   void SetCordoned(const std::set<std::string>& upstreams) override;
   void EvictTasks(const std::string& upstream, bool all) override;
   void OnUpstreamEnded(const std::string& upstream) override;
-  bool MayOrder() override { return loaded_ && MaySendOrders(); }
+  bool MayOrderMaintenance() override { return loaded_ && MaySendOrders(); }
 
  private:
   /// A job whose record is not stored yet.
--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -89,7 +89,7 @@
   const char kind = record.key[0];
   if (kind == kUpstreamPrefix) return DecodeUpstream(record);
   if (kind == kEndPrefix) return DecodeUnmatchedCompletion(record);
-  if (kind == maintenance::kWavePrefix) {
+  if (kind == maintenance::kWaveKeyPrefix) {
     // Without a host API the record is left to a leader that has one.
     const bool taken = waves_ == nullptr || waves_->Load(record);
     return taken ? "" : "does not decode";
--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -15,16 +15,16 @@
 using ports::WaveStatus;
 
 constexpr Millis kTick{100};
-/// The API answers in about 20 ms, and in 1 s at its slowest.
+/// The host API answers in about 20 ms, and in 1 s at its slowest.
 constexpr Millis kCallTimeout{2000};
-/// Minimum time between two readings of the list while a change is expected;
-/// each reading has a cost.
+/// Minimum time between two readings of the host list while hosts are expected
+/// back from maintenance. It limits the cost of the readings.
 constexpr Millis kAwaitedListPeriod{500};
-/// Minimum time between two readings while a host's upstream is unknown,
-/// partitioned or down, which lasts about 3 to 7 s.
+/// Minimum time between two readings while the upstream of a pending host is
+/// unknown, partitioned or down, which lasts about 3 to 7 s.
 constexpr Millis kChangedListPeriod{1000};
-/// Time between two readings while no change is expected. They only find hosts
-/// that left or came up.
+/// Time between two readings while no change is expected. These readings only
+/// find hosts that have left or come up.
 constexpr Millis kIdleListPeriod{3000};
 /// Backoff after a refused or unanswered call; doubles up to the maximum.
 constexpr Millis kMinBackoff{250};
@@ -32,15 +32,15 @@
 /// Delay before a busy host is ordered again.
 constexpr Millis kBusyRetryDelay{1000};
 /// Consecutive complete readings without a host after which it counts as
-/// permanently removed. The pages are not a snapshot, so that one reading may
-/// miss a host.
+/// permanently removed. One reading may miss a host, because its pages are not
+/// one snapshot.
 constexpr int kRemovedAfterReadings = 2;
 constexpr double kMsPerSecond = 1000;
 
 std::string Text(size_t value) { return std::to_string(value); }
 
-std::string Joined(const std::vector<std::string>& names,
-                   const char* separator = " ") {
+std::string Join(const std::vector<std::string>& names,
+                 const char* separator = " ") {
   std::string out;
   for (const std::string& name : names) {
     out += (out.empty() ? "" : separator) + name;
@@ -48,8 +48,8 @@
   return out;
 }
 
-/// Returns the time between two calls at a rate of `per_s` calls per second.
-Millis Spacing(double per_s) {
+/// Returns the minimum time between two calls at `per_s` calls per second.
+Millis MinInterval(double per_s) {
   constexpr double kMinRate = 0.1;
   return Millis(static_cast<int64_t>(kMsPerSecond / std::max(kMinRate, per_s)));
 }
@@ -64,9 +64,9 @@
     const auto wave = DecodeWave(record);
     if (!wave) return false;
     Wave& loaded = waves_[wave->wave];
-    loaded.announced = true;
+    loaded.running_reported = true;
     loaded.complete = wave->status == WaveStatus::kComplete;
-    loaded.since_unix_ms = wave->since_unix_ms;
+    loaded.first_seen_unix_ms = wave->first_seen_unix_ms;
     return true;
   }
   const auto stored = DecodeHost(record);
@@ -74,15 +74,15 @@
   Host& host = waves_[stored->wave].hosts[stored->host];
   const TimePoint now = deps_.executor.Now();
   host.upstream = stored->upstream;
-  host.recorded = true;
+  host.has_record = true;
   host.phase = stored->begun ? HostMaintenancePhase::kInProgress
                              : HostMaintenancePhase::kRequested;
   host.begun_at = now;
   // The order of the earlier leader may still be in flight.
-  host.unanswered = now;
-  // Delays the orders to all hosts, not only to this one in this wave: another
-  // wave may include the same host, and two leaders would order it alternately.
-  next_order_ = now + options_.host_holder_timeout;
+  host.unanswered_at = now;
+  // Delays the orders of all waves: another wave may include the same host, and
+  // two leaders would order its maintenance alternately.
+  next_order_at_ = now + options_.host_holder_timeout;
   return true;
 }
 
@@ -90,15 +90,15 @@
 
 void WaveManager::Close() {
   closed_ = true;
-  if (status_) status_->Close();
+  if (status_journal_) status_journal_->Close();
 }
 
 void WaveManager::Tick() {
   if (closed_) return;
-  AdoptNewWaves();
-  // While no orders may be sent, cordoned upstreams stay cordoned: an order may
-  // be in flight.
-  if (!fenced_ && deps_.workload.MayOrder()) {
+  AdoptRequestedWaves();
+  // While no orders may be sent, cordoned upstreams stay cordoned, because an
+  // order may be in flight.
+  if (!fenced_ && deps_.workload.MayOrderMaintenance()) {
     if (HasOpenWave()) ReadListIfDue();
     std::set<std::string> cordoned;
     for (auto& [number, wave] : waves_) {
@@ -117,55 +117,55 @@
   deps_.workload.SetCordoned(upstreams);
 }
 
-void WaveManager::AdoptNewWaves() {
+void WaveManager::AdoptRequestedWaves() {
   for (const auto& [number, request] : deps_.waves()) {
     Wave& wave = waves_[number];
-    if (wave.complete || wave.known) continue;
-    wave.known = true;
+    if (wave.complete || wave.requested) continue;
+    wave.requested = true;
     wave.request = request;
     for (const std::string& name : request.hosts) wave.hosts[name];
-    if (wave.since_unix_ms == 0) {
-      wave.since_unix_ms = deps_.executor.UnixMillis();
+    if (wave.first_seen_unix_ms == 0) {
+      wave.first_seen_unix_ms = deps_.executor.UnixMillis();
     }
-    logging::Event(Level::kInfo, "wave taken up",
+    logging::Event(Level::kInfo, "wave adopted",
                    {{"wave", Text(number)},
                     {"hosts", Text(request.hosts.size())},
                     {"most_at_once", Text(request.max_unavailable)},
                     {"duration_ms", Text(int64_t{request.duration.count()})},
-                    {"announced_before", wave.announced ? "yes" : "no"},
+                    {"announced_before", wave.running_reported ? "yes" : "no"},
                     {"term", Text(options_.term)}});
-    if (!wave.announced) Announce(wave);
+    if (!wave.running_reported) ReportRunning(wave);
   }
 }
 
 bool WaveManager::HasOpenWave() const {
   return std::any_of(waves_.begin(), waves_.end(), [&](const auto& entry) {
     const Wave& wave = entry.second;
-    return wave.known && !wave.complete;
+    return wave.requested && !wave.complete;
   });
 }
 
 bool WaveManager::ListDue() const {
   const TimePoint now = deps_.executor.Now();
-  if (!list_known_) return true;
-  if (now - read_at_ >= kIdleListPeriod) return true;
-  if (now - read_at_ < kAwaitedListPeriod) return false;
+  if (!list_read_once_) return true;
+  if (now - list_read_at_ >= kIdleListPeriod) return true;
+  if (now - list_read_at_ < kAwaitedListPeriod) return false;
   for (const auto& [number, wave] : waves_) {
     for (const auto& [name, host] : wave.hosts) {
-      // The host is back after the maintenance at the earliest; an earlier
-      // reading is useless.
+      // The host can't be back before the maintenance duration has passed.
       const bool may_be_back =
           host.phase == HostMaintenancePhase::kInProgress &&
           now >= host.begun_at + options_.maintenance_duration;
       if (!wave.complete && may_be_back) return true;
-      // The upstream of the host has ended or is unreachable; the host may run
-      // another upstream by now.
-      const Listed* listed = FindListed(name);
+      // If the upstream of the host has ended or is unreachable, the host may
+      // run another upstream by now.
+      const ListedHost* listed = FindListed(name);
       const bool changed = host.phase == HostMaintenancePhase::kPending &&
-                           listed != nullptr && listed->missing == 0 &&
+                           listed != nullptr && listed->missed_readings == 0 &&
                            !listed->entry.upstream.empty() &&
                            !deps_.workload.WorkOn(listed->entry.upstream).known;
-      if (!wave.complete && changed && now - read_at_ >= kChangedListPeriod) {
+      if (!wave.complete && changed &&
+          now - list_read_at_ >= kChangedListPeriod) {
         return true;
       }
     }
@@ -174,15 +174,17 @@
 }
 
 void WaveManager::ReadListIfDue() {
-  if (reading_ || deps_.executor.Now() < next_read_ || !ListDue()) return;
-  reading_ = true;
-  auto reading = std::make_shared<Reading>();
-  reading->begun = deps_.executor.Now();
+  if (list_read_in_progress_ || deps_.executor.Now() < next_list_read_at_ ||
+      !ListDue())
+    return;
+  list_read_in_progress_ = true;
+  auto reading = std::make_shared<ListReading>();
+  reading->begun_at = deps_.executor.Now();
   ReadPage("", reading);
 }
 
 void WaveManager::ReadPage(const std::string& after,
-                           std::shared_ptr<Reading> reading) {
+                           std::shared_ptr<ListReading> reading) {
   deps_.metrics.Count({.name = "host_list_reads"});
   deps_.hosts.ListHosts(
       after, kCallTimeout,
@@ -192,19 +194,19 @@
         if (page.ok()) return self->OnPage(page.value(), reading);
         logging::Event(Level::kWarning, "host list not read",
                        {{"cause", page.error().message}});
-        self->reading_ = false;
-        self->BackOff();
-        self->next_read_ = self->deps_.executor.Now() + self->backoff_;
+        self->list_read_in_progress_ = false;
+        self->IncreaseBackoff();
+        self->next_list_read_at_ = self->deps_.executor.Now() + self->backoff_;
       });
 }
 
 void WaveManager::OnPage(const ports::HostPage& page,
-                         std::shared_ptr<Reading> reading) {
+                         std::shared_ptr<ListReading> reading) {
   for (const ports::HostEntry& host : page.hosts) {
     reading->hosts[host.host] = host;
   }
   if (page.next.empty()) return OnList(*reading);
-  deps_.executor.RunAfter(Spacing(options_.lists_per_s),
+  deps_.executor.RunAfter(MinInterval(options_.lists_per_s),
                           [weak = weak_from_this(), next = page.next, reading] {
                             const auto self = weak.lock();
                             if (!self || self->closed_) return;
@@ -212,50 +214,53 @@
                           });
 }
 
-void WaveManager::OnList(const Reading& reading) {
-  reading_ = false;
+void WaveManager::OnList(const ListReading& reading) {
+  list_read_in_progress_ = false;
   backoff_ = Millis(0);
-  read_at_ = deps_.executor.Now();
-  next_read_ = read_at_ + Spacing(options_.lists_per_s);
+  list_read_at_ = deps_.executor.Now();
+  next_list_read_at_ = list_read_at_ + MinInterval(options_.lists_per_s);
   const auto duration =
-      std::chrono::duration_cast<Millis>(read_at_ - reading.begun);
+      std::chrono::duration_cast<Millis>(list_read_at_ - reading.begun_at);
   logging::Event(Level::kDebug, "host list read",
                  {{"hosts", Text(reading.hosts.size())},
                   {"took_ms", Text(int64_t{duration.count()})}});
-  for (auto& [name, listed] : listed_) ++listed.missing;
+  for (auto& [name, listed] : listed_hosts_) ++listed.missed_readings;
   for (const auto& [name, entry] : reading.hosts) {
-    listed_[name] = {.entry = entry};
+    listed_hosts_[name] = {.entry = entry};
   }
-  // Counts the missing readings of a host that was never listed as well.
+  // A host of a wave that was never listed counts as missing from now on.
   for (auto& [number, wave] : waves_) {
     for (const auto& [name, host] : wave.hosts) {
-      listed_.try_emplace(name, Listed{.entry = {.host = name}, .missing = 1});
+      listed_hosts_.try_emplace(
+          name, ListedHost{.entry = {.host = name}, .missed_readings = 1});
     }
-    RecordReturned(wave, reading.begun);
+    RecordCompletedMaintenance(wave, reading.begun_at);
   }
-  list_known_ = true;
+  list_read_once_ = true;
 }
 
-void WaveManager::RecordReturned(Wave& wave, TimePoint read_from) {
+void WaveManager::RecordCompletedMaintenance(Wave& wave,
+                                             TimePoint read_begun_at) {
   for (auto& [name, host] : wave.hosts) {
     if (host.phase != HostMaintenancePhase::kInProgress) continue;
     // Only a reading that began after the reply to the order shows the state of
-    // the host since then; an older one may show it up from before.
-    if (read_from <= host.begun_at) continue;
+    // the host since then. An older reading may show a host as up that was up
+    // before its maintenance.
+    if (read_begun_at <= host.begun_at) continue;
     RecordUpstreamEnded(name, host);
-    const Listed* listed = FindListed(name);
+    const ListedHost* listed = FindListed(name);
     const bool removed =
-        listed == nullptr || listed->missing >= kRemovedAfterReadings;
+        listed == nullptr || listed->missed_readings >= kRemovedAfterReadings;
     const HostState state = removed ? HostState::kDown : listed->entry.state;
     const bool duration_passed =
-        read_from > host.begun_at + options_.maintenance_duration;
+        read_begun_at > host.begun_at + options_.maintenance_duration;
     const bool back = state == HostState::kUp ||
                       (duration_passed && state != HostState::kMaintenance &&
                        state != HostState::kUnknown);
     if (!back) continue;
     host.phase = HostMaintenancePhase::kCompleted;
     host.draining_since.reset();
-    logging::Event(Level::kInfo, "upkeep over",
+    logging::Event(Level::kInfo, "maintenance completed",
                    {{"wave", Text(wave.request.wave)},
                     {"host", name},
                     {"state", std::string(ports::kHostStateNames.Name(state))},
@@ -264,38 +269,41 @@
 }
 
 void WaveManager::RecordUpstreamEnded(const std::string& name, Host& host) {
-  // The reply to the order is no proof: it is the same for an earlier
-  // maintenance, after which the host runs another upstream that is live.
-  // Reported without proof, a live upstream would be dropped permanently, with
-  // all its tasks.
-  const Listed* listed = FindListed(name);
+  // The reply to the order does not prove that the upstream has ended: the
+  // reply is the same if the maintenance took place earlier and the host runs
+  // another upstream since. Reported as ended without proof, a live upstream
+  // would be dropped permanently with all its tasks.
+  const ListedHost* listed = FindListed(name);
   if (host.upstream_ended || host.upstream.empty() || listed == nullptr) return;
-  if (listed->missing > 0) return;
+  if (listed->missed_readings > 0) return;
   const ports::HostEntry& entry = listed->entry;
-  const bool another = entry.state == HostState::kUp &&
-                       !entry.upstream.empty() &&
-                       entry.upstream != host.upstream;
-  if (!another && entry.state != HostState::kMaintenance) return;
+  const bool runs_another_upstream = entry.state == HostState::kUp &&
+                                     !entry.upstream.empty() &&
+                                     entry.upstream != host.upstream;
+  if (!runs_another_upstream && entry.state != HostState::kMaintenance) return;
   host.upstream_ended = true;
-  // This also removes the upstream's stored record, so that a later leader does
-  // not wait for the expiry of its leases.
+  // This also removes the stored record of the upstream, so that a later leader
+  // does not wait until the leases there have expired.
   deps_.workload.OnUpstreamEnded(host.upstream);
 }
 
-const WaveManager::Listed* WaveManager::FindListed(
+const WaveManager::ListedHost* WaveManager::FindListed(
     const std::string& host) const {
-  const auto found = listed_.find(host);
-  return found == listed_.end() ? nullptr : &found->second;
+  const auto found = listed_hosts_.find(host);
+  return found == listed_hosts_.end() ? nullptr : &found->second;
 }
 
-HostView WaveManager::ViewOf(const std::string& name, const Host& host) const {
+HostView WaveManager::BuildHostView(const std::string& name,
+                                    const Host& host) const {
   const TimePoint now = deps_.executor.Now();
-  const Listed* listed = FindListed(name);
+  const ListedHost* listed = FindListed(name);
   HostView out{.host = name, .phase = host.phase};
-  out.listed = listed != nullptr && listed->missing < kRemovedAfterReadings;
-  // A host that the last reading lacks is not acted on until the next reading.
-  const bool seen = listed != nullptr && listed->missing == 0;
-  out.state = seen ? listed->entry.state : HostState::kUnknown;
+  out.listed =
+      listed != nullptr && listed->missed_readings < kRemovedAfterReadings;
+  // The state of a host that is missing from the last reading is unknown.
+  const bool in_last_reading =
+      listed != nullptr && listed->missed_readings == 0;
+  out.state = in_last_reading ? listed->entry.state : HostState::kUnknown;
   out.on_hold = host.operation_pending || now < host.retry_at;
   out.draining = host.draining_since.has_value();
   if (out.draining) {
@@ -303,48 +311,49 @@
         std::chrono::duration_cast<Millis>(now - *host.draining_since);
   }
   // A host that is up without an upstream is a standby: no task runs there.
-  const bool standby = seen && listed->entry.upstream.empty();
-  if (seen && !standby) {
+  const bool standby = in_last_reading && listed->entry.upstream.empty();
+  if (in_last_reading && !standby) {
     out.work = deps_.workload.WorkOn(listed->entry.upstream);
   }
   return out;
 }
 
-WaveView WaveManager::View(const Wave& wave) const {
-  const Millis passed(
-      std::max<int64_t>(0, deps_.executor.UnixMillis() - wave.since_unix_ms));
+WaveView WaveManager::BuildWaveView(const Wave& wave) const {
+  const Millis elapsed(std::max<int64_t>(
+      0, deps_.executor.UnixMillis() - wave.first_seen_unix_ms));
   WaveView out{
       .wave = wave.request.wave,
       .max_unavailable = wave.request.max_unavailable,
-      .time_left = std::max(Millis(0), wave.request.duration - passed),
+      .time_left = std::max(Millis(0), wave.request.duration - elapsed),
       .maintenance_duration = options_.maintenance_duration,
       .free_millicores = deps_.workload.FreeMillicores(),
   };
   for (const auto& [name, host] : wave.hosts) {
-    out.hosts.push_back(ViewOf(name, host));
+    out.hosts.push_back(BuildHostView(name, host));
   }
   return out;
 }
 
 void WaveManager::ApplyDecision(Wave& wave, std::set<std::string>& cordoned) {
-  // Maintenance that was ordered may begin at any moment. The upstreams on
-  // those hosts are cordoned, even before the list is known.
+  // Ordered maintenance may begin at any moment. The upstreams that ran on the
+  // hosts at the time of the order are cordoned, even before the list is read.
   for (const auto& [name, host] : wave.hosts) {
     const bool ordered = host.phase == HostMaintenancePhase::kRequested ||
                          host.phase == HostMaintenancePhase::kInProgress;
     if (ordered && !host.upstream.empty()) cordoned.insert(host.upstream);
   }
-  if (!list_known_ || !wave.known) return;
-  ForgetLostOrders(wave);
-  const WaveView view = View(wave);
+  if (!list_read_once_ || !wave.requested) return;
+  ResetLostOrders(wave);
+  const WaveView view = BuildWaveView(wave);
   const WaveDecision decision = DecideWave(view);
-  Log(wave, view, decision);
-  Drain(wave, decision, cordoned);
-  for (const std::string& name : decision.start_maintenance) Order(wave, name);
-  if (decision.status == WaveStatus::kComplete) Complete(wave);
+  LogDecision(wave, view, decision);
+  ApplyDrains(wave, decision, cordoned);
+  for (const std::string& name : decision.start_maintenance)
+    OrderMaintenance(wave, name);
+  if (decision.status == WaveStatus::kComplete) ReportComplete(wave);
 }
 
-void WaveManager::ForgetLostOrders(Wave& wave) {
+void WaveManager::ResetLostOrders(Wave& wave) {
   const TimePoint now = deps_.executor.Now();
   for (auto& [name, host] : wave.hosts) {
     if (host.phase != HostMaintenancePhase::kRequested ||
@@ -352,42 +361,43 @@
       continue;
     }
     const bool may_take_effect =
-        host.unanswered && now <= *host.unanswered + options_.max_order_delay;
-    // An order that was never sent still counts towards max_unavailable, but
-    // only while the host is up, so that it can still be sent.
-    const HostState state = ViewOf(name, host).state;
-    if (may_take_effect || (!host.unanswered && state == HostState::kUp)) {
+        host.unanswered_at &&
+        now <= *host.unanswered_at + options_.max_order_delay;
+    // An order that was refused, or was stored but not sent, keeps its slot
+    // while the host is up, so that it can be sent again.
+    const HostState state = BuildHostView(name, host).state;
+    if (may_take_effect || (!host.unanswered_at && state == HostState::kUp)) {
       continue;
     }
     logging::Event(
-        Level::kWarning, "order without effect",
+        Level::kWarning, "maintenance order had no effect",
         {{"wave", Text(wave.request.wave)},
          {"host", name},
          {"state", std::string(ports::kHostStateNames.Name(state))}});
-    Release(wave.request.wave, name);
+    ResetToPending(wave.request.wave, name);
   }
 }
 
-void WaveManager::Release(int64_t wave, const std::string& name) {
+void WaveManager::ResetToPending(int64_t wave, const std::string& name) {
   Host& host = waves_.at(wave).hosts.at(name);
-  host.unanswered.reset();
+  host.unanswered_at.reset();
   host.operation_pending = true;
-  // The slot becomes free only when the record is removed. A later leader that
-  // found it beside the record of the next host would treat both as ordered,
-  // order both again, and let one host too many be away.
+  // The slot becomes free only after the record is removed. Otherwise a later
+  // leader could find the record beside that of the next host. It would treat
+  // both as ordered, order both again, and let one host too many be away.
   deps_.journal->Remove(KeyOf({.wave = wave, .host = name}));
   deps_.journal->WhenStored([weak = weak_from_this(), wave, name](bool stored) {
     const auto self = weak.lock();
     if (!stored || !self || self->closed_) return;
-    Host& released = self->waves_.at(wave).hosts.at(name);
-    released.operation_pending = false;
-    released.recorded = false;
-    released.phase = HostMaintenancePhase::kPending;
+    Host& host = self->waves_.at(wave).hosts.at(name);
+    host.operation_pending = false;
+    host.has_record = false;
+    host.phase = HostMaintenancePhase::kPending;
   });
 }
 
-void WaveManager::Drain(Wave& wave, const WaveDecision& decision,
-                        std::set<std::string>& cordoned) {
+void WaveManager::ApplyDrains(Wave& wave, const WaveDecision& decision,
+                              std::set<std::string>& cordoned) {
   const std::set<std::string> drain(decision.drain.begin(),
                                     decision.drain.end());
   for (auto& [name, host] : wave.hosts) {
@@ -395,41 +405,41 @@
       host.draining_since.reset();
       continue;
     }
-    const Listed* listed = FindListed(name);
+    const ListedHost* listed = FindListed(name);
     if (listed == nullptr || listed->entry.upstream.empty()) continue;
     if (!host.draining_since) host.draining_since = deps_.executor.Now();
     cordoned.insert(listed->entry.upstream);
   }
-  // Cordons first, so that the stopped tasks are not placed there again.
+  // Cordoned first, so that the evicted tasks are not placed there again.
   SetCordoned(cordoned);
   const std::set<std::string> evict(decision.evict.begin(),
                                     decision.evict.end());
   for (const std::string& name : decision.drain) {
-    const Listed* listed = FindListed(name);
+    const ListedHost* listed = FindListed(name);
     if (listed == nullptr) continue;
     deps_.workload.EvictTasks(listed->entry.upstream, evict.count(name) > 0);
   }
 }
 
-void WaveManager::Log(Wave& wave, const WaveView& view,
-                      const WaveDecision& decision) {
+void WaveManager::LogDecision(Wave& wave, const WaveView& view,
+                              const WaveDecision& decision) {
   const std::string summary =
-      Joined(decision.drain) + "|" + Joined(decision.start_maintenance) + "|" +
-      Text(decision.away) + "|" + Text(decision.pending);
+      Join(decision.drain) + "|" + Join(decision.start_maintenance) + "|" +
+      Text(decision.unavailable_count) + "|" + Text(decision.pending_count);
   if (summary == wave.logged_summary) return;
   wave.logged_summary = summary;
   logging::Event(
       Level::kInfo, "wave decided",
       {{"wave", Text(view.wave)},
-       {"due", Text(decision.pending)},
-       {"away", Text(decision.away)},
-       {"pace", Text(decision.pace)},
+       {"due", Text(decision.pending_count)},
+       {"away", Text(decision.unavailable_count)},
+       {"pace", Text(decision.target_unavailable)},
        {"most_at_once", Text(view.max_unavailable)},
        {"time_left_ms", Text(int64_t{view.time_left.count()})},
        {"drain_limit_ms", Text(int64_t{decision.drain_limit.count()})},
-       {"drain", Joined(decision.drain)},
-       {"send", Joined(decision.start_maintenance)},
-       {"waits", Joined(decision.drain_blockers, ", ")}});
+       {"drain", Join(decision.drain)},
+       {"send", Join(decision.start_maintenance)},
+       {"waits", Join(decision.drain_blockers, ", ")}});
 }
 
 HostRecord WaveManager::RecordOf(const Wave& wave,
@@ -441,35 +451,37 @@
           .upstream = host.upstream};
 }
 
-void WaveManager::Order(Wave& wave, const std::string& name) {
+void WaveManager::OrderMaintenance(Wave& wave, const std::string& name) {
   const TimePoint now = deps_.executor.Now();
-  if (now < next_order_) return;
-  next_order_ = now + Spacing(options_.orders_per_s);
+  if (now < next_order_at_) return;
+  next_order_at_ = now + MinInterval(options_.orders_per_s);
   Host& host = wave.hosts.at(name);
-  const Listed* listed = FindListed(name);
+  const ListedHost* listed = FindListed(name);
   const bool repeated = host.phase == HostMaintenancePhase::kRequested;
   host.phase = HostMaintenancePhase::kRequested;
   host.operation_pending = true;
   if (listed != nullptr) host.upstream = listed->entry.upstream;
   const int64_t number = wave.request.wave;
-  if (repeated) return Send(number, name);
-  host.recorded = true;
-  // A later leader must know of the order before it can take effect: otherwise
-  // it would treat the host as pending, and let one host too many be away.
+  if (repeated) return SendOrder(number, name);
+  host.has_record = true;
+  // The order is stored before it can take effect. A later leader that did not
+  // know of it would treat the host as pending, and let one host too many be
+  // away.
   const ports::KeyedRecord record = Encode(RecordOf(wave, name));
   deps_.journal->Put(record.key, record.value);
   deps_.journal->WhenStored(
       [weak = weak_from_this(), number, name](bool stored) {
         const auto self = weak.lock();
-        if (stored && self && !self->closed_) self->Send(number, name);
+        if (stored && self && !self->closed_) self->SendOrder(number, name);
       });
 }
 
-void WaveManager::Send(int64_t wave, const std::string& name) {
+void WaveManager::SendOrder(int64_t wave, const std::string& name) {
   Host& host = waves_.at(wave).hosts.at(name);
   const HostWork work = deps_.workload.WorkOn(host.upstream);
-  // The store may have taken seconds: checks that the decision is still valid.
-  const bool valid = !fenced_ && deps_.workload.MayOrder() &&
+  // Storing the order may have taken seconds, so the conditions are checked
+  // again.
+  const bool valid = !fenced_ && deps_.workload.MayOrderMaintenance() &&
                      (host.upstream.empty() || work.known) && work.tasks == 0;
   if (!valid) {
     host.operation_pending = false;
@@ -477,12 +489,12 @@
   }
   host.upstream_ended = false;
   deps_.metrics.Count({.name = "upkeep_orders"});
-  logging::Event(Level::kInfo, "upkeep ordered",
+  logging::Event(Level::kInfo, "maintenance ordered",
                  {{"wave", Text(wave)},
                   {"host", name},
                   {"upstream", host.upstream},
                   {"tasks_there", Text(int64_t{work.tasks})},
-                  {"in_doubt", host.unanswered ? "yes" : "no"},
+                  {"in_doubt", host.unanswered_at ? "yes" : "no"},
                   {"fence", Text(options_.term)}});
   deps_.hosts.BeginMaintenance(
       {.host = name,
@@ -492,12 +504,12 @@
       kCallTimeout,
       [weak = weak_from_this(), wave, name](const ports::HostReply& reply) {
         const auto self = weak.lock();
-        if (self && !self->closed_) self->OnReply(wave, name, reply);
+        if (self && !self->closed_) self->OnOrderReply(wave, name, reply);
       });
 }
 
-void WaveManager::OnReply(int64_t wave, const std::string& name,
-                          const ports::HostReply& reply) {
+void WaveManager::OnOrderReply(int64_t wave, const std::string& name,
+                               const ports::HostReply& reply) {
   const TimePoint now = deps_.executor.Now();
   Host& host = waves_.at(wave).hosts.at(name);
   host.operation_pending = false;
@@ -506,7 +518,7 @@
       {.name = "upkeep_answers", .labels = {{"verdict", verdict}}});
   logging::Event(
       reply.verdict == HostVerdict::kDone ? Level::kInfo : Level::kWarning,
-      "upkeep answered",
+      "maintenance order answered",
       {{"wave", Text(wave)},
        {"host", name},
        {"verdict", verdict},
@@ -516,63 +528,65 @@
       backoff_ = Millis(0);
       host.phase = HostMaintenancePhase::kInProgress;
       host.begun_at = now;
-      host.unanswered.reset();
+      host.unanswered_at.reset();
       const auto record = Encode(RecordOf(waves_.at(wave), name));
       return deps_.journal->Put(record.key, record.value);
     }
     case HostVerdict::kFenced:
-      // Another leader has sent orders: this token is never used again.
+      // A later leader has sent orders, so this token is never used again.
       fenced_ = true;
       return deps_.on_leadership_lost("a higher fencing token at host " + name);
     case HostVerdict::kBusy:
       host.retry_at = now + kBusyRetryDelay;
-      // This order had no effect; an earlier one may still take effect.
-      if (!host.unanswered) Release(wave, name);
+      // This order had no effect. An earlier one without an answer may still
+      // take effect.
+      if (!host.unanswered_at) ResetToPending(wave, name);
       return;
     case HostVerdict::kNotInWave:
     case HostVerdict::kNoSuchHost:
       host.phase = HostMaintenancePhase::kExcluded;
       return;
     case HostVerdict::kRefused:
-      BackOff();
+      IncreaseBackoff();
       break;
     case HostVerdict::kUnknown:
-      BackOff();
-      host.unanswered = now;
+      IncreaseBackoff();
+      host.unanswered_at = now;
       break;
   }
-  next_order_ = std::max(next_order_, now + backoff_);
+  next_order_at_ = std::max(next_order_at_, now + backoff_);
 }
 
-void WaveManager::BackOff() {
+void WaveManager::IncreaseBackoff() {
   backoff_ =
       backoff_ == Millis(0) ? kMinBackoff : std::min(kMaxBackoff, 2 * backoff_);
 }
 
-journal::Journal& WaveManager::StatusWriter() {
-  if (status_) return *status_;
-  status_ = std::make_shared<journal::Journal>(
+journal::Journal& WaveManager::StatusJournal() {
+  if (status_journal_) return *status_journal_;
+  status_journal_ = std::make_shared<journal::Journal>(
       deps_.executor, deps_.store,
       journal::JournalOptions{.table = deps_.wave_status.status_table(),
                               .writer = "maintenance",
                               .epoch = options_.term},
       [this] {
-        deps_.on_leadership_lost("the writer of wave states was fenced");
+        deps_.on_leadership_lost(
+            "a later leader has fenced the writer of wave statuses");
       });
-  status_->Open([] {});
-  return *status_;
+  status_journal_->Open([] {});
+  return *status_journal_;
 }
 
-void WaveManager::Announce(Wave& wave) {
-  wave.announced = true;
+void WaveManager::ReportRunning(Wave& wave) {
+  wave.running_reported = true;
   const ports::KeyedRecord status =
       deps_.wave_status.EncodeStatus(wave.request.wave, WaveStatus::kRunning);
-  StatusWriter().Put(status.key, status.value);
+  StatusJournal().Put(status.key, status.value);
   const ports::KeyedRecord record =
       Encode(WaveRecord{.wave = wave.request.wave,
                         .status = WaveStatus::kRunning,
-                        .since_unix_ms = wave.since_unix_ms});
-  StatusWriter().WhenStored([weak = weak_from_this(), record](bool stored) {
+                        .first_seen_unix_ms = wave.first_seen_unix_ms});
+  StatusJournal().WhenStored([weak = weak_from_this(), record](bool stored) {
     const auto self = weak.lock();
     if (stored && self && !self->closed_) {
       self->deps_.journal->Put(record.key, record.value);
@@ -580,7 +594,7 @@
   });
 }
 
-void WaveManager::Complete(Wave& wave) {
+void WaveManager::ReportComplete(Wave& wave) {
   wave.complete = true;
   deps_.metrics.Count({.name = "waves_completed"});
   logging::Event(
@@ -588,21 +602,21 @@
       {{"wave", Text(wave.request.wave)}, {"hosts", Text(wave.hosts.size())}});
   const ports::KeyedRecord status =
       deps_.wave_status.EncodeStatus(wave.request.wave, WaveStatus::kComplete);
-  StatusWriter().Put(status.key, status.value);
-  StatusWriter().WhenStored(
+  StatusJournal().Put(status.key, status.value);
+  StatusJournal().WhenStored(
       [weak = weak_from_this(), number = wave.request.wave](bool stored) {
         const auto self = weak.lock();
         if (!stored || !self || self->closed_) return;
-        // Stored only now: with an earlier record, a later leader would assume
-        // that the status has been reported to operators.
+        // The record is stored only after the status: a later leader that finds
+        // the record assumes that the status has been reported to operators.
         const Wave& done = self->waves_.at(number);
         const ports::KeyedRecord record =
             Encode(WaveRecord{.wave = number,
                               .status = WaveStatus::kComplete,
-                              .since_unix_ms = done.since_unix_ms});
+                              .first_seen_unix_ms = done.first_seen_unix_ms});
         self->deps_.journal->Put(record.key, record.value);
         for (const auto& [name, host] : done.hosts) {
-          if (!host.recorded) continue;
+          if (!host.has_record) continue;
           self->deps_.journal->Remove(KeyOf({.wave = number, .host = name}));
         }
       });
--- a/src/maintenance/wave_plan.h
+++ b/src/maintenance/wave_plan.h
@@ -11,13 +11,13 @@
 
 namespace mimosarail::maintenance {
 
-/// Phase of the maintenance of one host of a wave.
+/// Phase of a host's maintenance within a wave.
 enum class HostMaintenancePhase {
-  kPending,     ///< Its maintenance has not been ordered.
-  kRequested,   ///< Ordered; in doubt whether the maintenance has begun.
-  kInProgress,  ///< Begun; the host has not been seen back since.
-  kCompleted,   ///< Begun, and the host was seen back.
-  kExcluded,    ///< Not a host of the wave according to the platform.
+  kPending,     ///< The maintenance has not been ordered.
+  kRequested,   ///< Ordered; in doubt whether it has begun.
+  kInProgress,  ///< Begun; the host has not come back yet.
+  kCompleted,   ///< Begun, and the host has come back.
+  kExcluded,    ///< The platform reports that the host is not in the wave.
 };
 
 inline constexpr EnumTable kHostMaintenancePhaseNames{std::array{
@@ -28,70 +28,81 @@
     EnumName{HostMaintenancePhase::kExcluded, "excluded"},
 }};
 
-/// The work on a host, and the cost of taking the host away.
+/// The tasks on a host, which must end or move before its maintenance.
 struct HostWork {
-  /// The other fields are reliable: the upstream of the host is known, listed
-  /// and reachable, and holds no completion that it alone knows of.
+  /// The other fields are reliable: the upstream of the host is listed and
+  /// reachable, and it has no completion left that is not acknowledged.
   bool known = true;
   int32_t tasks = 0;
-  /// Long-running tasks whose step limits how many may be unavailable: they are
-  /// moved one after the other and never ended by the maintenance itself.
+  /// The long-running tasks among them whose step limits how many of its tasks
+  /// may be unavailable. They are moved only within that limit, and never ended
+  /// by the maintenance itself.
   int32_t budgeted_tasks = 0;
   /// Expected time until the last task that can't continue elsewhere ends.
   Millis drain_time{0};
+  /// Cores of the tasks, in thousandths.
   int64_t millicores = 0;
 };
 
+/// One host of a wave, as input of the decision.
 struct HostView {
   std::string host;
-  /// On the platform's list; a host that is not has left permanently.
+  /// Whether the host is on the platform's list. A host that is not has left
+  /// permanently.
   bool listed = true;
   ports::HostState state = ports::HostState::kUp;
   HostMaintenancePhase phase = HostMaintenancePhase::kPending;
-  /// No order may be sent to the host for now: one is in flight, or one was
-  /// refused recently.
+  /// No order may be sent to the host for now: one is being stored or is in
+  /// flight, or one was refused recently.
   bool on_hold = false;
   bool draining = false;
   Millis draining_for{0};
   HostWork work;
 };
 
+/// One wave, as input of the decision.
 struct WaveView {
+  /// Number of the wave.
   int64_t wave = 0;
+  /// How many hosts of the wave may be away for maintenance at a time.
   size_t max_unavailable = 1;
   Millis time_left{0};
-  /// Duration of one maintenance, until the host is seen back.
+  /// How long a host is away for its maintenance.
   Millis maintenance_duration{2000};
   /// Free cores, in thousandths, on upstreams that are not cordoned.
   int64_t free_millicores = 0;
   std::vector<HostView> hosts;
 };
 
+/// The next steps of a wave.
 struct WaveDecision {
-  /// Hosts that get no new work. Includes every host in `start_maintenance`.
+  /// Hosts that get no new tasks. Includes every host in `start_maintenance`.
   std::vector<std::string> drain;
-  /// The subset of `drain` whose drain limit has passed: all their work is to
+  /// The subset of `drain` whose drain limit has passed: all their tasks are to
   /// be stopped.
   std::vector<std::string> evict;
-  /// Hosts whose maintenance is to begin now. No task runs on them. Otherwise a
-  /// task could complete right before the maintenance, and its completion could
-  /// be recorded by the leader but lost on the host.
+  /// Hosts whose maintenance is to begin now. No task runs on them: a task
+  /// could otherwise complete right before the maintenance, and its completion
+  /// could be recorded by the leader but lost on the host.
   std::vector<std::string> start_maintenance;
   ports::WaveStatus status = ports::WaveStatus::kRunning;
-  /// For the log: draining hosts, each with the condition that it waits for.
+  /// For the log: draining hosts, each with the reason why its maintenance does
+  /// not begin yet.
   std::vector<std::string> drain_blockers;
-  /// For the log: number of hosts that count as away, number that may be away
-  /// according to the pace, number still pending, and the longest drain.
-  size_t away = 0;
-  size_t pace = 0;
-  size_t pending = 0;
+  /// For the log: number of hosts that count as away.
+  size_t unavailable_count = 0;
+  /// For the log: number of hosts that have to be away at a time to finish the
+  /// wave in the planned time; at most `max_unavailable`.
+  size_t target_unavailable = 0;
+  /// For the log: number of hosts whose maintenance has yet to begin.
+  size_t pending_count = 0;
+  /// For the log: how long a host may wait for its tasks to end.
   Millis drain_limit{0};
 };
 
 /// Decides the next steps of one wave. A pure function: no clock, no I/O. Never
-/// lets more than `max_unavailable` hosts be away; a host whose order has no
-/// answer counts as away. A slot is one of the places for hosts that may be
-/// away at a time. Thread-safe.
+/// lets more than `max_unavailable` hosts be away; a host whose order is in
+/// doubt counts as away. Thread-safe.
 WaveDecision DecideWave(const WaveView& view);
 
 }  // namespace mimosarail::maintenance
--- a/src/maintenance/wave_records.cc
+++ b/src/maintenance/wave_records.cc
@@ -26,7 +26,9 @@
   return {text.substr(0, at), text.substr(at + 1)};
 }
 
-std::string WaveKey(int64_t wave) { return kWavePrefix + std::to_string(wave); }
+std::string WaveKey(int64_t wave) {
+  return kWaveKeyPrefix + std::to_string(wave);
+}
 
 }  // namespace
 
@@ -41,7 +43,7 @@
 ports::KeyedRecord Encode(const WaveRecord& record) {
   return {WaveKey(record.wave),
           std::string(ports::kWaveStatusNames.Name(record.status)) +
-              kFieldSeparator + std::to_string(record.since_unix_ms)};
+              kFieldSeparator + std::to_string(record.first_seen_unix_ms)};
 }
 
 ports::KeyedRecord Encode(const HostRecord& record) {
@@ -50,18 +52,21 @@
 }
 
 std::optional<WaveRecord> DecodeWave(const ports::KeyedRecord& record) {
-  if (record.key.empty() || record.key[0] != kWavePrefix) return std::nullopt;
+  if (record.key.empty() || record.key[0] != kWaveKeyPrefix)
+    return std::nullopt;
   const auto wave = ParseNumber(record.key.substr(1));
-  const auto [status, since] = Split(record.value, kFieldSeparator);
+  const auto [status, first_seen] = Split(record.value, kFieldSeparator);
   const auto parsed_status = ports::kWaveStatusNames.Find(status);
-  const auto since_ms = ParseNumber(since);
-  if (!wave || !parsed_status || !since_ms) return std::nullopt;
-  return WaveRecord{
-      .wave = *wave, .status = *parsed_status, .since_unix_ms = *since_ms};
+  const auto first_seen_ms = ParseNumber(first_seen);
+  if (!wave || !parsed_status || !first_seen_ms) return std::nullopt;
+  return WaveRecord{.wave = *wave,
+                    .status = *parsed_status,
+                    .first_seen_unix_ms = *first_seen_ms};
 }
 
 std::optional<HostRecord> DecodeHost(const ports::KeyedRecord& record) {
-  if (record.key.empty() || record.key[0] != kWavePrefix) return std::nullopt;
+  if (record.key.empty() || record.key[0] != kWaveKeyPrefix)
+    return std::nullopt;
   const auto [number, host] = Split(record.key.substr(1), kHostSeparator);
   const auto wave = ParseNumber(number);
   const auto [phase, upstream] = Split(record.value, kFieldSeparator);
--- a/src/maintenance/wave_records.h
+++ b/src/maintenance/wave_records.h
@@ -9,24 +9,26 @@
 
 namespace mimosarail::maintenance {
 
-/// The records of maintenance waves that the leader stores in its table for the
-/// next leader. All functions are thread-safe.
+/// The leader stores the state of maintenance waves in records of its table, so
+/// that the next leader can continue the waves. All functions are thread-safe.
 
-/// First character of the keys.
-inline constexpr char kWavePrefix = 'w';
+/// First character of the keys of these records.
+inline constexpr char kWaveKeyPrefix = 'w';
 
 /// One wave, with the status that was last reported to operators.
 struct WaveRecord {
+  /// Number of the wave.
   int64_t wave = 0;
   ports::WaveStatus status = ports::WaveStatus::kRunning;
-  /// When the wave was first seen, in ms since 1970.
-  int64_t since_unix_ms = 0;
+  /// When a leader first saw the wave, in ms since 1970.
+  int64_t first_seen_unix_ms = 0;
 };
 
 /// One host of a wave; stored before the maintenance order is sent.
 struct HostRecord {
   int64_t wave = 0;
   std::string host;
+  /// False while it is in doubt whether the maintenance has begun.
   bool begun = false;
   /// The upstream that ran on the host at the time of the order.
   std::string upstream;
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -26,21 +26,24 @@
 using Names = std::vector<std::string>;
 
 constexpr int64_t kWave = 4;
-/// Seeds that have failed before; they always run. The faults found:
-/// 305: an order was refused (429), another host was ordered in its place, and
-/// the leader crashed. The next leader found both hosts as ordered, ordered
-/// both again, and two hosts were away where one may be. 119: a host of two
-/// waves was ordered for the first wave by one leader, for the second by the
-/// next leader, and again by the former, within the time in which holders may
-/// not alternate: only the wave that had ordered it waited. 587, 810: a
-/// long-running task was stopped shortly after another one, which had been
-/// moved before and was running again, had crashed; the check still counted
-/// that one as unavailable because of the maintenance. 107: an order took
-/// effect after it had been treated as lost. The host was ordered again, which
-/// was answered as begun, and its new upstream was treated as ended although it
-/// was running. 1095: an order of a leader that had crashed took effect seconds
-/// late, less than 3 s before that of the next leader; they were sent more than
-/// 3 s apart. The check used the time of the effect.
+/// Seeds that have failed before; they always run. Some of the faults:
+/// - 305: An order was refused (429), another host was ordered in its place,
+///   and the leader crashed. The next leader found both hosts recorded as
+///   ordered and ordered both again, so that two hosts were away where one may
+///   be.
+/// - 119: One leader ordered a host for a first wave. The next leader ordered
+///   it for a second wave, and the first leader again, within the time in which
+///   holders may not alternate. Only the wave that had ordered the host waited
+///   for that time.
+/// - 587, 810: A long-running task was moved by the maintenance, ran again, and
+///   crashed. Shortly after, another task was stopped. The check still counted
+///   the first task as unavailable because of the maintenance.
+/// - 107: An order took effect after it had been treated as lost. The repeated
+///   order was answered as begun, and the new upstream of the host was treated
+///   as ended although it was running.
+/// - 1095: An order of a crashed leader took effect seconds late, less than 3 s
+///   before an order of the next leader. The two were sent more than 3 s apart,
+///   but the check used the time of the effect.
 const std::vector<uint64_t> kRegressionSeeds{305, 119, 587, 810, 107,
                                              39,  46,  291, 1095};
 constexpr uint64_t kDefaultSeedCount = 40;
@@ -67,7 +70,8 @@
 };
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-/// Returns a wave with three idle hosts, a limit of one and a minute left.
+/// Returns a wave of three hosts without tasks. One host may be away at a time,
+/// and a minute is left.
 WaveView ThreeHosts() {
   WaveView out{.wave = kWave,
                .max_unavailable = 1,
@@ -86,11 +90,11 @@
   BOOST_CHECK(decision.status == WaveStatus::kRunning);
 }
 
-/// Guards against too many hosts away: a host that may be away for its
-/// maintenance leaves no slot for another one.
+/// Guards against too many hosts being away: while a host may be away for its
+/// maintenance, no other host is ordered.
 BOOST_AUTO_TEST_CASE(HostsAwayNeverExceedLimit) {
   struct Row {
-    const char* what;
+    const char* description;
     HostMaintenancePhase phase;
     HostState state;
     bool listed;
@@ -111,7 +115,7 @@
        true},
       {"begun, left permanently", HostMaintenancePhase::kInProgress,
        HostState::kDown, false, true},
-      {"crashed before its turn", HostMaintenancePhase::kPending,
+      {"crashed before its order", HostMaintenancePhase::kPending,
        HostState::kDown, true, true},
   };
   for (const Row& row : rows) {
@@ -123,7 +127,7 @@
     const WaveDecision decision = DecideWave(view);
     BOOST_TEST(
         decision.start_maintenance.size() == (row.allows_another ? 1U : 0U),
-        row.what);
+        row.description);
   }
 }
 
@@ -131,7 +135,7 @@
 /// every remaining host has begun.
 BOOST_AUTO_TEST_CASE(CompleteOnlyWhenAllHaveBegun) {
   struct Row {
-    const char* what;
+    const char* description;
     HostMaintenancePhase phase;
     HostState state;
     bool listed;
@@ -150,9 +154,9 @@
       {"begun", HostMaintenancePhase::kInProgress, HostState::kMaintenance,
        true, true},
       {"back", HostMaintenancePhase::kCompleted, HostState::kUp, true, true},
-      {"left before its turn", HostMaintenancePhase::kPending,
+      {"left before its order", HostMaintenancePhase::kPending,
        HostState::kUnknown, false, true},
-      {"not of the wave", HostMaintenancePhase::kExcluded, HostState::kUp, true,
+      {"not in the wave", HostMaintenancePhase::kExcluded, HostState::kUp, true,
        true},
   };
   for (const Row& row : rows) {
@@ -164,12 +168,12 @@
     view.hosts[1].state = row.state;
     view.hosts[1].listed = row.listed;
     const bool complete = DecideWave(view).status == WaveStatus::kComplete;
-    BOOST_TEST(complete == row.complete, row.what);
+    BOOST_TEST(complete == row.complete, row.description);
   }
 }
 
-/// Guards against a late wave: with little time left it uses all its slots,
-/// with much time it takes one host after the other.
+/// Guards against a wave that ends late: with much time left, one host is away
+/// at a time; with little time left, as many as the limit allows.
 BOOST_AUTO_TEST_CASE(PaceFollowsRemainingTime) {
   struct Row {
     Millis time_left;
@@ -187,8 +191,8 @@
   }
 }
 
-/// Guards against lost work: work that can't continue elsewhere is waited for,
-/// as long as the time allows.
+/// Guards against lost work: the maintenance waits for tasks that can't
+/// continue elsewhere, as long as the time allows.
 BOOST_AUTO_TEST_CASE(RunningWorkDecidesHostOrder) {
   WaveView view = ThreeHosts();
   view.hosts[0].work = {.tasks = 1, .drain_time = Millis(5000)};
@@ -202,22 +206,23 @@
   view.hosts[2].draining_for = Millis(2000);
   BOOST_TEST(DecideWave(view).drain == Names({"c", "b"}));
   BOOST_TEST(DecideWave(view).evict.empty());
-  // The drain takes too long: the work is stopped to keep the wave in time. The
-  // maintenance does not begin before the work has ended, whatever the time.
+  // If the drain takes too long, the tasks are stopped so that the wave ends in
+  // time. The maintenance does not begin before they have ended, even if no
+  // time is left.
   view.hosts[2].draining_for = Millis(10000);
   BOOST_TEST(DecideWave(view).evict == Names({"c"}));
   view.time_left = Millis(0);
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
   view.hosts[2].work = {};
   BOOST_TEST(DecideWave(view).start_maintenance == Names({"c"}));
-  // Work on an unknown upstream does not count as ended.
+  // Without reliable data about the tasks, they do not count as ended.
   view.hosts[2].work = {.known = false};
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
-/// Guards against hosts that drain ahead of their turn although there is no
-/// free capacity elsewhere.
-BOOST_AUTO_TEST_CASE(DrainAheadNeedsFreeCapacity) {
+/// Guards against hosts that drain in advance although there is no free
+/// capacity elsewhere.
+BOOST_AUTO_TEST_CASE(DrainInAdvanceNeedsFreeCapacity) {
   WaveView view = ThreeHosts();
   for (HostView& host : view.hosts) {
     host.work = {.tasks = 1, .drain_time = Millis(900), .millicores = 4000};
@@ -228,8 +233,8 @@
   BOOST_TEST(DecideWave(view).drain == Names({"a", "b"}));
 }
 
-/// Guards against an order in doubt that blocks the wave: repeating the order
-/// resolves it, and needs no new slot.
+/// Guards against an order in doubt that blocks the wave: the order is repeated
+/// although no other host may be away.
 BOOST_AUTO_TEST_CASE(OrderInDoubtIsRepeated) {
   WaveView view = ThreeHosts();
   view.hosts[2].phase = HostMaintenancePhase::kRequested;
@@ -238,8 +243,9 @@
   BOOST_TEST(DecideWave(view).start_maintenance.empty());
 }
 
-/// Guards against repeated orders that exceed the limit: two hosts are recorded
-/// as ordered where one may be away, and are ordered one after the other.
+/// Guards against repeated orders that exceed the limit: if two hosts are
+/// recorded as ordered where one may be away, their orders are repeated one
+/// after the other.
 BOOST_AUTO_TEST_CASE(RepeatedOrdersRespectLimit) {
   WaveView view = ThreeHosts();
   view.hosts[1].phase = HostMaintenancePhase::kRequested;
@@ -253,11 +259,11 @@
   const auto wave = maintenance::DecodeWave(
       Encode(maintenance::WaveRecord{.wave = 12,
                                      .status = WaveStatus::kComplete,
-                                     .since_unix_ms = 1796000000000}));
+                                     .first_seen_unix_ms = 1796000000000}));
   BOOST_REQUIRE(wave.has_value());
   BOOST_TEST(wave->wave == 12);
   BOOST_CHECK(wave->status == WaveStatus::kComplete);
-  BOOST_TEST(wave->since_unix_ms == 1796000000000);
+  BOOST_TEST(wave->first_seen_unix_ms == 1796000000000);
   const auto record = Encode(maintenance::HostRecord{
       .wave = 12, .host = "h/7", .begun = true, .upstream = "up"});
   BOOST_TEST(maintenance::IsHostKey(record.key));
@@ -296,16 +302,16 @@
     BOOST_TEST_MESSAGE(findings.ToString());
     return out;
   };
-  const auto without = read("");
-  BOOST_REQUIRE(without.has_value());
-  BOOST_TEST(without->hosts_address.empty());
-  const auto with = read(
+  const auto without_host_api = read("");
+  BOOST_REQUIRE(without_host_api.has_value());
+  BOOST_TEST(without_host_api->hosts_address.empty());
+  const auto with_host_api = read(
       R"(, "hosts_address": "1.2.3.4:5", "host_lists_per_s": 60.0,)"
       R"("host_orders_per_s": 0.5, "upkeep_s": 2, "holder_lease_ms": 3000)");
-  BOOST_REQUIRE(with.has_value());
-  BOOST_TEST(with->host_lists_per_100_s == 6000);
-  BOOST_TEST(with->host_orders_per_100_s == 50);
-  BOOST_TEST(with->maintenance_duration_centis == 200);
+  BOOST_REQUIRE(with_host_api.has_value());
+  BOOST_TEST(with_host_api->host_lists_per_100_s == 6000);
+  BOOST_TEST(with_host_api->host_orders_per_100_s == 50);
+  BOOST_TEST(with_host_api->maintenance_duration_centis == 200);
   BOOST_TEST(!read(R"(, "hosts_address": "nowhere")").has_value());
   BOOST_TEST(!read(R"(, "host_orders_per_s": -1)").has_value());
 }
@@ -426,21 +432,22 @@
   CheckNoViolations(cell);
 }
 
-/// Guards against the cost of calls without a wave or without a host API.
+/// Guards against the cost of needless calls: without a wave, and without a
+/// host API in the settings, none is made.
 BOOST_AUTO_TEST_CASE(NoCallsWithoutWave) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(10000));
   BOOST_TEST(cell.hosts().calls() == 0);
   BOOST_TEST(cell.store().Records("status").empty());
-  JobCell without({});
-  without.RunFor(Millis(3000));
-  without.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
-  without.RunFor(Millis(10000));
-  BOOST_TEST(without.hosts().calls() == 0);
-  BOOST_TEST(without.store().Records("status").empty());
+  JobCell without_host_api({});
+  without_host_api.RunFor(Millis(3000));
+  without_host_api.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
+  without_host_api.RunFor(Millis(10000));
+  BOOST_TEST(without_host_api.hosts().calls() == 0);
+  BOOST_TEST(without_host_api.store().Records("status").empty());
 }
 
-/// Guards against calls after the last maintenance, also by a new leader.
+/// Guards against calls after the wave is complete, also by a new leader.
 BOOST_AUTO_TEST_CASE(NoCallsAfterCompleteWave) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
@@ -516,9 +523,9 @@
   CheckNoViolations(cell);
 }
 
-/// A leader has ordered a host without success and crashes. The next leader
-/// sends no order for 3 s: ordered by two leaders within that time, and by the
-/// first one again, the host would have two alternating holders.
+/// The orders of a leader are refused, and it crashes. The next leader sends no
+/// order for 3 s. If two leaders ordered the same host alternately within that
+/// time, the host would have two alternating holders.
 BOOST_AUTO_TEST_CASE(NewLeaderWaitsForEarlierLeadersOrdersToExpire) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
@@ -537,9 +544,9 @@
   CheckNoViolations(cell);
 }
 
-/// The first host crashes between the reading of the list and its order, which
-/// is refused. Its record is removed before the next host is ordered: a leader
-/// that found both records would treat both hosts as ordered.
+/// The first host crashes between the reading of the list and its order, so
+/// that the order is refused. Its record is removed before the next host is
+/// ordered: a leader that found both records would treat both hosts as ordered.
 BOOST_AUTO_TEST_CASE(RefusedOrderLeavesNoRecord) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
@@ -563,8 +570,7 @@
 }
 
 /// A host of the wave leaves permanently, and another one crashes and comes
-/// back as another upstream. The wave waits for the second and not for the
-/// first.
+/// back as another upstream. The wave waits for the second host only.
 BOOST_AUTO_TEST_CASE(WaveIgnoresRemovedHostsAndWaitsForReplacedOnes) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
@@ -578,8 +584,8 @@
 }
 
 /// Jobs and gangs run while all hosts have their maintenance. Every job
-/// completes, each task is done once, and hosts are drained before they go
-/// away.
+/// completes, each task is done once, and hosts are drained before their
+/// maintenance.
 BOOST_AUTO_TEST_CASE(JobsAndGangsCompleteDuringWave) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
@@ -606,9 +612,9 @@
 
 /// A task that takes long and saves no checkpoint runs on a host whose drain
 /// limit has passed. It is stopped before the maintenance and started
-/// elsewhere: ended by the maintenance, it could restart only after its lease
-/// (4 s), and a completion right before the maintenance would be recorded here
-/// and lost there.
+/// elsewhere. If the maintenance ended it, it could restart only after its
+/// lease (4 s), and a completion right before the maintenance would be recorded
+/// by the leader and lost on the host.
 BOOST_AUTO_TEST_CASE(HostIsDrainedBeforeMaintenance) {
   JobCell cell(WithHosts());
   cell.RunFor(Millis(3000));
@@ -679,7 +685,7 @@
     return names[Pick(names.size())];
   }
 
-  /// Checks the status that operators read every 50 ms.
+  /// Runs for `span`, and checks the status that operators see every 50 ms.
   void Run(Millis span) {
     constexpr Millis kPollInterval{50};
     for (Millis passed{0}; passed < span; passed += kPollInterval) {
