--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -205,13 +205,14 @@
   for (const ports::HostEntry& host : page.hosts) {
     reading->hosts[host.host] = host;
   }
-  if (page.next.empty()) return OnList(*reading);
-  deps_.executor.RunAfter(MinInterval(options_.lists_per_s),
-                          [weak = weak_from_this(), next = page.next, reading] {
-                            const auto self = weak.lock();
-                            if (!self || self->closed_) return;
-                            self->ReadPage(next, reading);
-                          });
+  if (page.next_page_token.empty()) return OnList(*reading);
+  deps_.executor.RunAfter(
+      MinInterval(options_.lists_per_s),
+      [weak = weak_from_this(), token = page.next_page_token, reading] {
+        const auto self = weak.lock();
+        if (!self || self->closed_) return;
+        self->ReadPage(token, reading);
+      });
 }
 
 void WaveManager::OnList(const ListReading& reading) {
--- a/src/ports/cell_config_port.h
+++ b/src/ports/cell_config_port.h
@@ -13,14 +13,15 @@
 
 namespace mimosarail::ports {
 
-/// The address of a queue for callers, and the policy of its jobs.
+/// A queue of jobs: the policy for its jobs, and the HTTP host and the path
+/// prefix under which callers reach it.
 struct QueueConfig {
   wire::QueuePolicy policy;
   std::string host;
   std::string prefix;
 };
 
-/// One accepted configuration of the cell.
+/// A valid configuration of the cell.
 struct CellConfig {
   int64_t version = 0;
   std::vector<QueueConfig> queues;
@@ -32,13 +33,13 @@
 
 /// The result of one read of the configuration.
 struct ConfigUpdate {
-  /// Position from which the next read continues.
+  /// Position in the configuration log from which the next read continues.
   int64_t cursor = 0;
-  /// New documents as stored, oldest first. The newest one that decodes
-  /// applies.
+  /// New configuration documents as stored, oldest first. The newest one that
+  /// decodes is in force.
   std::vector<std::string> documents;
-  /// Maintenance waves from the same log, so that following them needs no
-  /// separate call.
+  /// Requests for maintenance waves. They are in the same log, so that reading
+  /// them needs no separate call.
   std::vector<WaveRequest> waves{};
 };
 
@@ -49,8 +50,8 @@
   virtual ~CellConfigPort() = default;
   /// Reads the newest document and the cursor after it.
   virtual void ReadNewest(Millis timeout, Callback<ConfigUpdate> done) = 0;
-  /// Waits up to `wait` for a change after `cursor`. Errc::kInvalid when the
-  /// cursor is too old: read the newest instead.
+  /// Waits up to `wait` for a change after `cursor`. The error is
+  /// Errc::kInvalid if the cursor is too old; ReadNewest() gives a new one.
   virtual void ReadChange(int64_t cursor, Millis wait, Millis timeout,
                           Callback<ConfigUpdate> done) = 0;
   /// Decodes a document; errors name the field.
--- a/src/ports/host_port.h
+++ b/src/ports/host_port.h
@@ -29,7 +29,8 @@
     EnumName{HostState::kUnknown, "unclear"},
 }};
 
-/// One host. It gets a new upstream, with a new id, each time it starts.
+/// One host of the list. A host runs a new upstream, with a new id, each time
+/// it starts.
 struct HostEntry {
   std::string host;
   std::string pool;
@@ -40,18 +41,19 @@
 
 struct HostPage {
   std::vector<HostEntry> hosts;
-  /// Continues the list; empty on the last page.
-  std::string next;
+  /// Requests the next page; empty on the last page.
+  std::string next_page_token;
 };
 
+/// Outcome of a maintenance order.
 enum class HostVerdict {
-  kDone,       ///< Begun now, or by an earlier call for the same wave.
+  kDone,       ///< Maintenance begun, now or by an earlier order of the wave.
   kFenced,     ///< A higher fencing token was used for this host.
   kBusy,       ///< The host is not up, or is leaving; nothing was done.
   kNotInWave,  ///< The wave does not include this host.
   kNoSuchHost,
   kRefused,  ///< Rate limit, or the API is unavailable; nothing was done.
-  kUnknown,  ///< May have taken effect, or may take effect later.
+  kUnknown,  ///< The order may have taken effect, or may do so later.
 };
 
 inline constexpr EnumTable kHostVerdictNames{std::array{
@@ -74,6 +76,7 @@
   int64_t wave = 0;
   /// Name of the entry that sends the order.
   std::string holder;
+  /// Fencing token of that entry.
   int64_t fence = 0;
 };
 
@@ -82,7 +85,8 @@
 class HostPort {
  public:
   virtual ~HostPort() = default;
-  /// Reads one page of the list; `after` is empty for the first page.
+  /// Reads one page of the list. `after` is the token from the previous page,
+  /// empty for the first page.
   virtual void ListHosts(const std::string& after, Millis timeout,
                          Callback<HostPage> done) = 0;
   /// Ends all work on the host at once; a new upstream joins later. A repeated
@@ -94,6 +98,7 @@
 /// An operator's request: maintenance of each of the hosts within `duration`,
 /// with no more than `max_unavailable` of them away at the same time.
 struct WaveRequest {
+  /// Number of the wave.
   int64_t wave = 0;
   std::vector<std::string> hosts;
   Millis duration{0};
@@ -107,8 +112,8 @@
     EnumName{WaveStatus::kComplete, "complete"},
 }};
 
-/// The status of waves for operators, in a table of the record store. Control
-/// thread only.
+/// Where and how the status of waves is stored for operators: in a table of the
+/// record store. Control thread only.
 class WaveStatusPort {
  public:
   virtual ~WaveStatusPort() = default;
--- a/src/ports/instance_list_port.h
+++ b/src/ports/instance_list_port.h
@@ -10,8 +10,9 @@
 class InstanceListPort {
  public:
   virtual ~InstanceListPort() = default;
-  /// Fetches the list, or `unchanged` if its version is still `known_version`
-  /// (0 for none).
+  /// Fetches the list. If its version is still `known_version`, the reply has
+  /// `unchanged` set and contains no instances. Pass 0 if no
+  /// version is known.
   virtual void Fetch(int64_t known_version, Callback<wire::ListReply> done) = 0;
 };
 
--- a/src/ports/record_store_port.h
+++ b/src/ports/record_store_port.h
@@ -20,8 +20,9 @@
   std::string decode_error{};
 };
 
-/// Identity under which a writer appends. An append with a lower epoch than one
-/// already seen is always refused; a repeated sequence number has no effect.
+/// Identity under which a writer appends. The store refuses an append with an
+/// epoch below one that it has seen from the writer of that name. An append
+/// with a repeated sequence number has no effect.
 struct WriterIdentity {
   std::string name;
   int64_t epoch = 0;
@@ -51,9 +52,10 @@
   std::string detail;
 };
 
+/// One page of the newest records of a table.
 struct NewestPage {
   std::vector<KeyedRecord> records;
-  /// There are more records, after the key `last_key`.
+  /// The table has more records, with keys above `last_key`.
   bool more = false;
   std::string last_key{};
   int64_t end_offset = 0;
@@ -68,7 +70,8 @@
   std::vector<KeyedRecord> records;
 };
 
-/// Tables in the platform's store, in which the newest record of a key applies.
+/// The platform's store of tables. A table is a log of records; the newest
+/// record of each key applies.
 /// Callbacks run on the control thread. Control thread only.
 class RecordStorePort {
  public:
@@ -76,8 +79,8 @@
   virtual void Append(const AppendCall& call, Millis timeout,
                       std::function<void(AppendReply)> done) = 0;
   /// Reads the newest records with keys above `after`, in key order. `timeout`
-  /// bounds the time without incoming data, not the duration of the whole read;
-  /// the client may set a separate limit for that.
+  /// limits the time without incoming data, not the duration of the whole read.
+  /// The implementation may limit that separately.
   virtual void ReadNewest(const std::string& table, const std::string& after,
                           Millis timeout, Callback<NewestPage> done) = 0;
   /// Reads records from an offset on; waits up to `wait` for the first one.
--- a/src/ports/task_port.h
+++ b/src/ports/task_port.h
@@ -20,9 +20,10 @@
   std::string id;
 };
 
+/// Outcome of a call to an upstream.
 enum class CallVerdict {
   kDone,
-  kFenced,        ///< A higher fencing token was seen there.
+  kFenced,        ///< The upstream has seen a higher fencing token.
   kStale,         ///< That attempt, or a later one, was already started there.
   kLeaseExpired,  ///< The lease in the call had expired on arrival.
   kNoCapacity,    ///< The upstream enforces its capacity, and is full.
@@ -48,11 +49,11 @@
     EnumName{CallVerdict::kUnknown, "unknown"},
 }};
 
-struct StartTask {
+struct StartCall {
   TaskId task;
   int64_t attempt = 0;
   std::string payload;
-  /// End of the lease of all tasks there, on the upstream's clock, in ms.
+  /// End of the lease of all tasks at the upstream, in ms of its clock.
   int64_t lease_until_ms = 0;
   int64_t fence = 0;
   std::string checkpoint;
@@ -66,6 +67,7 @@
   std::string detail;
 };
 
+/// How a run ended.
 enum class EndKind {
   kDone,
   kFailed,
@@ -88,13 +90,14 @@
   TaskId task;
   int64_t attempt = 0;
   std::string checkpoint;
+  /// Progress that the task reports, in percent.
   int32_t percent = 0;
 };
 
 /// A completion: any end of a run, successful or not.
 struct EndedTask {
-  /// Sequence number among the completions at one incarnation of the
-  /// upstream, from 1.
+  /// Sequence number of the completion at this incarnation of the upstream,
+  /// from 1.
   int64_t number = 0;
   TaskId task;
   int64_t attempt = 0;
@@ -107,6 +110,8 @@
   /// Completions up to this number are stored, and the upstream may discard
   /// them.
   int64_t acked_completions = 0;
+  /// Requested end of the lease of all tasks at the upstream, in ms of its
+  /// clock; 0 requests no lease.
   int64_t lease_until_ms = 0;
   /// How long the reply may wait for a completion.
   Millis wait{0};
@@ -116,8 +121,8 @@
   CallReply call;
   std::vector<RunningTask> running;
   std::vector<EndedTask> ended;
-  /// There may be more completions than are listed. A run that is in neither
-  /// list may then have ended as well.
+  /// There may be more completions than those in `ended`. A run that is in
+  /// neither list may then have ended as well.
   bool more_completions = false;
 };
 
@@ -126,13 +131,13 @@
 class TaskPort {
  public:
   virtual ~TaskPort() = default;
-  virtual void Start(const UpstreamTarget& target, const StartTask& call,
+  virtual void Start(const UpstreamTarget& target, const StartCall& call,
                      Millis timeout, std::function<void(CallReply)> done) = 0;
   virtual void Stop(const UpstreamTarget& target, const TaskId& task,
                     int64_t attempt, int64_t fence, Millis timeout,
                     std::function<void(CallReply)> done) = 0;
-  /// Renews the lease of all tasks there, and returns the running tasks and the
-  /// completions.
+  /// Renews the lease of all tasks at the upstream, and returns the running
+  /// tasks and the completions.
   virtual void Renew(const UpstreamTarget& target, const RenewCall& call,
                      Millis timeout, std::function<void(RenewReply)> done) = 0;
 };
--- a/src/ports/upstream_list_port.h
+++ b/src/ports/upstream_list_port.h
@@ -16,7 +16,7 @@
 };
 
 /// One incarnation of an upstream, from its start to its end, with the data
-/// that it registered.
+/// that it has registered.
 struct UpstreamEntry {
   std::string id;
   /// False if the upstream has left the list; then only `id` is set.
@@ -32,13 +32,16 @@
   std::vector<std::string> labels;
   UpstreamSize capacity;
   bool draining = false;
-  /// Remaining time for which the upstream is slower after its start, in ms.
+  /// How long the upstream will still run tasks slower than usual after its
+  /// start, in ms.
   int64_t warmup_left_ms = 0;
   /// While draining: minimum time until it leaves, in ms; 0 if not reported.
   int64_t leaves_in_ms = 0;
 };
 
+/// The result of one read of the list.
 struct UpstreamListUpdate {
+  /// Position from which ReadChanges() continues.
   int64_t cursor = 0;
   std::vector<UpstreamEntry> entries;
 };
@@ -50,8 +53,9 @@
   virtual ~UpstreamListPort() = default;
   /// Reads all upstreams that are listed now.
   virtual void ReadAll(Millis timeout, Callback<UpstreamListUpdate> done) = 0;
-  /// Reads the changes after `cursor`. Errc::kInvalid if the cursor is too old,
-  /// Errc::kMalformed if the list can't be read from it onwards.
+  /// Reads the changes after `cursor`. The error is Errc::kInvalid if the
+  /// cursor is too old, and Errc::kMalformed if the list can't be read from the
+  /// cursor on.
   virtual void ReadChanges(int64_t cursor, Millis timeout,
                            Callback<UpstreamListUpdate> done) = 0;
 };
--- a/src/requests/intent_ledger.h
+++ b/src/requests/intent_ledger.h
@@ -68,7 +68,7 @@
     return index_.Find(request_id);
   }
   /// Whether all records that the log contained at the start have been read.
-  bool ready() const { return reader_.ever_caught_up(); }
+  bool ready() const { return reader_.has_caught_up(); }
   /// Whether the last read of the log was answered.
   bool up() const { return reader_.up(); }
   int64_t appends() const { return appends_; }
--- a/tests/jobsim/host_fake.cc
+++ b/tests/jobsim/host_fake.cc
@@ -81,7 +81,7 @@
   ports::HostPage out;
   for (auto at = hosts_.upper_bound(after); at != hosts_.end(); ++at) {
     if (out.hosts.size() == kPageHosts) {
-      out.next = out.hosts.back().host;
+      out.next_page_token = out.hosts.back().host;
       break;
     }
     out.hosts.push_back({.host = at->first,
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -233,7 +233,7 @@
 }
 
 void UpstreamsFake::CheckStart(const std::string& id, const Upstream& upstream,
-                               const ports::StartTask& call) {
+                               const ports::StartCall& call) {
   const std::string what = TaskIdText(call.task) + " on " + id;
   int32_t cores = 0;
   int32_t memory = 0;
@@ -285,7 +285,7 @@
 }
 
 ports::CallReply UpstreamsFake::Start(const ports::UpstreamTarget& target,
-                                      const ports::StartTask& call) {
+                                      const ports::StartCall& call) {
   Upstream& upstream = upstreams_[target.id];
   ports::CallReply reply{.clock_ms = ClockMs()};
   if (call.fence < upstream.fence) {
@@ -494,7 +494,7 @@
 }
 
 void UpstreamClientFake::Start(const ports::UpstreamTarget& target,
-                               const ports::StartTask& call, Millis timeout,
+                               const ports::StartCall& call, Millis timeout,
                                std::function<void(ports::CallReply)> done) {
   upstreams_.CheckSentStart(call.task);
   UpstreamFaults& faults = upstreams_.faults(target.id);
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -110,7 +110,7 @@
   }
 
   ports::CallReply Start(const ports::UpstreamTarget& target,
-                         const ports::StartTask& call);
+                         const ports::StartCall& call);
   ports::CallReply Stop(const ports::UpstreamTarget& target, const TaskId& task,
                         int64_t attempt, int64_t fence);
   ports::RenewReply Renew(const ports::UpstreamTarget& target,
@@ -177,7 +177,7 @@
   int64_t ClockMs() const;
   void ExtendLease(Upstream& upstream, int64_t until_ms);
   void CheckStart(const std::string& id, const Upstream& upstream,
-                  const ports::StartTask& call);
+                  const ports::StartCall& call);
   void BeginWork(const TaskId& task, int64_t attempt);
   void End(const std::string& id, const TaskId& task, uint64_t run,
            ports::EndKind kind);
@@ -230,7 +230,7 @@
                      std::string entry)
       : upstreams_(upstreams), executor_(executor), entry_(std::move(entry)) {}
 
-  void Start(const ports::UpstreamTarget& target, const ports::StartTask& call,
+  void Start(const ports::UpstreamTarget& target, const ports::StartCall& call,
              Millis timeout,
              std::function<void(ports::CallReply)> done) override;
   void Stop(const ports::UpstreamTarget& target, const TaskId& task,
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -362,7 +362,7 @@
   BOOST_CHECK(page.value().hosts[0].state == HostState::kMaintenance);
   BOOST_CHECK(page.value().hosts[1].state == HostState::kUnknown);
   BOOST_TEST(page.value().hosts[1].upstream == "w");
-  BOOST_TEST(page.value().next == "t");
+  BOOST_TEST(page.value().next_page_token == "t");
   // Decoded as an empty list, these would mean that every host has left.
   for (const char* malformed :
        {"", "{}", "[]", R"({"machines":[{"pool":"p"}]})",
--- a/tests/upstream_link_test.cc
+++ b/tests/upstream_link_test.cc
@@ -23,7 +23,7 @@
     std::function<void(ports::RenewReply)> done;
   };
 
-  void Start(const ports::UpstreamTarget&, const ports::StartTask&, Millis,
+  void Start(const ports::UpstreamTarget&, const ports::StartCall&, Millis,
              std::function<void(ports::CallReply)> done) override {
     starts.push_back(std::move(done));
   }
