--- a/src/callers/http_api.cc
+++ b/src/callers/http_api.cc
@@ -288,8 +288,10 @@
   }
 
   void Cost(Response& response) {
-    const auto result = CallControl<Result<std::vector<cost::DayLine>>>(
-        [this](auto done) { cost::SumByDay(instance.log(), std::move(done)); });
+    const auto result =
+        CallControl<Result<std::vector<cost::DailyCost>>>([this](auto done) {
+          cost::ReadDailyCosts(instance.log(), std::move(done));
+        });
     if (!result) return ReplyBusy(response);
     if (!result->ok()) {
       SetRetryAfter(response, kMillisPerSecond);
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -147,9 +147,9 @@
   return {accepted ? kHttpOk : kHttpConflict, body};
 }
 
-Json CostJson(const std::vector<cost::DayLine>& lines) {
+Json CostJson(const std::vector<cost::DailyCost>& lines) {
   Json out = Json::array();
-  for (const cost::DayLine& line : lines) {
+  for (const cost::DailyCost& line : lines) {
     const double cost = static_cast<double>(line.sum.cost_nanos) / 1e9;
     const auto requests = std::max<int64_t>(line.sum.requests, 1);
     out.push_back({{"day", line.day},
--- a/src/callers/operator_json.h
+++ b/src/callers/operator_json.h
@@ -19,6 +19,6 @@
 
 /// HTTP status and body of the reply to a publish.
 std::pair<int, json::Json> PublishJson(const configlog::PublishResult& result);
-json::Json CostJson(const std::vector<cost::DayLine>& lines);
+json::Json CostJson(const std::vector<cost::DailyCost>& lines);
 
 }  // namespace mimosarail::callers
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -69,12 +69,12 @@
           .on_first_start =
               [this](const requests::Record& r) { OnFirstStart(r); }},
       options_.requests);
-  cost_ = std::make_unique<cost::CostBook>(
+  cost_ = std::make_unique<cost::CostAggregator>(
       ports_.executor, ports_.log,
-      cost::CostBookOptions{
+      cost::CostAggregatorOptions{
           .entry = options_.membership.name + "-" +
                    std::to_string(options_.membership.incarnation),
-          .flush_every = options_.cost_flush_interval});
+          .flush_interval = options_.cost_flush_interval});
   lookup_ = std::make_unique<Lookup>(ports_.executor, ports_.peers, *members_,
                                      *requests_, *execution_);
 }
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -7,7 +7,7 @@
 
 #include "src/configlog/config_log_client.h"
 #include "src/control/controller.h"
-#include "src/cost/cost_book.h"
+#include "src/cost/cost_aggregator.h"
 #include "src/execution/execution.h"
 #include "src/instance/lookup.h"
 #include "src/libs/metrics/metrics.h"
@@ -107,7 +107,7 @@
   std::unique_ptr<configlog::ConfigLogClient> config_;
   std::unique_ptr<requests::IntentLedger> ledger_;
   std::unique_ptr<requests::Requests> requests_;
-  std::unique_ptr<cost::CostBook> cost_;
+  std::unique_ptr<cost::CostAggregator> cost_;
   std::unique_ptr<Lookup> lookup_;
 };
 
