--- a/src/callers/request_json.cc
+++ b/src/callers/request_json.cc
@@ -89,7 +89,7 @@
   spec.keyed = reader.Has("key");
   reader.Read("team", spec.team, {1, 64});
   reader.Read("work", spec.work, {1, 64});
-  reader.ReadEnum("kind", rules::kKindNames, spec.kind);
+  reader.ReadEnum("kind", rules::kWorkKindNames, spec.kind);
   reader.Read("tasks", spec.tasks, {1, 4096});
   int64_t millicores = spec.size.millicores;
   reader.ReadScaled("cores", millicores, {0, 100000}, 1000);
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -277,7 +277,8 @@
   ports_.metrics.Observe(
       {.name = "waiting_ms",
        .labels = {{"rule", record.treatment.rule},
-                  {"kind", std::string(rules::KindName(record.spec.kind))}}},
+                  {"kind",
+                   std::string(rules::WorkKindName(record.spec.kind))}}},
       static_cast<double>(record.waited.count()));
 }
 
--- a/src/rules/names.h
+++ b/src/rules/names.h
@@ -5,13 +5,13 @@
 
 namespace mimosarail::rules {
 
-inline constexpr EnumTable kKindNames{std::array{
+inline constexpr EnumTable kWorkKindNames{std::array{
     EnumName{wire::WorkKind::kService, "service"},
     EnumName{wire::WorkKind::kBatch, "batch"},
     EnumName{wire::WorkKind::kGang, "gang"},
 }};
 
-inline constexpr EnumTable kGoalNames{std::array{
+inline constexpr EnumTable kPlacementGoalNames{std::array{
     EnumName{wire::PlacementGoal::kPack, "pack"},
     EnumName{wire::PlacementGoal::kSpread, "spread"},
 }};
--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -12,8 +12,8 @@
 using json::ObjectReader;
 
 constexpr int64_t kMaxRules = 1000;
-constexpr int64_t kMaxText = 1000000;
-constexpr int64_t kMaxMs = 7LL * 24 * 3600 * 1000;
+constexpr int64_t kMaxTextBytes = 1000000;
+constexpr int64_t kMaxDurationMs = 7LL * 24 * 3600 * 1000;
 constexpr int64_t kMsPerSecond = 1000;
 constexpr int64_t kNanosPerUnit = 1000000000;
 constexpr int32_t kMaxPriority = 9;
@@ -46,8 +46,8 @@
   out = value;
 }
 
-/// "HH:MM" as minutes after midnight.
-std::optional<int32_t> ParseMinute(const std::string& text) {
+/// Converts "HH:MM" to minutes after midnight.
+std::optional<int32_t> ParseMinuteOfDay(const std::string& text) {
   if (text.size() != 5 || text[2] != ':') return std::nullopt;
   for (const size_t i : {0U, 1U, 3U, 4U}) {
     if (text[i] < '0' || text[i] > '9') return std::nullopt;
@@ -58,12 +58,12 @@
   return hour * kMinutesPerHour + minute;
 }
 
-void ReadMinute(ObjectReader& reader, const std::string& key,
-                std::optional<int32_t>& out) {
+void ReadMinuteOfDay(ObjectReader& reader, const std::string& key,
+                     std::optional<int32_t>& out) {
   if (!reader.Has(key)) return;
   std::string text;
   reader.Read(key, text, {0, 5});
-  out = ParseMinute(text);
+  out = ParseMinuteOfDay(text);
   if (!out) reader.Add(key, "must be a time of day such as 22:00 (UTC)");
 }
 
@@ -74,24 +74,24 @@
   reader.Read("failure_domain", when.failure_domains);
   if (reader.Has("kind")) {
     auto kind = wire::WorkKind::kBatch;
-    reader.ReadEnum("kind", kKindNames, kind);
+    reader.ReadEnum("kind", kWorkKindNames, kind);
     when.kind = kind;
   }
   ReadOptional(reader, "urgent", when.urgent);
   ReadOptional(reader, "repeatable", when.repeatable);
   ReadOptionalScaled(reader, "min_cores", when.min_millicores, 100000, 1000);
   ReadOptionalScaled(reader, "max_cores", when.max_millicores, 100000, 1000);
-  ReadOptionalScaled(reader, "min_run_s", when.min_run_ms, kMaxMs / 1000,
-                     kMsPerSecond);
-  ReadOptionalScaled(reader, "max_run_s", when.max_run_ms, kMaxMs / 1000,
-                     kMsPerSecond);
+  ReadOptionalScaled(reader, "min_run_s", when.min_run_ms,
+                     kMaxDurationMs / 1000, kMsPerSecond);
+  ReadOptionalScaled(reader, "max_run_s", when.max_run_ms,
+                     kMaxDurationMs / 1000, kMsPerSecond);
   ReadOptionalScaled(reader, "max_deadline_s", when.max_deadline_ms,
-                     kMaxMs / 1000, kMsPerSecond);
+                     kMaxDurationMs / 1000, kMsPerSecond);
   ReadOptional(reader, "min_waiting", when.min_waiting, {0, 1000000});
   ReadOptionalScaled(reader, "min_cost", when.min_cost_nanos, 1000000000,
                      kNanosPerUnit);
-  ReadMinute(reader, "from", when.from_minute);
-  ReadMinute(reader, "to", when.to_minute);
+  ReadMinuteOfDay(reader, "from", when.from_minute);
+  ReadMinuteOfDay(reader, "to", when.to_minute);
   if (when.from_minute.has_value() != when.to_minute.has_value()) {
     reader.Add("from", "from and to go together");
   }
@@ -112,9 +112,9 @@
   then.priority = 4;
   then.wait_limit_ms = 3600 * kMsPerSecond;
   reader.Read("priority", then.priority, {0, kMaxPriority});
-  reader.ReadEnum("goal", kGoalNames, then.goal);
-  reader.ReadScaled("wait_limit_s", then.wait_limit_ms, {0, kMaxMs / 1000},
-                    kMsPerSecond);
+  reader.ReadEnum("goal", kPlacementGoalNames, then.goal);
+  reader.ReadScaled("wait_limit_s", then.wait_limit_ms,
+                    {0, kMaxDurationMs / 1000}, kMsPerSecond);
   reader.Read("retries", then.retries, {0, 100});
   reader.Read("preempt", then.preempt);
   reader.Read("refuse", then.refusal, {1, 200});
@@ -133,8 +133,9 @@
   return then;
 }
 
-/// Whether every value that `inner` admits is admitted by `outer` too. An empty
-/// list admits every value.
+/// Whether `outer` holds for every value for which `inner` holds. An empty list
+/// holds for every value. The functions below answer the same question for
+/// other kinds of conditions.
 bool ListCovers(const std::vector<std::string>& outer,
                 const std::vector<std::string>& inner) {
   if (outer.empty()) return true;
@@ -145,7 +146,8 @@
 }
 
 template <typename T>
-bool SameCovers(const std::optional<T>& outer, const std::optional<T>& inner) {
+bool EqualityCovers(const std::optional<T>& outer,
+                    const std::optional<T>& inner) {
   return !outer || outer == inner;
 }
 
@@ -163,9 +165,9 @@
   return ListCovers(outer.teams, inner.teams) &&
          ListCovers(outer.works, inner.works) &&
          ListCovers(outer.failure_domains, inner.failure_domains) &&
-         SameCovers(outer.kind, inner.kind) &&
-         SameCovers(outer.urgent, inner.urgent) &&
-         SameCovers(outer.repeatable, inner.repeatable) &&
+         EqualityCovers(outer.kind, inner.kind) &&
+         EqualityCovers(outer.urgent, inner.urgent) &&
+         EqualityCovers(outer.repeatable, inner.repeatable) &&
          MinCovers(outer.min_millicores, inner.min_millicores) &&
          MaxCovers(outer.max_millicores, inner.max_millicores) &&
          MinCovers(outer.min_run_ms, inner.min_run_ms) &&
@@ -173,13 +175,16 @@
          MaxCovers(outer.max_deadline_ms, inner.max_deadline_ms) &&
          MinCovers(outer.min_waiting, inner.min_waiting) &&
          MinCovers(outer.min_cost_nanos, inner.min_cost_nanos) &&
-         SameCovers(outer.from_minute, inner.from_minute) &&
-         SameCovers(outer.to_minute, inner.to_minute);
+         EqualityCovers(outer.from_minute, inner.from_minute) &&
+         EqualityCovers(outer.to_minute, inner.to_minute);
 }
 
 bool AlwaysHolds(const Condition& when) { return Covers(when, Condition{}); }
 
-void CheckOrder(const json::JsonText& text, const std::vector<Rule>& rules,
+/// Reports duplicate names, rules that an earlier rule makes unreachable, and a
+/// last rule that does not always hold.
+
+void CheckRules(const json::JsonText& text, const std::vector<Rule>& rules,
                 Findings& findings) {
   for (size_t later = 0; later < rules.size(); ++later) {
     const std::string path = "rules[" + std::to_string(later) + "]";
@@ -207,7 +212,7 @@
   return std::find(list.begin(), list.end(), value) != list.end();
 }
 
-bool InHours(const Condition& when, int32_t minute) {
+bool IsWithinHours(const Condition& when, int32_t minute) {
   const int32_t from = *when.from_minute;
   const int32_t to = *when.to_minute;
   minute %= kMinutesPerDay;
@@ -217,22 +222,22 @@
 
 }  // namespace
 
-std::string_view KindName(wire::WorkKind::type kind) {
-  return kKindNames.Name(kind);
+std::string_view WorkKindName(wire::WorkKind::type kind) {
+  return kWorkKindNames.Name(kind);
 }
 
-std::optional<wire::WorkKind::type> FindKind(std::string_view name) {
-  return kKindNames.Find(name);
+std::optional<wire::WorkKind::type> FindWorkKind(std::string_view name) {
+  return kWorkKindNames.Find(name);
 }
 
-std::string_view GoalName(wire::PlacementGoal::type goal) {
-  return kGoalNames.Name(goal);
+std::string_view PlacementGoalName(wire::PlacementGoal::type goal) {
+  return kPlacementGoalNames.Name(goal);
 }
 
 std::optional<RuleSet> RuleSet::Parse(const std::string& text,
                                       Findings& findings) {
-  if (text.size() > static_cast<size_t>(kMaxText)) {
-    findings.Add("", "longer than " + std::to_string(kMaxText) + " bytes");
+  if (text.size() > static_cast<size_t>(kMaxTextBytes)) {
+    findings.Add("", "longer than " + std::to_string(kMaxTextBytes) + " bytes");
     return std::nullopt;
   }
   const auto parsed = json::ParseText(text, findings);
@@ -246,7 +251,7 @@
       for (const auto& [team, value] : teams->items()) {
         ObjectReader team_reader(*parsed, value, "limits.teams." + team,
                                  findings);
-        TeamLimit& limit = out.teams_[team];
+        TeamLimit& limit = out.team_limits_[team];
         ReadOptionalScaled(team_reader, "cores", limit.millicores, 10000000,
                            1000);
         ReadOptional(team_reader, "waiting", limit.waiting, {0, 1000000});
@@ -276,7 +281,7 @@
     reader.Add("rules", "more than " + std::to_string(kMaxRules));
     return std::nullopt;
   }
-  const size_t before = findings.list().size();
+  const size_t findings_before = findings.list().size();
   for (size_t i = 0; i < rules->size(); ++i) {
     const std::string path = "rules[" + std::to_string(i) + "]";
     ObjectReader rule_reader(*parsed, (*rules)[i], path, findings);
@@ -295,23 +300,25 @@
     rule_reader.Finish();
     out.rules_.push_back(std::move(rule));
   }
-  if (findings.list().size() == before) {
-    CheckOrder(*parsed, out.rules_, findings);
+  if (findings.list().size() == findings_before) {
+    CheckRules(*parsed, out.rules_, findings);
   }
   if (!findings.empty()) return std::nullopt;
   return out;
 }
 
-std::string RuleSet::Mismatch(const Condition& when,
-                              const RuleInput& input) const {
+std::string RuleSet::FirstFailedCondition(const Condition& when,
+                                          const RuleInput& input) const {
   const wire::RequestSpec& spec = *input.spec;
   if (!when.teams.empty() && !Contains(when.teams, spec.team)) return "team";
   if (!when.works.empty() && !Contains(when.works, spec.work)) return "work";
   if (!when.failure_domains.empty()) {
-    // A request that names no failure domain may run outside those of the rule.
-    const bool inside = !spec.failure_domains.empty() &&
-                        ListCovers(when.failure_domains, spec.failure_domains);
-    if (!inside) return "failure_domain";
+    // A request that names no failure domain may run in any, and so also in
+    // those that the rule does not list.
+    const bool all_covered =
+        !spec.failure_domains.empty() &&
+        ListCovers(when.failure_domains, spec.failure_domains);
+    if (!all_covered) return "failure_domain";
   }
   if (when.kind && *when.kind != spec.kind) return "kind";
   if (when.urgent && *when.urgent != spec.urgent) return "urgent";
@@ -336,35 +343,37 @@
   if (when.min_cost_nanos && EstimatedCost(spec) < *when.min_cost_nanos) {
     return "min_cost";
   }
-  if (when.from_minute && !InHours(when, input.minute_of_day)) return "from/to";
+  if (when.from_minute && !IsWithinHours(when, input.minute_of_day))
+    return "from/to";
   return "";
 }
 
 const Rule& RuleSet::Decide(const RuleInput& input) const {
   for (const Rule& rule : rules_) {
-    if (Mismatch(rule.when, input).empty()) return rule;
+    if (FirstFailedCondition(rule.when, input).empty()) return rule;
   }
   return rules_.back();
 }
 
-Match RuleSet::Explain(const RuleInput& input) const {
-  Match match;
+RuleMatch RuleSet::Explain(const RuleInput& input) const {
+  RuleMatch match;
   for (const Rule& rule : rules_) {
-    const std::string mismatch = Mismatch(rule.when, input);
-    if (mismatch.empty()) {
+    const std::string failed_condition = FirstFailedCondition(rule.when, input);
+    if (failed_condition.empty()) {
       match.rule = &rule;
       return match;
     }
-    match.non_matching.push_back({rule.name, mismatch + " does not hold"});
+    match.non_matching.push_back(
+        {rule.name, failed_condition + " does not hold"});
   }
   match.rule = &rules_.back();
   return match;
 }
 
 const TeamLimit* RuleSet::LimitOf(const std::string& team) const {
-  auto found = teams_.find(team);
-  if (found == teams_.end()) found = teams_.find("*");
-  return found == teams_.end() ? nullptr : &found->second;
+  auto found = team_limits_.find(team);
+  if (found == team_limits_.end()) found = team_limits_.find("*");
+  return found == team_limits_.end() ? nullptr : &found->second;
 }
 
 int64_t RuleSet::Cost(const wire::Resources& size, int64_t ran_ms) const {
--- a/src/tool/commands.cc
+++ b/src/tool/commands.cc
@@ -128,7 +128,7 @@
     const auto spec =
         callers::ReadRequest(*parsed, parsed->value[i], path, findings);
     if (!spec) continue;
-    const rules::Match match = rules.Explain({.spec = &*spec});
+    const rules::RuleMatch match = rules.Explain({.spec = &*spec});
     std::string passed;
     for (const Finding& finding : match.non_matching) {
       passed += finding.place + " (" + finding.message + ") ";
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -13,7 +13,7 @@
 
 struct BadText {
   const char* text;
-  const char* place;
+  const char* position;
   const char* message;
 };
 
@@ -70,10 +70,10 @@
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(malformed_texts_are_refused_with_the_place,
+BOOST_DATA_TEST_CASE(malformed_texts_are_refused_with_the_position,
                      boost::unit_test::data::make(kBadTexts), bad) {
   const std::string found = FindingsOf(bad.text);
-  BOOST_TEST(found.find(bad.place) != std::string::npos, found);
+  BOOST_TEST(found.find(bad.position) != std::string::npos, found);
   BOOST_TEST(found.find(bad.message) != std::string::npos, found);
 }
 
@@ -125,9 +125,9 @@
                      findings);
   BOOST_REQUIRE_MESSAGE(rules.has_value(), findings.ToString());
   const wire::RequestSpec spec = Spec();
-  const RuleInput facts{.spec = &spec, .waiting = 5, .minute_of_day = 23 * 60};
-  BOOST_TEST(rules->Decide(facts).name == (c.holds ? "first" : "rest"));
-  BOOST_TEST(rules->Explain(facts).non_matching.size() == (c.holds ? 0U : 1U));
+  const RuleInput input{.spec = &spec, .waiting = 5, .minute_of_day = 23 * 60};
+  BOOST_TEST(rules->Decide(input).name == (c.holds ? "first" : "rest"));
+  BOOST_TEST(rules->Explain(input).non_matching.size() == (c.holds ? 0U : 1U));
 }
 
 BOOST_AUTO_TEST_CASE(first_match_wins_and_cost_adds_up) {
