--- a/src/app/daemon.cc
+++ b/src/app/daemon.cc
@@ -46,7 +46,7 @@
   out.config = {.name = s.name,
                 .incarnation = incarnation,
                 .read_wait = Millis(s.log_read_wait_ms),
-                .checkpoint_every = Millis(s.checkpoint_ms)};
+                .checkpoint_interval = Millis(s.checkpoint_ms)};
   out.intents = {.read_wait = Millis(s.log_read_wait_ms),
                  .group_commit = Millis(s.group_commit_ms),
                  .claim_wait = Millis(s.intent_wait_ms)};
--- a/src/callers/operator_json.cc
+++ b/src/callers/operator_json.cc
@@ -73,7 +73,7 @@
                  {"phase", kEntryPhaseNames.Name(instance.phase())},
                  {"failure_domain", members.options().failure_domain},
                  {"address", members.options().address},
-                 {"revision", instance.config().fold().revision()},
+                 {"revision", instance.config().replica().revision()},
                  {"upstreams", instance.controller().Attached().size()},
                  {"waiting", instance.requests().waiting()}});
   for (const auto& [name, peer] : members.peers()) {
@@ -114,7 +114,7 @@
 }
 
 Json RulesJson(instance::Instance& instance) {
-  const auto& state = instance.config().fold().state();
+  const auto& state = instance.config().replica().in_force();
   return {{"revision", state.revision},
           {"author", state.author},
           {"unix_ms", state.unix_ms},
@@ -123,7 +123,7 @@
 
 Json AuditJson(instance::Instance& instance) {
   Json out = Json::array();
-  for (const auto& entry : instance.config().fold().audit()) {
+  for (const auto& entry : instance.config().replica().audit_trail()) {
     out.push_back(EntryJson(entry));
   }
   return {{"audit", out}};
--- a/src/configlog/config_fold.cc
+++ b/src/configlog/config_replica.cc
@@ -1,4 +1,4 @@
-#include "src/configlog/config_fold.h"
+#include "src/configlog/config_replica.h"
 
 #include <algorithm>
 
@@ -17,9 +17,10 @@
     EnumName{Decision::kDuplicate, "duplicate"},
 }};
 
-/// Limit of the records buffered while waiting for a checkpoint. The oldest
-/// ones are dropped beyond it, which only narrows the choice of checkpoints.
-constexpr size_t kMaxBuffer = 5000;
+/// Limit of the records that are buffered while the replica waits for a
+/// checkpoint. Beyond it the oldest ones are dropped; a checkpoint as of a
+/// dropped record can then not be used.
+constexpr size_t kMaxBufferedRecords = 5000;
 
 Checkpoint FromRecord(const wire::ConfigRecord& record) {
   return {.revision = record.base,
@@ -97,39 +98,41 @@
   return out;
 }
 
-void ConfigFold::Consume(int64_t first_retained,
-                         const std::vector<wire::LogRecord>& records) {
-  if (first_retained > position_) BeginGap(first_retained);
-  // Without a checkpoint, the revision in force is known only to a reader that
-  // has read the stream from its very first record.
-  if (!known_ && position_ == 0 && first_retained == 0) known_ = true;
+void ConfigReplica::ApplyRead(int64_t first_retained,
+                              const std::vector<wire::LogRecord>& records) {
+  if (first_retained > next_offset_) BeginGap(first_retained);
+  // Without a checkpoint, the revision in force is known only if the stream is
+  // read from its very first record on.
+  if (!revision_known_ && next_offset_ == 0 && first_retained == 0) {
+    revision_known_ = true;
+  }
   for (const wire::LogRecord& record : records) {
-    if (record.offset < position_) continue;
-    position_ = record.offset + 1;
-    if (known_) {
-      ConsumeOne(record);
+    if (record.offset < next_offset_) continue;
+    next_offset_ = record.offset + 1;
+    if (revision_known_) {
+      Apply(record);
     } else {
-      Buffer(record);
+      BufferRecord(record);
     }
   }
 }
 
 /// Handles records that were trimmed before they were read. One of them may
 /// have changed the revision. The revision in force here stays in force, but no
-/// record may be decided against it until a checkpoint closes the gap.
-/// Otherwise this entry could accept a publish that all other entries refuse.
-void ConfigFold::BeginGap(int64_t first_retained) {
-  known_ = false;
-  position_ = first_retained;
-  covered_from_ = first_retained;
-  buffer_.clear();
+/// publish is decided until a checkpoint covers the missed records. Otherwise
+/// this entry could accept a publish that all other entries refuse.
+void ConfigReplica::BeginGap(int64_t first_retained) {
+  revision_known_ = false;
+  next_offset_ = first_retained;
+  complete_from_ = first_retained;
+  buffered_records_.clear();
 }
 
-void ConfigFold::Buffer(const wire::LogRecord& record) {
-  buffer_.push_back(record);
-  if (buffer_.size() > kMaxBuffer) {
-    covered_from_ = buffer_.front().offset + 1;
-    buffer_.erase(buffer_.begin());
+void ConfigReplica::BufferRecord(const wire::LogRecord& record) {
+  buffered_records_.push_back(record);
+  if (buffered_records_.size() > kMaxBufferedRecords) {
+    complete_from_ = buffered_records_.front().offset + 1;
+    buffered_records_.erase(buffered_records_.begin());
   }
   const auto decoded = rpc::Decode<wire::ConfigRecord>(record.data);
   if (!decoded.ok() || decoded.value().kind != wire::ConfigKind::kCheckpoint) {
@@ -138,15 +141,15 @@
   Restore(FromRecord(decoded.value()));
 }
 
-/// Starts from a checkpoint and folds every record that follows it. A
-/// checkpoint that an instance appended late, when a newer publish was already
-/// in the log, is still valid as of its own offset, and the publish is folded
-/// on top of it: a re-append can never bring an older revision back. A
-/// checkpoint whose `as_of` lies before the buffered records is rejected: a
-/// publish between the two may be among the trimmed records.
-bool ConfigFold::Restore(const Checkpoint& checkpoint) {
-  if (checkpoint.as_of < covered_from_) return false;
-  if (checkpoint.revision < state_.revision) return false;
+/// Starts from a checkpoint and applies every buffered record that follows it.
+/// An instance may append a checkpoint late, when a newer publish is already in
+/// the log. The checkpoint is still valid as of its own offset, and the publish
+/// is applied after it, so that a late checkpoint never brings an older
+/// revision back. A checkpoint whose `as_of` lies before the buffered records
+/// is rejected, because a publish between the two may have been missed.
+bool ConfigReplica::Restore(const Checkpoint& checkpoint) {
+  if (checkpoint.as_of < complete_from_) return false;
+  if (checkpoint.revision < in_force_.revision) return false;
   Findings findings;
   std::shared_ptr<const rules::RuleSet> rules;
   if (checkpoint.revision > 0) {
@@ -154,92 +157,93 @@
     if (!parsed) return false;
     rules = std::make_shared<const rules::RuleSet>(std::move(*parsed));
   }
-  known_ = true;
-  state_ = checkpoint;
+  revision_known_ = true;
+  in_force_ = checkpoint;
   rules_ = std::move(rules);
-  newest_checkpoint_ = std::max(newest_checkpoint_, checkpoint.as_of);
-  const std::vector<wire::LogRecord> buffered = std::move(buffer_);
-  buffer_.clear();
+  recoverable_as_of_ = std::max(recoverable_as_of_, checkpoint.as_of);
+  const std::vector<wire::LogRecord> buffered = std::move(buffered_records_);
+  buffered_records_.clear();
   for (const wire::LogRecord& record : buffered) {
-    if (record.offset >= checkpoint.as_of) ConsumeOne(record);
+    if (record.offset >= checkpoint.as_of) Apply(record);
   }
-  position_ = std::max(position_, checkpoint.as_of);
+  next_offset_ = std::max(next_offset_, checkpoint.as_of);
   return true;
 }
 
-bool ConfigFold::Adopt(const Checkpoint& checkpoint) {
-  if (known_ && checkpoint.as_of <= position_) return false;
-  if (known_) {
-    // The checkpoint is ahead of this reader. If it states no newer revision,
-    // nothing has to be adopted: the reader gets there by its own reads. A
-    // newer one is adopted because the log may be down.
-    if (checkpoint.revision <= state_.revision) return false;
-    covered_from_ = position_;
+bool ConfigReplica::AdoptFromPeer(const Checkpoint& checkpoint) {
+  if (revision_known_ && checkpoint.as_of <= next_offset_) return false;
+  if (revision_known_) {
+    // The checkpoint is ahead of this replica. Unless it has a newer revision,
+    // nothing has to be adopted: the replica gets there by its own reads. A
+    // newer revision is adopted, because the log may be down.
+    if (checkpoint.revision <= in_force_.revision) return false;
+    complete_from_ = next_offset_;
   }
   return Restore(checkpoint);
 }
 
-void ConfigFold::ConsumeOne(const wire::LogRecord& record) {
+void ConfigReplica::Apply(const wire::LogRecord& record) {
   const auto decoded = rpc::Decode<wire::ConfigRecord>(record.data);
   if (!decoded.ok()) {
-    return AddAudit({.offset = record.offset,
-                     .revision = state_.revision,
-                     .decision = Decision::kInvalid,
-                     .findings = {{"record", "does not decode"}}});
+    return AddAuditEntry({.offset = record.offset,
+                          .revision = in_force_.revision,
+                          .decision = Decision::kInvalid,
+                          .findings = {{"record", "does not decode"}}});
   }
   if (decoded.value().kind == wire::ConfigKind::kPublish) {
-    return Decide(record.offset, decoded.value());
+    return DecidePublish(record.offset, decoded.value());
   }
-  newest_checkpoint_ = std::max(newest_checkpoint_, decoded.value().as_of);
+  recoverable_as_of_ = std::max(recoverable_as_of_, decoded.value().as_of);
 }
 
-void ConfigFold::Decide(int64_t offset, const wire::ConfigRecord& record) {
+void ConfigReplica::DecidePublish(int64_t offset,
+                                  const wire::ConfigRecord& record) {
   AuditEntry entry{.offset = offset,
                    .id = record.id,
                    .author = record.author,
                    .unix_ms = record.unix_ms,
                    .base = record.base,
-                   .revision = state_.revision};
-  if (const AuditEntry* earlier = FindAudit(record.id)) {
-    // The reply to the append was lost, and the publisher appended again.
+                   .revision = in_force_.revision};
+  if (const AuditEntry* earlier = FindAuditEntry(record.id)) {
+    // The reply to the first append was lost, and the publisher appended again.
     entry.revision = earlier->revision;
     entry.decision = Decision::kDuplicate;
-    return AddAudit(std::move(entry));
+    return AddAuditEntry(std::move(entry));
   }
-  if (record.base != state_.revision) {
+  if (record.base != in_force_.revision) {
     entry.decision = Decision::kStaleBase;
     entry.findings.push_back(
-        {"base", "revision " + std::to_string(state_.revision) + " by " +
-                     state_.author + " is in force"});
-    return AddAudit(std::move(entry));
+        {"base", "revision " + std::to_string(in_force_.revision) + " by " +
+                     in_force_.author + " is in force"});
+    return AddAuditEntry(std::move(entry));
   }
   Findings findings;
   auto parsed = rules::RuleSet::Parse(record.text, findings);
   if (!parsed) {
     entry.decision = Decision::kInvalid;
     entry.findings = findings.list();
-    return AddAudit(std::move(entry));
+    return AddAuditEntry(std::move(entry));
   }
-  entry.difference = Difference(state_.text, record.text);
-  state_ = FromRecord(record);
-  state_.revision = record.base + 1;
-  state_.as_of = offset + 1;
+  entry.difference = Difference(in_force_.text, record.text);
+  in_force_ = FromRecord(record);
+  in_force_.revision = record.base + 1;
+  in_force_.as_of = offset + 1;
   rules_ = std::make_shared<const rules::RuleSet>(std::move(*parsed));
-  newest_checkpoint_ = std::max(newest_checkpoint_, offset + 1);
-  entry.revision = state_.revision;
-  AddAudit(std::move(entry));
+  recoverable_as_of_ = std::max(recoverable_as_of_, offset + 1);
+  entry.revision = in_force_.revision;
+  AddAuditEntry(std::move(entry));
 }
 
-void ConfigFold::AddAudit(AuditEntry entry) {
-  audit_.push_back(std::move(entry));
-  if (audit_.size() > kMaxAudit) audit_.pop_front();
+void ConfigReplica::AddAuditEntry(AuditEntry entry) {
+  audit_trail_.push_back(std::move(entry));
+  if (audit_trail_.size() > kMaxAuditEntries) audit_trail_.pop_front();
 }
 
-const AuditEntry* ConfigFold::FindAudit(const std::string& id) const {
+const AuditEntry* ConfigReplica::FindAuditEntry(const std::string& id) const {
   const auto found = std::find_if(
-      audit_.begin(), audit_.end(),
+      audit_trail_.begin(), audit_trail_.end(),
       [&](const AuditEntry& entry) { return entry.id == id && !id.empty(); });
-  return found == audit_.end() ? nullptr : &*found;
+  return found == audit_trail_.end() ? nullptr : &*found;
 }
 
 }  // namespace mimosarail::configlog
--- a/src/instance/instance.cc
+++ b/src/instance/instance.cc
@@ -62,8 +62,8 @@
           .controller = *controller_,
           .execution = *execution_,
           .ledger = *ledger_,
-          .rules = [this] { return config_->fold().rules(); },
-          .revision = [this] { return config_->fold().revision(); },
+          .rules = [this] { return config_->replica().rules(); },
+          .revision = [this] { return config_->replica().revision(); },
           .accepting = [this] { return ready(); },
           .on_ended = [this](const requests::EndedRequest& e) { OnEnded(e); },
           .on_first_start =
@@ -95,7 +95,7 @@
 std::vector<std::string> Instance::ReadinessBlockers() const {
   std::vector<std::string> out;
   if (phase_ == wire::EntryPhase::kLeaving) out.emplace_back("leaving");
-  if (!config_->fold().rules()) {
+  if (!config_->replica().rules()) {
     out.emplace_back(config_->log_up()
                          ? "no configuration has been published"
                          : "the log is unreachable and no peer has sent the "
@@ -129,7 +129,7 @@
 
 void Instance::FillHeartbeat(wire::Heartbeat& heartbeat) {
   heartbeat.phase = phase_;
-  heartbeat.revision = config_->fold().revision();
+  heartbeat.revision = config_->replica().revision();
   const placement::CapacityTable& capacity = controller_->capacity();
   heartbeat.free_total = placement::ToResources(capacity.total_free());
   heartbeat.free_slots = capacity.total_free()[placement::Dimension::kSlots];
@@ -319,7 +319,8 @@
   m.Set({.name = "reports_sent"}, static_cast<double>(execution_->reports()));
   m.Set({.name = "sessions"},
         static_cast<double>(controller_->sessions().size()));
-  m.Set({.name = "revision"}, static_cast<double>(config_->fold().revision()));
+  m.Set({.name = "revision"},
+        static_cast<double>(config_->replica().revision()));
   m.Set({.name = "log_appends", .labels = {{"stream", "config"}}},
         static_cast<double>(config_->appends()));
   m.Set({.name = "log_appends", .labels = {{"stream", "intents"}}},
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -37,7 +37,7 @@
   ports::LogPort& log;
   ports::InstanceListPort& list;
   requests::PeerPort& peers;
-  configlog::ConfigSource& config_source;
+  configlog::PeerConfigSource& config_source;
   membership::HeartbeatSender& heartbeats;
   metrics::Registry& metrics;
 };
--- a/src/peers/peer_server.cc
+++ b/src/peers/peer_server.cc
@@ -32,7 +32,7 @@
   rpc::HandleTyped<wire::ConfigFetchCall, wire::ConfigFetchReply>(
       server, executor, rpc::Method::kConfigFetch,
       [&instance](const wire::ConfigFetchCall&, const auto& reply) {
-        reply(instance.config().Describe());
+        reply(instance.config().MakeFetchReply());
       });
 }
 
--- a/src/peers/rpc_peers.h
+++ b/src/peers/rpc_peers.h
@@ -11,7 +11,7 @@
 /// Calls other entry instances by RPC. Control thread only; the client and the
 /// executor must outlive it.
 class RpcPeers final : public requests::PeerPort,
-                       public configlog::ConfigSource {
+                       public configlog::PeerConfigSource {
  public:
   RpcPeers(rpc::Client& client, Executor& executor, Millis call_timeout)
       : client_(client), executor_(executor), call_timeout_(call_timeout) {}
--- a/src/tool/commands.cc
+++ b/src/tool/commands.cc
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "src/callers/request_json.h"
-#include "src/configlog/config_fold.h"
+#include "src/configlog/config_replica.h"
 #include "src/rules/rule_set.h"
 #include "src/tool/api_client.h"
 #include "src/tool/job_commands.h"
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -1,11 +1,11 @@
-// The configuration: exactly one of several concurrent publishes wins, the same
-// one at every entry, and no entry returns to an older revision, whatever the
-// log has trimmed.
+// Guards against entries that disagree on the configuration. Exactly one of
+// several concurrent publishes wins, the same one at every entry. No entry
+// returns to an older revision, whatever the log has trimmed.
 
 #define BOOST_TEST_MODULE config
 #include <boost/test/unit_test.hpp>
 
-#include "src/configlog/config_fold.h"
+#include "src/configlog/config_replica.h"
 #include "src/libs/rpc/codec.h"
 #include "src/libs/settings/settings.h"
 
@@ -19,7 +19,8 @@
 /// A log in a vector; the offset of a record is its index.
 struct FakeLog {
   std::vector<wire::LogRecord> records;
-  int64_t first = 0;
+  /// Records before this offset have been trimmed.
+  int64_t first_retained = 0;
 
   int64_t Append(const wire::ConfigRecord& record) {
     wire::LogRecord entry;
@@ -47,34 +48,35 @@
     record.text = text;
     return Append(record);
   }
-  /// The records that a reader at `position` gets.
-  std::vector<wire::LogRecord> From(int64_t position) const {
+  /// The records that a reader gets that reads from `offset` on.
+  std::vector<wire::LogRecord> From(int64_t offset) const {
     std::vector<wire::LogRecord> out;
     for (const auto& record : records) {
-      if (record.offset >= std::max(position, first)) out.push_back(record);
+      if (record.offset >= std::max(offset, first_retained))
+        out.push_back(record);
     }
     return out;
   }
-  void Feed(ConfigFold& fold) const {
-    fold.Consume(first, From(fold.position()));
+  void FeedTo(ConfigReplica& replica) const {
+    replica.ApplyRead(first_retained, From(replica.next_offset()));
   }
 };
 
 }  // namespace
 
-// Two operators publish at once, both based on revision 1. Every reader must
-// accept the one with the lower offset and refuse the other with the revision
-// that is in force.
+// Two operators publish at once, both based on revision 1. Every replica must
+// accept the publish with the lower offset. It must refuse the other one, and
+// state the revision that is in force.
 BOOST_AUTO_TEST_CASE(the_publish_with_the_lowest_offset_wins) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
   log.Publish("c", 1, Text("three"));
-  ConfigFold fold;
-  log.Feed(fold);
-  BOOST_TEST(fold.revision() == 2);
-  BOOST_TEST(fold.state().text == Text("two"));
-  const AuditEntry* loser = fold.FindAudit("c");
+  ConfigReplica replica;
+  log.FeedTo(replica);
+  BOOST_TEST(replica.revision() == 2);
+  BOOST_TEST(replica.in_force().text == Text("two"));
+  const AuditEntry* loser = replica.FindAuditEntry("c");
   BOOST_REQUIRE(loser != nullptr);
   BOOST_TEST((loser->decision == Decision::kStaleBase));
   BOOST_TEST(loser->revision == 2);
@@ -86,33 +88,33 @@
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("a", 0, Text("one"));
-  ConfigFold fold;
-  log.Feed(fold);
-  BOOST_TEST(fold.revision() == 1);
-  BOOST_TEST((fold.audit().back().decision == Decision::kDuplicate));
+  ConfigReplica replica;
+  log.FeedTo(replica);
+  BOOST_TEST(replica.revision() == 1);
+  BOOST_TEST((replica.audit_trail().back().decision == Decision::kDuplicate));
 }
 
 // A slow entry appends its checkpoint of revision 1 after revision 2 is in the
-// log, and all records before that checkpoint expire. An entry that starts then
-// must not take the old checkpoint for the revision in force.
+// log, and all records before that checkpoint are trimmed. An entry that starts
+// then must not take the old checkpoint for the revision in force.
 BOOST_AUTO_TEST_CASE(a_late_checkpoint_never_restores_an_old_revision) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
   const int64_t late = log.Checkpoint(1, 1, Text("one"));
-  log.first = late;
-  ConfigFold fresh;
-  log.Feed(fresh);
-  BOOST_TEST(!fresh.known());
+  log.first_retained = late;
+  ConfigReplica fresh;
+  log.FeedTo(fresh);
+  BOOST_TEST(!fresh.revision_known());
   BOOST_TEST(fresh.revision() == 0);
   // A checkpoint that covers the publish closes the gap, together with the
   // records after it.
   log.Publish("c", 2, Text("three"));
   log.Checkpoint(2, 3, Text("two"));
-  log.Feed(fresh);
-  BOOST_TEST(fresh.known());
+  log.FeedTo(fresh);
+  BOOST_TEST(fresh.revision_known());
   BOOST_TEST(fresh.revision() == 3);
-  BOOST_TEST(fresh.state().text == Text("three"));
+  BOOST_TEST(fresh.in_force().text == Text("three"));
 }
 
 // An entry is partitioned until the log has trimmed records that it has not
@@ -121,18 +123,18 @@
 BOOST_AUTO_TEST_CASE(a_reader_that_missed_records_waits_for_a_checkpoint) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
-  ConfigFold fold;
-  log.Feed(fold);
+  ConfigReplica replica;
+  log.FeedTo(replica);
   log.Publish("b", 1, Text("two"));
   const int64_t next = log.Publish("c", 2, Text("three"));
-  log.first = next;
-  log.Feed(fold);
-  BOOST_TEST(!fold.known());
-  BOOST_TEST(fold.revision() == 1);
+  log.first_retained = next;
+  log.FeedTo(replica);
+  BOOST_TEST(!replica.revision_known());
+  BOOST_TEST(replica.revision() == 1);
   log.Checkpoint(3, next + 1, Text("three"));
-  log.Feed(fold);
-  BOOST_TEST(fold.known());
-  BOOST_TEST(fold.revision() == 3);
+  log.FeedTo(replica);
+  BOOST_TEST(replica.revision_known());
+  BOOST_TEST(replica.revision() == 3);
 }
 
 // A checkpoint that states an older revision than the one in force here must
@@ -141,31 +143,34 @@
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
-  ConfigFold fold;
-  log.Feed(fold);
+  ConfigReplica replica;
+  log.FeedTo(replica);
   log.Publish("c", 2, Text("three"));
-  log.first = log.Checkpoint(1, 9, Text("one"));
-  log.Feed(fold);
-  BOOST_TEST(fold.revision() == 2);
-  BOOST_TEST(fold.state().text == Text("two"));
+  log.first_retained = log.Checkpoint(1, 9, Text("one"));
+  log.FeedTo(replica);
+  BOOST_TEST(replica.revision() == 2);
+  BOOST_TEST(replica.in_force().text == Text("two"));
 }
 
 // While the log is down, peers report their revisions. A newer revision is
-// adopted, an older one is not. An entry that has read nothing adopts a
-// revision too and continues to read behind it.
+// adopted, an older one is not. An entry that has read nothing also adopts a
+// revision, and continues to read after it.
 BOOST_AUTO_TEST_CASE(peers_never_lower_the_revision) {
   FakeLog log;
   log.Publish("a", 0, Text("one"));
   log.Publish("b", 1, Text("two"));
-  ConfigFold fold;
-  log.Feed(fold);
-  BOOST_TEST(!fold.Adopt({.revision = 1, .as_of = 9, .text = Text("one")}));
-  BOOST_TEST(fold.revision() == 2);
-  BOOST_TEST(fold.Adopt({.revision = 3, .as_of = 9, .text = Text("three")}));
-  BOOST_TEST(fold.revision() == 3);
-  ConfigFold fresh;
-  BOOST_TEST(fresh.Adopt({.revision = 3, .as_of = 9, .text = Text("three")}));
-  BOOST_TEST(fresh.position() == 9);
+  ConfigReplica replica;
+  log.FeedTo(replica);
+  BOOST_TEST(
+      !replica.AdoptFromPeer({.revision = 1, .as_of = 9, .text = Text("one")}));
+  BOOST_TEST(replica.revision() == 2);
+  BOOST_TEST(replica.AdoptFromPeer(
+      {.revision = 3, .as_of = 9, .text = Text("three")}));
+  BOOST_TEST(replica.revision() == 3);
+  ConfigReplica fresh;
+  BOOST_TEST(
+      fresh.AdoptFromPeer({.revision = 3, .as_of = 9, .text = Text("three")}));
+  BOOST_TEST(fresh.next_offset() == 9);
 }
 
 BOOST_AUTO_TEST_CASE(the_difference_names_what_changed) {
--- a/tests/request_fault_injection_test.cc
+++ b/tests/request_fault_injection_test.cc
@@ -141,7 +141,7 @@
   void Publish(int entry) {
     EntryProcess& process = cluster_.entry_process(entry);
     if (process.executor->dead()) return;
-    cluster_.Publish(entry, process.instance->config().fold().revision(),
+    cluster_.Publish(entry, process.instance->config().replica().revision(),
                      "step " + std::to_string(step_));
   }
 
@@ -185,9 +185,9 @@
   bool IsIdle() {
     for (int i = 0; i < 3; ++i) {
       instance::Instance& instance = *cluster_.entry_process(i).instance;
-      const int64_t revision = instance.config().fold().revision();
+      const int64_t revision = instance.config().replica().revision();
       if (revision !=
-          cluster_.entry_process(0).instance->config().fold().revision()) {
+          cluster_.entry_process(0).instance->config().replica().revision()) {
         return false;
       }
       const placement::CapacityTable& capacity =
@@ -241,10 +241,10 @@
   }
 
   void CheckEntry(EntryProcess& process, std::vector<std::string>& violations) {
-    const auto& fold = process.instance->config().fold();
-    const auto& first = cluster_.entry_process(0).instance->config().fold();
-    if (fold.revision() != first.revision() ||
-        fold.state().text != first.state().text) {
+    const auto& replica = process.instance->config().replica();
+    const auto& first = cluster_.entry_process(0).instance->config().replica();
+    if (replica.revision() != first.revision() ||
+        replica.in_force().text != first.in_force().text) {
       violations.push_back(process.name + " has a different configuration");
     }
     for (const auto& view : process.instance->requests().Views(5)) {
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -1,5 +1,5 @@
-// Parsing of the rules, limits and prices that operators write, and the
-// findings that faulty texts give.
+// Tests how the rules, limits and prices that operators write are parsed, and
+// which findings faulty texts give.
 
 #define BOOST_TEST_MODULE rules
 #include <boost/test/data/test_case.hpp>
--- a/tests/sim/cluster.cc
+++ b/tests/sim/cluster.cc
@@ -20,7 +20,7 @@
                          public ports::LogPort,
                          public ports::InstanceListPort,
                          public requests::PeerPort,
-                         public configlog::ConfigSource,
+                         public configlog::PeerConfigSource,
                          public membership::HeartbeatSender {
  public:
   EntryPorts(Cluster& cluster, std::string self, Executor& executor)
@@ -138,7 +138,7 @@
     ToPeer<wire::ConfigFetchReply>(
         to, kCallTimeout,
         [](instance::Instance& peer, auto reply) {
-          reply(peer.config().Describe());
+          reply(peer.config().MakeFetchReply());
         },
         std::move(done));
   }
@@ -255,7 +255,7 @@
   options.session = {.controller = process->name, .seed = seed};
   options.config = {.name = process->name,
                     .incarnation = process->incarnation,
-                    .checkpoint_every = options_.retention / 4};
+                    .checkpoint_interval = options_.retention / 4};
   options.requests = {.self = process->name,
                       .incarnation = process->incarnation,
                       .place_validity = options.membership.dead_after,
@@ -302,7 +302,7 @@
 
 void Cluster::CheckRevisions() {
   for (const auto& [name, process] : entries_) {
-    const int64_t revision = process->instance->config().fold().revision();
+    const int64_t revision = process->instance->config().replica().revision();
     if (revision < process->newest_revision) {
       revision_regressions.push_back(name);
     }
--- a/tests/upstream_link_test.cc
+++ b/tests/upstream_link_test.cc
@@ -15,7 +15,7 @@
 /// Maximum number of completions that an upstream lists in one reply.
 constexpr int64_t kMaxListedCompletions = 500;
 
-/// Calls to an upstream, answered by the test case.
+/// Calls to an upstream; the test case answers them in the order it wants.
 class PendingCalls final : public ports::TaskPort {
  public:
   struct Renewal {
@@ -38,27 +38,29 @@
   std::vector<std::function<void(ports::CallReply)>> starts;
 };
 
-/// Records the events that the link has reported.
+/// Records the running tasks, completions and start outcomes that the link
+/// reports.
 class RecordedEvents final : public UpstreamEvents {
  public:
   bool MaySendOrders() override { return true; }
-  void OnReport(UpstreamIndex, const std::vector<ports::RunningTask>& now,
-                const std::vector<ports::EndedTask>& fresh) override {
-    running = now;
-    ended.insert(ended.end(), fresh.begin(), fresh.end());
+  void OnReport(UpstreamIndex,
+                const std::vector<ports::RunningTask>& running_now,
+                const std::vector<ports::EndedTask>& new_completions) override {
+    running = running_now;
+    ended.insert(ended.end(), new_completions.begin(), new_completions.end());
   }
   void OnReachable(UpstreamIndex, bool) override {}
   void OnAllRunsEnded(UpstreamIndex, scheduling::UpstreamLoss) override {}
   void OnStartReply(const scheduling::StartOrder&,
                     const ports::CallReply& reply) override {
-    starts.push_back(reply.verdict);
+    start_verdicts.push_back(reply.verdict);
   }
   void OnStopFailed(UpstreamIndex, const TaskId&, int64_t) override {}
   void OnFenced(UpstreamIndex) override {}
 
   std::vector<ports::RunningTask> running;
   std::vector<ports::EndedTask> ended;
-  std::vector<CallVerdict> starts;
+  std::vector<CallVerdict> start_verdicts;
 };
 
 struct Fixture {
@@ -87,7 +89,7 @@
 
 TaskId TaskOf(int32_t index) { return {kJob, 0, 0, index}; }
 
-ports::EndedTask DoneEnd(int64_t number) {
+ports::EndedTask DoneCompletion(int64_t number) {
   return {.number = number,
           .task = TaskOf(static_cast<int32_t>(number)),
           .attempt = 1,
@@ -96,14 +98,14 @@
 
 std::vector<ports::EndedTask> DoneCompletions(int64_t first, int64_t last) {
   std::vector<ports::EndedTask> out;
-  for (int64_t n = first; n <= last; ++n) out.push_back(DoneEnd(n));
+  for (int64_t n = first; n <= last; ++n) out.push_back(DoneCompletion(n));
   return out;
 }
 
 }  // namespace
 
-/// Guards against capacity that stays reserved forever because an older reply
-/// arrives last and lists a run that has ended since.
+/// Guards against capacity that stays reserved forever: an older reply arrives
+/// last and lists a run that has ended since.
 BOOST_FIXTURE_TEST_CASE(OlderRenewReplyIsIgnored, Fixture) {
   link->Open();
   Reply(0, 1000, {}, {});
@@ -116,7 +118,7 @@
   BOOST_REQUIRE_EQUAL(calls.starts.size(), 1U);
   calls.starts[0]({.verdict = CallVerdict::kUnknown});
   BOOST_REQUIRE_EQUAL(calls.renewals.size(), 4U);
-  Reply(2, 1100, {}, {DoneEnd(1)});
+  Reply(2, 1100, {}, {DoneCompletion(1)});
   BOOST_REQUIRE_EQUAL(events.ended.size(), 1U);
   BOOST_TEST(events.running.empty());
   Reply(3, 1050, {run}, {});
@@ -124,14 +126,14 @@
   // A reply that is newer by the upstream's clock resolves the start in doubt.
   clock.RunFor(Millis(50));
   BOOST_REQUIRE_EQUAL(calls.renewals.size(), 5U);
-  Reply(4, 1200, {}, {DoneEnd(1)});
-  BOOST_REQUIRE_EQUAL(events.starts.size(), 1U);
-  BOOST_TEST((events.starts[0] == CallVerdict::kNotSent));
+  Reply(4, 1200, {}, {DoneCompletion(1)});
+  BOOST_REQUIRE_EQUAL(events.start_verdicts.size(), 1U);
+  BOOST_TEST((events.start_verdicts[0] == CallVerdict::kNotSent));
 }
 
-/// Guards against a second run of a task whose completion is not in the
-/// incomplete list of the reply.
-BOOST_FIXTURE_TEST_CASE(PartialEndListIsNotAnInventory, Fixture) {
+/// Guards against a second run of a completed task. The list of completions in
+/// the reply is incomplete and lacks that of the task.
+BOOST_FIXTURE_TEST_CASE(PartialCompletionListIsNotAnInventory, Fixture) {
   link->Open();
   Reply(0, 1000, {}, DoneCompletions(1, kMaxListedCompletions), true);
   BOOST_TEST(events.ended.size() == static_cast<size_t>(kMaxListedCompletions));
@@ -149,9 +151,11 @@
   BOOST_TEST(link->reconciled());
 }
 
-/// Guards against a second start of a task whose first start had no reply and
-/// whose completion is not in the incomplete list.
-BOOST_FIXTURE_TEST_CASE(StartIsUnresolvedWhenEndListIsTruncated, Fixture) {
+/// Guards against a second start of a task whose first start had no reply. The
+/// list of completions in the renewal reply is incomplete and lacks that of the
+/// task.
+BOOST_FIXTURE_TEST_CASE(StartStaysInDoubtWhileCompletionListIsPartial,
+                        Fixture) {
   link->Open();
   Reply(0, 1000, {}, {});
   link->Start({.upstream = kIndex,
@@ -161,7 +165,7 @@
   const size_t fence_renewal = calls.renewals.size() - 1;
   Reply(fence_renewal, 1020, {}, DoneCompletions(1, kMaxListedCompletions),
         true);
-  BOOST_TEST(events.starts.empty());
+  BOOST_TEST(events.start_verdicts.empty());
   if (fence_renewal > 1) {
     Reply(1, 1030, {}, DoneCompletions(1, kMaxListedCompletions), true);
   }
@@ -170,8 +174,8 @@
   BOOST_REQUIRE(calls.renewals.size() > fence_renewal + 1);
   Reply(calls.renewals.size() - 1, 1300, {},
         DoneCompletions(kMaxListedCompletions + 1, kMaxListedCompletions + 1));
-  BOOST_REQUIRE_EQUAL(events.starts.size(), 1U);
-  BOOST_TEST((events.starts[0] == CallVerdict::kDone));
+  BOOST_REQUIRE_EQUAL(events.start_verdicts.size(), 1U);
+  BOOST_TEST((events.start_verdicts[0] == CallVerdict::kDone));
 }
 
 }  // namespace mimosarail::fleet
