--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -92,7 +92,7 @@
   const char kind = record.key[0];
   if (kind == kUpstreamPrefix) return DecodeUpstream(record);
   if (kind == kCompletionPrefix) return DecodeUnmatchedCompletion(record);
-  if (kind == maintenance::kWavePrefix) {
+  if (kind == maintenance::kWaveKeyPrefix) {
     // Without a host API the record is left to a leader that has one.
     const bool valid = wave_manager_ == nullptr || wave_manager_->Load(record);
     return valid ? "" : "does not decode";
--- a/src/tool/commands.cc
+++ b/src/tool/commands.cc
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "src/callers/request_json.h"
-#include "src/configlog/config_fold.h"
+#include "src/configlog/config_replica.h"
 #include "src/rules/rule_set.h"
 #include "src/tool/api_client.h"
 #include "src/tool/job_commands.h"
@@ -128,7 +128,7 @@
     const auto spec =
         callers::ReadRequest(*parsed, parsed->value[i], path, findings);
     if (!spec) continue;
-    const rules::Match match = rules.Explain({.spec = &*spec});
+    const rules::RuleMatch match = rules.Explain({.spec = &*spec});
     std::string passed;
     for (const Finding& finding : match.non_matching) {
       passed += finding.place + " (" + finding.message + ") ";
