--- a/src/callers/http_api.cc
+++ b/src/callers/http_api.cc
@@ -59,7 +59,7 @@
 struct ControlReply {
   /// Empty if the control thread did not answer in time.
   std::optional<T> value{};
-  /// Without an answer: whether the call may have been executed.
+  /// If there is no value: whether the call may have been executed.
   bool started = false;
 
   explicit operator bool() const { return value.has_value(); }
@@ -76,31 +76,32 @@
         options(std::move(options_in)) {}
 
   /// Runs `work` on the control thread and waits for the value that it passes
-  /// to its argument. If the wait times out before `work` has started, `work`
-  /// never runs. Once started, it may still run after this function has
-  /// returned, and must own everything that it uses.
+  /// to its argument, for at most the control timeout plus `extra_wait`. If the
+  /// wait times out before `work` has started, `work` never runs. If it has
+  /// started, it may still run after this function has returned, so it must own
+  /// everything that it uses.
   template <typename T>
   ControlReply<T> CallControl(std::function<void(std::function<void(T)>)> work,
-                              Millis extra = Millis(0)) {
+                              Millis extra_wait = Millis(0)) {
     auto promise = std::make_shared<std::promise<T>>();
     std::future<T> future = promise->get_future();
-    // Set first either by the control thread, which then runs the work, or by
-    // this thread when the wait times out, which cancels the work.
+    // The first to set it decides: the control thread then runs the work; this
+    // thread, when its wait times out, cancels the work.
     auto claimed = std::make_shared<std::atomic<bool>>(false);
     control.Post([work = std::move(work), promise, claimed] {
-      // The wait has timed out: the client was told that the request did not
+      // If the wait has timed out, the client was told that the request did not
       // run, and may have sent it to another instance.
       if (claimed->exchange(true)) return;
       work([promise](T value) { promise->set_value(std::move(value)); });
     });
-    if (future.wait_for(options.control_timeout + extra) ==
+    if (future.wait_for(options.control_timeout + extra_wait) ==
         std::future_status::ready) {
       return {.value = future.get()};
     }
     return {.started = claimed->exchange(true)};
   }
 
-  /// Replies with the JSON view that the control thread builds at once.
+  /// Replies with the JSON document that `view` builds on the control thread.
   void ReplyView(Response& response,
                  std::function<Json(instance::Instance&)> view) {
     const auto body = CallControl<Json>(
@@ -126,9 +127,9 @@
     ReplyOutcome(response, key, outcome);
   }
 
-  /// The time that this call may wait. A waiting call occupies a thread: once
-  /// more than half of the threads wait, further calls do not, so that the rest
-  /// stay free for short calls.
+  /// Returns how long this call may wait. A waiting call occupies a thread.
+  /// While more than half of the threads wait, further calls do not wait, so
+  /// that the other threads stay free for short calls.
   Millis AllowedWait(const Request& request) {
     int64_t wait = 0;
     try {
@@ -137,7 +138,7 @@
       wait = 0;
     }
     wait = std::clamp<int64_t>(wait, 0, options.max_wait_ms);
-    if (waiting.load() > options.threads / 2) wait = 0;
+    if (waiting_calls.load() > options.threads / 2) wait = 0;
     return Millis(wait);
   }
 
@@ -146,13 +147,13 @@
   void Await(Response& response, const std::string& id, Millis wait,
              instance::LookupState timeout_state =
                  instance::LookupState::kUnreachable) {
-    ++waiting;
+    ++waiting_calls;
     const auto result = CallControl<instance::LookupResult>(
         [this, id, wait](auto done) {
           instance.lookup().Await(id, wait, std::move(done));
         },
         wait);
-    --waiting;
+    --waiting_calls;
     if (!result) return ReplyLookup(response, id, {.state = timeout_state});
     ReplyLookup(response, id, *result);
   }
@@ -266,11 +267,11 @@
     if (!text) return ReplyFindings(response, findings);
     json::ObjectReader reader(*text, text->value, "", findings);
     std::string author;
-    std::string config;
+    std::string rules_text;
     int64_t base = -1;
     reader.Read("author", author, {1, 128});
     reader.Read("base", base, {0, INT64_MAX});
-    reader.Read("text", config, {1, INT64_MAX});
+    reader.Read("text", rules_text, {1, INT64_MAX});
     for (const char* key : {"author", "base", "text"}) {
       if (!reader.Has(key)) reader.Add(key, "is missing");
     }
@@ -278,8 +279,8 @@
     if (!findings.empty()) return ReplyFindings(response, findings);
     constexpr Millis kPublishWait{10000};
     const auto result = CallControl<configlog::PublishResult>(
-        [this, config, author, base](auto done) {
-          instance.config().Publish(config, author, base, std::move(done));
+        [this, rules_text, author, base](auto done) {
+          instance.config().Publish(rules_text, author, base, std::move(done));
         },
         kPublishWait);
     if (!result) return ReplyBusy(response);
@@ -322,7 +323,7 @@
     response.set_content(metrics.Text(), "text/plain; version=0.0.4");
   }
 
-  void Register() {
+  void RegisterHandlers() {
     server.Post("/v1/requests",
                 [this](const auto& q, auto& r) { Submit(q, r); });
     server.Get("/v1/requests", [this](const auto&, auto& r) {
@@ -368,8 +369,8 @@
   metrics::Registry& metrics;
   HttpApiOptions options;
   httplib::Server server;
-  std::atomic<int64_t> waiting{0};
-  std::thread thread;
+  std::atomic<int64_t> waiting_calls{0};
+  std::thread listen_thread;
 };
 
 HttpApi::HttpApi(instance::Instance& instance, Executor& control,
@@ -397,7 +398,7 @@
     const int on = 1;
     setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
   });
-  d_->Register();
+  d_->RegisterHandlers();
   int bound = port;
   if (port == 0) {
     bound = server.bind_to_any_port(host);
@@ -407,14 +408,14 @@
   if (bound <= 0) {
     return {Errc::kUnavailable, "cannot listen on " + d_->options.address};
   }
-  d_->thread = std::thread([this] { d_->server.listen_after_bind(); });
+  d_->listen_thread = std::thread([this] { d_->server.listen_after_bind(); });
   return static_cast<uint16_t>(bound);
 }
 
 void HttpApi::Stop() {
-  if (!d_->thread.joinable()) return;
+  if (!d_->listen_thread.joinable()) return;
   d_->server.stop();
-  d_->thread.join();
+  d_->listen_thread.join();
 }
 
 }  // namespace mimosarail::callers
--- a/src/callers/http_api.h
+++ b/src/callers/http_api.h
@@ -20,11 +20,13 @@
   std::function<void()> update_metrics;
 };
 
-/// The HTTP interface for callers and operators (docs/API.md). Its handlers run
-/// on traffic threads and access the control state by messages only.
+/// The HTTP interface for callers and operators (docs/API.md). Handlers run on
+/// the HTTP server's own threads. They access the state of the instance only in
+/// work that they post to the control thread.
 class HttpApi {
  public:
-  /// All arguments outlive it.
+  /// The instance, the executor and the registry must outlive it. `control`
+  /// runs work on the control thread.
   HttpApi(instance::Instance& instance, Executor& control,
           metrics::Registry& metrics, HttpApiOptions options);
   ~HttpApi();
--- a/src/callers/operator_json.h
+++ b/src/callers/operator_json.h
@@ -8,7 +8,7 @@
 
 namespace mimosarail::callers {
 
-// JSON views for operators. Control thread only, except for the last two
+// JSON documents for operators. Control thread only, except for the last two
 // functions.
 
 json::Json QueueJson(instance::Instance& instance);
--- a/src/callers/request_json.cc
+++ b/src/callers/request_json.cc
@@ -10,9 +10,10 @@
 
 using json::Json;
 
-constexpr int64_t kMaxMs = 7LL * 24 * 3600 * 1000;
-constexpr int64_t kMaxPayload = 16 << 20;
-constexpr size_t kMaxKey = 64;
+/// Maximum deadline and run time: 7 days.
+constexpr int64_t kMaxDurationMs = 7LL * 24 * 3600 * 1000;
+constexpr int64_t kMaxRequestPayloadBytes = 16 << 20;
+constexpr size_t kMaxKeyBytes = 64;
 constexpr size_t kMaxConstraints = 64;
 
 constexpr int kHttpOk = 200;
@@ -48,7 +49,10 @@
   }
 }
 
-void CheckRelations(const wire::RequestSpec& spec, json::ObjectReader& reader) {
+/// Checks members whose valid values depend on other members, and the number of
+/// elements in lists.
+void CheckConsistency(const wire::RequestSpec& spec,
+                      json::ObjectReader& reader) {
   if (spec.kind == wire::WorkKind::kGang && spec.tasks < 2) {
     reader.Add("tasks", "a gang has at least 2");
   }
@@ -67,7 +71,7 @@
 }  // namespace
 
 bool ValidKey(const std::string& key) {
-  if (key.empty() || key.size() > kMaxKey) return false;
+  if (key.empty() || key.size() > kMaxKeyBytes) return false;
   return std::all_of(key.begin(), key.end(), [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
   });
@@ -98,13 +102,13 @@
   reader.Read("accelerators", spec.size.accelerators, {0, 100000});
   reader.Read("connections", spec.size.connections, {0, 100000});
   reader.Read("repeatable", spec.repeatable);
-  reader.Read("deadline_ms", spec.deadline_ms, {0, kMaxMs});
-  reader.Read("run_ms", spec.run_ms, {0, kMaxMs});
+  reader.Read("deadline_ms", spec.deadline_ms, {0, kMaxDurationMs});
+  reader.Read("run_ms", spec.run_ms, {0, kMaxDurationMs});
   reader.Read("urgent", spec.urgent);
   reader.Read("failure_domains", spec.failure_domains);
   reader.Read("racks", spec.racks);
-  reader.Read("payload", spec.payload, {0, kMaxPayload});
-  CheckRelations(spec, reader);
+  reader.Read("payload", spec.payload, {0, kMaxRequestPayloadBytes});
+  CheckConsistency(spec, reader);
   reader.Finish();
   if (findings.list().size() > before) return std::nullopt;
   return spec;
