--- a/src/app/daemon.cc
+++ b/src/app/daemon.cc
@@ -68,17 +68,17 @@
 /// Owns the components of a running daemon, in order of construction.
 struct Daemon {
   explicit Daemon(const Settings& s, int64_t incarnation)
-      : client(traffic),
+      : client(network_io),
         platform(client, executor,
                  {.log_address = s.log_address,
                   .list_address = s.list_address,
                   .call_timeout = Millis(s.call_timeout_ms)}),
         peers(client, executor, Millis(s.call_timeout_ms)),
-        heartbeats(traffic, executor,
+        heartbeats(network_io, executor,
                    [this](const wire::Heartbeat& heartbeat) {
                      instance.OnHeartbeat(heartbeat);
                    }),
-        server(traffic),
+        server(network_io),
         instance({.executor = executor,
                   .upstreams = platform,
                   .log = platform,
@@ -115,7 +115,7 @@
   }
 
   asio::io_context control{1};
-  asio::io_context traffic;
+  asio::io_context network_io;
   rpc::AsioExecutor executor{control};
   metrics::Registry metrics;
   rpc::Client client;
@@ -156,18 +156,18 @@
                   {"listen", settings.listen},
                   {"http", settings.http_listen}});
   const auto control_work = asio::make_work_guard(daemon.control);
-  const auto traffic_work = asio::make_work_guard(daemon.traffic);
-  std::vector<std::thread> traffic;
+  const auto network_work = asio::make_work_guard(daemon.network_io);
+  std::vector<std::thread> network_threads;
   for (int64_t i = 0; i < settings.traffic_threads; ++i) {
-    traffic.emplace_back([&daemon] { daemon.traffic.run(); });
+    network_threads.emplace_back([&daemon] { daemon.network_io.run(); });
   }
   asio::signal_set signals(daemon.control, SIGTERM, SIGINT);
   signals.async_wait([&](std::error_code error, int) {
     if (error) return;
     daemon.instance.BeginShutdown([&daemon] {
-      // Callers whose answers are ready receive them before the process exits.
-      // The control thread must keep running their handlers meanwhile, so the
-      // HTTP server is stopped from another thread.
+      // Stopping the HTTP server waits until the running handlers have sent
+      // their answers. The handlers wait for the control thread meanwhile, so
+      // the server is stopped on another thread.
       std::thread([&daemon] {
         daemon.http.Stop();
         daemon.control.stop();
@@ -176,8 +176,8 @@
   });
   daemon.instance.Start();
   daemon.control.run();
-  daemon.traffic.stop();
-  for (std::thread& thread : traffic) thread.join();
+  daemon.network_io.stop();
+  for (std::thread& thread : network_threads) thread.join();
   logging::Event(logging::Level::kInfo, "stopped");
   return 0;
 }
--- a/src/app/job_daemon.cc
+++ b/src/app/job_daemon.cc
@@ -34,26 +34,28 @@
     EnumName{Level::kError, "error"},
 }};
 
-/// One connection carries long-polling renewals, the others carry orders.
+/// Connections to each upstream: one carries long-polling renewals, the others
+/// carry orders.
 constexpr size_t kUpstreamConnections = 4;
 constexpr size_t kStoreConnections = 8;
-/// Longest time to receive an answer of the store: a page of 1 MB takes 6 s
+/// Longest time to receive a response of the store: a page of 1 MB takes 6 s
 /// over a link of 2 Mbit/s, which it shares with other traffic.
 constexpr Millis kMaxPageTime{20000};
 constexpr size_t kAdviserConnections = 4;
-/// One connection for the list and one for an order at the same time.
+/// Connections to the host API: one for a list and one for an order at the same
+/// time.
 constexpr size_t kHostsConnections = 2;
-/// Fractional settings are stored in hundredths.
-constexpr double kHundredths = 100;
-constexpr int64_t kMsPerCenti = 10;
-/// Time reserved for the last answers to reach callers before the process ends.
+/// Fractional settings are stored as hundredths of their unit.
+constexpr double kHundredthsPerUnit = 100;
+constexpr int64_t kMsPerCentisecond = 10;
+/// Time reserved at shutdown for the last answers to reach callers.
 constexpr Millis kLastAnswerTime{700};
 /// How often a shutdown checks whether all requests are answered.
 constexpr Millis kShutdownCheckPeriod{50};
 /// How often the traffic on the link is logged.
 constexpr Millis kTrafficPeriod{2000};
-/// Maximum number of message kinds in a traffic line: only a few kinds account
-/// for most of the traffic.
+/// Maximum number of message kinds in a log line about traffic: only a few
+/// kinds account for most of it.
 constexpr size_t kMaxTrafficKinds = 14;
 /// How often the settings file is read again; it may change without a SIGHUP.
 constexpr Millis kSettingsCheckPeriod{2000};
@@ -74,11 +76,11 @@
   out.coordinator.previous_leader_timeout = Millis(s.leader_lease_ms);
   out.coordinator.list_period = Millis(s.upstream_list_period_ms);
   out.coordinator.maintenance_duration =
-      Millis(s.maintenance_duration_centis * kMsPerCenti);
+      Millis(s.maintenance_duration_centis * kMsPerCentisecond);
   out.coordinator.host_lists_per_s =
-      static_cast<double>(s.host_lists_per_100_s) / kHundredths;
+      static_cast<double>(s.host_lists_per_100_s) / kHundredthsPerUnit;
   out.coordinator.host_orders_per_s =
-      static_cast<double>(s.host_orders_per_100_s) / kHundredths;
+      static_cast<double>(s.host_orders_per_100_s) / kHundredthsPerUnit;
   out.coordinator.host_holder_timeout = Millis(s.holder_lease_ms);
   out.coordinator.max_jobs = static_cast<size_t>(s.max_jobs);
   out.leader_wait_timeout = Millis(s.leader_wait_timeout_ms);
@@ -153,7 +155,7 @@
     metrics::ExportTraffic(traffic_counters, metrics);
   }
 
-  /// Logs the traffic since the previous traffic line. Control thread only.
+  /// Logs the traffic since the previous call. Control thread only.
   void LogTraffic() {
     const std::vector<metrics::Traffic::Row> rows =
         traffic_counters.TakeRecent();
@@ -205,7 +207,7 @@
   return metrics.ok() || report(metrics.error());
 }
 
-/// Carries out the steps of the shutdown plan.
+/// Carries out the steps of the shutdown plan. Control thread only.
 class ShutdownSequence {
  public:
   ShutdownSequence(JobDaemon& daemon, shutdown::ShutdownOptions options)
@@ -275,10 +277,11 @@
   return text.str();
 }
 
-/// Logs changes of the settings file. They take effect at the next start.
-class SettingsWatch {
+/// Logs changes of the settings file, which take effect at the next start.
+/// Control thread only.
+class SettingsWatcher {
  public:
-  explicit SettingsWatch(std::string path)
+  explicit SettingsWatcher(std::string path)
       : path_(std::move(path)), text_(ReadText(path_)) {}
 
   void Check(const char* cause) {
@@ -298,11 +301,13 @@
   std::string text_;
 };
 
-void WatchHangup(asio::signal_set& hangup, SettingsWatch& watch) {
+/// Checks the settings file on each SIGHUP. Both arguments must outlive the
+/// control thread's work.
+void WatchHangup(asio::signal_set& hangup, SettingsWatcher& watcher) {
   hangup.async_wait([&](std::error_code error, int) {
     if (error) return;
-    watch.Check("SIGHUP");
-    WatchHangup(hangup, watch);
+    watcher.Check("SIGHUP");
+    WatchHangup(hangup, watcher);
   });
 }
 
@@ -313,10 +318,10 @@
   std::signal(SIGPIPE, SIG_IGN);
   logging::Start(settings.name,
                  kLogLevels.Find(settings.log_level).value_or(Level::kInfo));
-  // Never destroyed. Pending handlers own connections of one io_context and
-  // timers of the other. If calls are open at exit, destroying either context
-  // first leaves the handlers of the other with dangling references, and the
-  // process crashes in free().
+  // The daemon is never destroyed. Pending handlers own connections of one
+  // io_context and timers of the other. If calls are open at exit, destroying
+  // either context first leaves the handlers of the other with dangling
+  // references, and the process crashes in free().
   static JobDaemon* const never_destroyed = new JobDaemon(settings);
   JobDaemon& daemon = *never_destroyed;
   if (!Listen(daemon, settings)) return 1;
@@ -335,11 +340,11 @@
   signals.async_wait([&](std::error_code error, int) {
     if (!error) sequence.Begin();
   });
-  SettingsWatch watch(settings_path);
+  SettingsWatcher watcher(settings_path);
   asio::signal_set hangup(daemon.control, SIGHUP);
-  WatchHangup(hangup, watch);
+  WatchHangup(hangup, watcher);
   RunEvery(daemon.executor, kSettingsCheckPeriod,
-           [&watch] { watch.Check("look"); });
+           [&watcher] { watcher.Check("look"); });
   RunEvery(daemon.executor, kTrafficPeriod, [&daemon] { daemon.LogTraffic(); });
   daemon.entry.Start();
   daemon.control.run();
