--- a/src/tool/commands.cc
+++ b/src/tool/commands.cc
@@ -73,12 +73,12 @@
   for (const auto& [name, value] : body.items()) {
     if (name == "findings" && value.is_array()) {
       for (const Json& finding : value) {
-        std::printf("  %s: %s\n", Plain(finding["place"]).c_str(),
-                    Plain(finding["message"]).c_str());
+        std::printf("  %s: %s\n", DisplayText(finding["place"]).c_str(),
+                    DisplayText(finding["message"]).c_str());
       }
       continue;
     }
-    std::printf("%-16s %s\n", name.c_str(), Plain(value).c_str());
+    std::printf("%-16s %s\n", name.c_str(), DisplayText(value).c_str());
   }
 }
 
@@ -110,7 +110,8 @@
 
 // ---- rules
 
-ExitCode ExplainAgainst(const rules::RuleSet& rules, const std::string& file) {
+/// Prints, for each request in `file`, the rule that it matches.
+ExitCode ExplainRequests(const rules::RuleSet& rules, const std::string& file) {
   const auto text = ReadFile(file);
   if (!text) return ExitCode::kUsage;
   Findings findings;
@@ -129,15 +130,15 @@
         callers::ReadRequest(*parsed, parsed->value[i], path, findings);
     if (!spec) continue;
     const rules::Match match = rules.Explain({.spec = &*spec});
-    std::string passed;
+    std::string non_matching;
     for (const Finding& finding : match.non_matching) {
-      passed += finding.place + " (" + finding.message + ") ";
+      non_matching += finding.place + " (" + finding.message + ") ";
     }
     rows.push_back({{"request", path + " " + spec->team + "/" + spec->work},
                     {"rule", match.rule->name},
-                    {"passed over", passed}});
+                    {"non-matching rules", non_matching}});
   }
-  PrintTable(rows, {"request", "rule", "passed over"});
+  PrintTable(rows, {"request", "rule", "non-matching rules"});
   if (findings.empty()) return ExitCode::kOk;
   PrintFindings(file, findings);
   return ExitCode::kUsage;
@@ -156,7 +157,7 @@
   std::printf("%s: %zu rules, no findings\n", args[2].c_str(),
               rules->rules().size());
   if (options.against.empty()) return ExitCode::kOk;
-  return ExplainAgainst(*rules, options.against);
+  return ExplainRequests(*rules, options.against);
 }
 
 /// Fetches the revision of the rules that is in force at an entry instance.
@@ -195,9 +196,9 @@
     return ExitCode::kOk;
   }
   std::fprintf(stderr, "revision %s by %s\n",
-               Plain((*rules)["revision"]).c_str(),
-               Plain((*rules)["author"]).c_str());
-  std::printf("%s", Plain((*rules)["text"]).c_str());
+               DisplayText((*rules)["revision"]).c_str(),
+               DisplayText((*rules)["author"]).c_str());
+  std::printf("%s", DisplayText((*rules)["text"]).c_str());
   return ExitCode::kOk;
 }
 
@@ -208,7 +209,7 @@
   const auto rules = FetchRules(options);
   if (!rules) return ExitCode::kUnreachable;
   for (const std::string& line :
-       configlog::Difference(Plain((*rules)["text"]), *text)) {
+       configlog::Difference(DisplayText((*rules)["text"]), *text)) {
     std::printf("%s\n", line.c_str());
   }
   return ExitCode::kOk;
@@ -310,9 +311,9 @@
   const std::string two = options.compare.substr(comma + 1);
   std::map<std::string, std::map<std::string, CostSum>> by_rule;
   for (const Json& line : lines) {
-    const std::string revision = Plain(line["revision"]);
+    const std::string revision = DisplayText(line["revision"]);
     if (revision != one && revision != two) continue;
-    CostSum& sum = by_rule[Plain(line["rule"])][revision];
+    CostSum& sum = by_rule[DisplayText(line["rule"])][revision];
     sum.cost += line["cost"].get<double>();
     sum.requests += line["requests"].get<int64_t>();
   }
@@ -360,7 +361,7 @@
          "Rules (ordered, the first that matches decides):\n"
          "  rules check FILE [--against REQUESTS]   check; show which rule "
          "each "
-         "request meets\n"
+         "request matches\n"
          "  rules publish FILE --author NAME --base REVISION\n"
          "  rules show | history | diff FILE\n"
          "Requests:\n"
@@ -368,7 +369,7 @@
          "  status ID [--wait_ms N]\n"
          "  why ID                                  what it waits for\n"
          "  cancel ID... | cancel --team T --work W\n"
-         "The cell, as the asked instance sees it:\n"
+         "State of the cell as seen by the entry instance at --server:\n"
          "  instances | upstreams | queue | audit\n"
          "  cost [--compare REVISION,REVISION]\n"
          "Jobs on the users' platform (--peer IP:PORT names any entry):\n"
@@ -382,7 +383,7 @@
 ExitCode Run(const std::vector<std::string>& args, const Options& options) {
   if (args.empty()) return UsageError("no command");
   using Handler = std::function<ExitCode(const Args&, const Options&)>;
-  const auto plain = [](ExitCode (*show)(const Options&)) -> Handler {
+  const auto without_args = [](ExitCode (*show)(const Options&)) -> Handler {
     return [show](const Args&, const Options& o) { return show(o); };
   };
   const std::map<std::string, Handler> commands{
@@ -391,11 +392,11 @@
       {"status", Status},
       {"why", Status},
       {"cancel", Cancel},
-      {"instances", plain(Instances)},
-      {"upstreams", plain(Upstreams)},
-      {"queue", plain(Queue)},
-      {"audit", plain(Audit)},
-      {"cost", plain(Cost)},
+      {"instances", without_args(Instances)},
+      {"upstreams", without_args(Upstreams)},
+      {"queue", without_args(Queue)},
+      {"audit", without_args(Audit)},
+      {"cost", without_args(Cost)},
       {"job",
        [](const Args& all, const Options& o) {
          return RunJob(Args(all.begin() + 1, all.end()), o);
--- a/src/tool/commands.h
+++ b/src/tool/commands.h
@@ -26,7 +26,7 @@
   std::string team;
   std::string work;
   std::string compare;
-  /// "ip:port" at which an entry serves its peers; used by `job`.
+  /// "ip:port" at which an entry accepts calls from its peers; used by `job`.
   std::string peer;
 };
 
--- a/src/tool/job_commands.cc
+++ b/src/tool/job_commands.cc
@@ -21,7 +21,7 @@
 
 constexpr Millis kCallTimeout{3000};
 
-/// Makes blocking calls to entries.
+/// Makes blocking calls to entries. Not thread-safe.
 class BlockingClient {
  public:
   BlockingClient()
@@ -74,10 +74,11 @@
 }
 
 /// Asks the entry at `peer` for the leader that it knows.
-Result<wire::HeartbeatReply> AskLeader(BlockingClient& client,
-                                       const std::string& peer) {
+Result<wire::HeartbeatReply> QueryLeader(BlockingClient& client,
+                                         const std::string& peer) {
   wire::HeartbeatCall heartbeat;
-  // A heartbeat without a sender address is only a query.
+  // A heartbeat without a sender address is only a query. The highest version
+  // keeps the configuration out of the reply.
   heartbeat.config_version = INT64_MAX;
   return client.Call<wire::HeartbeatReply>(peer, rpc::Method::kHeartbeat,
                                            heartbeat);
@@ -88,7 +89,7 @@
                     const Message& message,
                     std::string (*describe)(const Reply& reply)) {
   BlockingClient client;
-  const auto heartbeat = AskLeader(client, options.peer);
+  const auto heartbeat = QueryLeader(client, options.peer);
   if (!heartbeat.ok()) return Unreachable(options.peer, heartbeat.error());
   const std::string leader = heartbeat.value().leader.address;
   if (leader.empty()) {
@@ -129,7 +130,7 @@
 
 ExitCode Leader(const Options& options) {
   BlockingClient client;
-  const auto heartbeat = AskLeader(client, options.peer);
+  const auto heartbeat = QueryLeader(client, options.peer);
   if (!heartbeat.ok()) return Unreachable(options.peer, heartbeat.error());
   std::puts(("term " + std::to_string(heartbeat.value().term) + ", leader " +
              heartbeat.value().leader.name + " at " +
--- a/src/tool/job_file.h
+++ b/src/tool/job_file.h
@@ -8,9 +8,9 @@
 
 namespace mimosarail::tool {
 
-/// Parses a job from JSON with comments, with the product's own member names
-/// rather than the platform's. All faults are added to `findings` with line and
-/// column; the result is then empty. Thread-safe.
+/// Parses a job from JSON with comments. The member names are mimosarail's own,
+/// not those of the platform. All faults are added to `findings` with line and
+/// column, and the result is then empty. Thread-safe.
 std::optional<wire::JobSpec> ParseJobFile(const std::string& text,
                                           Findings& findings);
 
--- a/src/tool/table.cc
+++ b/src/tool/table.cc
@@ -5,14 +5,14 @@
 
 namespace mimosarail::tool {
 
-std::string Plain(const json::Json& value) {
+std::string DisplayText(const json::Json& value) {
   if (value.is_null()) return "-";
   if (value.is_string()) return value.get<std::string>();
   if (!value.is_array()) return value.dump();
   std::string out;
   for (const json::Json& item : value) {
     if (!out.empty()) out += ",";
-    out += Plain(item);
+    out += DisplayText(item);
   }
   return out.empty() ? "-" : out;
 }
@@ -23,7 +23,7 @@
   for (const json::Json& row : rows) {
     std::vector<std::string> line;
     for (const std::string& column : columns) {
-      line.push_back(row.contains(column) ? Plain(row[column]) : "-");
+      line.push_back(row.contains(column) ? DisplayText(row[column]) : "-");
     }
     lines.push_back(std::move(line));
   }
--- a/src/tool/table.h
+++ b/src/tool/table.h
@@ -12,6 +12,6 @@
                 const std::vector<std::string>& columns);
 
 /// Returns a JSON value as human-readable text.
-std::string Plain(const json::Json& value);
+std::string DisplayText(const json::Json& value);
 
 }  // namespace mimosarail::tool
