--- a/src/libs/json/json_text.cc
+++ b/src/libs/json/json_text.cc
@@ -49,19 +49,21 @@
   const auto begin = text.begin();
   const auto end = begin + static_cast<std::ptrdiff_t>(offset);
   const auto line = 1 + std::count(begin, end, '\n');
-  const size_t last =
+  const size_t last_newline =
       offset == 0 ? std::string::npos : text.rfind('\n', offset - 1);
-  const size_t column = last == std::string::npos ? offset + 1 : offset - last;
+  const size_t column =
+      last_newline == std::string::npos ? offset + 1 : offset - last_newline;
   return std::to_string(line) + ":" + std::to_string(column);
 }
 
 /// Builds the document, records the positions of its members and reports
 /// duplicate keys and excessive depth.
-class Builder final : public nlohmann::json_sax<Json> {
+class DocumentBuilder final : public nlohmann::json_sax<Json> {
  public:
-  Builder(const std::string& text, const size_t& count, JsonText& out,
-          Findings& findings)
-      : text_(text), count_(count), out_(out), findings_(findings) {}
+  /// `offset` is the number of characters read so far.
+  DocumentBuilder(const std::string& text, const size_t& offset, JsonText& out,
+                  Findings& findings)
+      : text_(text), offset_(offset), out_(out), findings_(findings) {}
 
   bool null() override { return Put(nullptr); }
   bool boolean(bool value) override { return Put(value); }
@@ -87,9 +89,9 @@
     const std::string path = Path();
     const size_t length = name.size() + 2;
     out_.places[path] =
-        LineAndColumn(text_, count_ > length ? count_ - length : 0);
+        LineAndColumn(text_, offset_ > length ? offset_ - length : 0);
     if (!levels_.back().keys.insert(name).second) {
-      findings_.Add(out_.PositionOf(path), "key stands twice");
+      findings_.Add(out_.PositionOf(path), "duplicate key");
     }
     return true;
   }
@@ -120,6 +122,8 @@
     return level.path.empty() ? key_ : level.path + "." + key_;
   }
 
+  /// Adds the value to the innermost open object or array, or makes it the root
+  /// of the document.
   Json* Attach(Json value) {
     if (levels_.empty()) {
       out_.value = std::move(value);
@@ -129,7 +133,8 @@
     if (parent.is_array()) {
       // The parser has already read a string to its end, so its length is
       // subtracted.
-      const size_t start = count_ > token_length_ ? count_ - token_length_ : 0;
+      const size_t start =
+          offset_ > token_length_ ? offset_ - token_length_ : 0;
       out_.places.emplace(Path(), LineAndColumn(text_, start));
       parent.push_back(std::move(value));
       return &parent.back();
@@ -147,7 +152,7 @@
   bool Open(Json value) {
     const std::string path = Path();
     if (levels_.size() >= kMaxDepth) {
-      findings_.Add(LineAndColumn(text_, count_), "nested too deeply");
+      findings_.Add(LineAndColumn(text_, offset_), "nested too deeply");
       return false;
     }
     levels_.push_back({Attach(std::move(value)), path, {}});
@@ -160,10 +165,11 @@
   }
 
   const std::string& text_;
-  const size_t& count_;
+  const size_t& offset_;
   JsonText& out_;
   Findings& findings_;
   std::string key_;
+  /// Length of the string that is being added, with its quotes; 0 for others.
   size_t token_length_ = 0;
   std::vector<Level> levels_;
 };
@@ -178,11 +184,11 @@
 
 std::optional<JsonText> ParseText(const std::string& text, Findings& findings) {
   JsonText out;
-  size_t count = 0;
+  size_t offset = 0;
   const size_t before = findings.list().size();
-  Builder builder(text, count, out, findings);
-  const CountingIterator begin(text.data(), &count);
-  const CountingIterator end(text.data() + text.size(), &count);
+  DocumentBuilder builder(text, offset, out, findings);
+  const CountingIterator begin(text.data(), &offset);
+  const CountingIterator end(text.data() + text.size(), &offset);
   const bool complete =
       Json::sax_parse(begin, end, &builder, Json::input_format_t::json,
                       /*strict=*/true, /*ignore_comments=*/true);
--- a/src/libs/json/object_reader.cc
+++ b/src/libs/json/object_reader.cc
@@ -36,7 +36,7 @@
 }
 
 const Json* ObjectReader::Find(const std::string& key) {
-  known_.insert(key);
+  read_keys_.insert(key);
   if (!object_.is_object()) return nullptr;
   const auto found = object_.find(key);
   return found == object_.end() ? nullptr : &*found;
@@ -44,9 +44,9 @@
 
 bool ObjectReader::Has(const std::string& key) { return Find(key) != nullptr; }
 
-const Json* ObjectReader::Typed(const std::string& key,
-                                bool (Json::*is)() const noexcept,
-                                const char* type) {
+const Json* ObjectReader::FindTyped(const std::string& key,
+                                    bool (Json::*is)() const noexcept,
+                                    const char* type) {
   const Json* member = Find(key);
   if (member == nullptr) return nullptr;
   if ((member->*is)()) return member;
@@ -55,15 +55,16 @@
 }
 
 const Json* ObjectReader::Object(const std::string& key) {
-  return Typed(key, &Json::is_object, "an object");
+  return FindTyped(key, &Json::is_object, "an object");
 }
 
 const Json* ObjectReader::Array(const std::string& key) {
-  return Typed(key, &Json::is_array, "an array");
+  return FindTyped(key, &Json::is_array, "an array");
 }
 
 void ObjectReader::Read(const std::string& key, int64_t& out, Bounds bounds) {
-  const Json* member = Typed(key, &Json::is_number_integer, "a whole number");
+  const Json* member =
+      FindTyped(key, &Json::is_number_integer, "a whole number");
   if (member == nullptr) return;
   if (member->is_number_unsigned() &&
       member->get<uint64_t>() > static_cast<uint64_t>(INT64_MAX)) {
@@ -81,13 +82,13 @@
 }
 
 void ObjectReader::Read(const std::string& key, bool& out) {
-  const Json* member = Typed(key, &Json::is_boolean, "true or false");
+  const Json* member = FindTyped(key, &Json::is_boolean, "true or false");
   if (member != nullptr) out = member->get<bool>();
 }
 
 void ObjectReader::Read(const std::string& key, std::string& out,
                         Bounds bounds) {
-  const Json* member = Typed(key, &Json::is_string, "a string");
+  const Json* member = FindTyped(key, &Json::is_string, "a string");
   if (member == nullptr) return;
   const auto& value = member->get_ref<const std::string&>();
   if (!InBounds(static_cast<int64_t>(value.size()), bounds)) {
@@ -111,7 +112,7 @@
 
 void ObjectReader::ReadScaled(const std::string& key, int64_t& out,
                               Bounds bounds, int64_t scale) {
-  const Json* member = Typed(key, &Json::is_number, "a number");
+  const Json* member = FindTyped(key, &Json::is_number, "a number");
   if (member == nullptr) return;
   const auto value = member->get<double>();
   if (!(value >= static_cast<double>(bounds.min) &&
@@ -124,7 +125,7 @@
 void ObjectReader::Finish() {
   if (!object_.is_object()) return;
   for (const auto& [key, value] : object_.items()) {
-    if (!known_.contains(key)) Add(key, "unknown key");
+    if (!read_keys_.contains(key)) Add(key, "unknown key");
   }
 }
 
--- a/src/libs/json/object_reader.h
+++ b/src/libs/json/object_reader.h
@@ -43,7 +43,7 @@
   void ReadEnum(const std::string& key, const EnumTable<E, N>& table, E& out) {
     std::string name;
     if (!Has(key)) return;
-    Read(key, name, {0, kMaxName});
+    Read(key, name, {0, kMaxNameBytes});
     if (const auto value = table.Find(name)) {
       out = *value;
     } else {
@@ -51,28 +51,33 @@
     }
   }
 
-  /// The member if it is an object (or an array). Adds a finding if it has
-  /// another type.
+  /// Returns the member if it is an object (or an array), else null. Adds a
+  /// finding if it is present with another type.
   const Json* Object(const std::string& key);
   const Json* Array(const std::string& key);
 
+  /// Adds a finding at the member `key`.
   void Add(const std::string& key, std::string message);
+  /// Returns the path of the member from the root of the text.
   std::string Path(const std::string& key) const;
 
   /// Reports every member that has not been read as an unknown key.
   void Finish();
 
  private:
-  static constexpr int64_t kMaxName = 128;
+  static constexpr int64_t kMaxNameBytes = 128;
+  /// Returns the member, or null if it is absent, and marks it as read.
   const Json* Find(const std::string& key);
-  const Json* Typed(const std::string& key, bool (Json::*is)() const noexcept,
-                    const char* type);
+  /// Returns the member if `is` holds for it, else null. Adds a finding if it
+  /// is present with another type than `type`.
+  const Json* FindTyped(const std::string& key,
+                        bool (Json::*is)() const noexcept, const char* type);
 
   const JsonText& text_;
   const Json& object_;
   std::string path_;
   Findings& findings_;
-  std::set<std::string> known_;
+  std::set<std::string> read_keys_;
 };
 
 }  // namespace mimosarail::json
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -25,7 +25,7 @@
     {"{", "1:2", "not JSON"},
     {"[]", "", "must be an object"},
     {R"({"rules": []})", "rules", "the last rule must match every request"},
-    {R"({"rules": [], "rules": []})", "1:15 rules", "stands twice"},
+    {R"({"rules": [], "rules": []})", "1:15 rules", "duplicate key"},
     {R"({"rule": [{"name": "a"}]})", "1:2 rule", "unknown key"},
     {R"({"rules": [{"name": "a", "then": {"priority": 10}}]})",
      "1:35 rules[0].then.priority", "from 0 to 9"},
--- a/tests/scenarios/scripts/bad_requests.lua
+++ b/tests/scenarios/scripts/bad_requests.lua
@@ -8,7 +8,7 @@
   expect(what .. ": gives the reason, got " .. text, text:find(pattern) ~= nil)
 end
 refused("truncated", '{"team": "t", "work"', 400, "not JSON")
-refused("key twice", '{"team": "t", "team": "u", "work": "w"}', 400, "1:15 team key stands twice")
+refused("duplicate key", '{"team": "t", "team": "u", "work": "w"}', 400, "1:15 team duplicate key")
 refused("unknown field", '{"team": "t", "work": "w", "colour": 3}', 400, "unknown key")
 refused("wrong type", '{"team": "t", "work": "w", "cores": "many"}', 400, "must be a number")
 refused("missing fields", '{}', 400, "is missing")
