--- a/src/libs/base/enum_table.h
+++ b/src/libs/base/enum_table.h
@@ -18,8 +18,8 @@
 template <typename E>
 EnumName(E, std::string_view) -> EnumName<E>;
 
-/// Maps the enumerators of an enumeration to names and back. Immutable, so safe
-/// from any thread.
+/// Maps the enumerators of an enumeration to names and back. Immutable and
+/// therefore thread-safe.
 template <typename E, std::size_t N>
 class EnumTable {
  public:
--- a/src/libs/base/executor.h
+++ b/src/libs/base/executor.h
@@ -9,9 +9,9 @@
 using TimePoint = Clock::time_point;
 using Millis = std::chrono::milliseconds;
 
-/// Runs all work that accesses the control state on one thread, and provides
-/// the clocks. Posted and delayed work runs sequentially, never inside the call
-/// that schedules it.
+/// Runs all work that accesses the state of the instance on one thread, the
+/// control thread, and provides the clocks. Posted and delayed work runs
+/// sequentially, never inside the call that schedules it.
 class Executor {
  public:
   virtual ~Executor() = default;
@@ -29,7 +29,8 @@
   virtual void RunAfter(Millis delay, std::function<void()> work) = 0;
 };
 
-/// Runs `work` every `period` until the executor is destroyed.
+/// Runs `work` every `period`, first after one period, until the executor is
+/// destroyed.
 inline void RunEvery(Executor& executor, Millis period,
                      std::function<void()> work) {
   executor.RunAfter(period, [&executor, period, work = std::move(work)] {
--- a/src/libs/base/soft_assert.h
+++ b/src/libs/base/soft_assert.h
@@ -8,8 +8,7 @@
 /// caller then recovers. Thread-safe.
 void ReportSoftAssert(const char* expression, const char* file, int line);
 
-/// Number of soft asserts that have failed, exported as a metric. Safe from any
-/// thread.
+/// Number of soft asserts that have failed, exported as a metric. Thread-safe.
 int64_t SoftAssertFailures();
 
 }  // namespace mimosarail
--- a/src/libs/metrics/metrics.h
+++ b/src/libs/metrics/metrics.h
@@ -27,6 +27,7 @@
 
   /// Adds to a counter, which never decreases.
   void Count(const Series& series, int64_t by = 1);
+  /// Sets a gauge.
   void Set(const Series& series, double value);
   /// Adds a value to a distribution; its count, sum, maximum and the quantiles
   /// 0.5, 0.9 and 0.99 are exported. Use few label values: at most kMaxSeries
--- a/src/libs/settings/job_settings.h
+++ b/src/libs/settings/job_settings.h
@@ -19,11 +19,13 @@
   std::string metrics_address;
   std::string store_address;
   std::string adviser_address;
-  /// Empty if the platform has no API of hosts.
+  /// Empty if the platform has no host API.
   std::string hosts_address;
-  /// In hundredths of a call per second.
+  /// Reads of the list of hosts that the host API accepts from all entries
+  /// together, in hundredths of a call per second.
   int64_t host_lists_per_100_s = 1000;
-  /// In hundredths of a call per second.
+  /// Orders that the host API accepts from all entries together, in hundredths
+  /// of a call per second.
   int64_t host_orders_per_100_s = 1000;
   /// How long a host is away for maintenance, in hundredths of a second.
   int64_t maintenance_duration_centis = 200;
@@ -32,7 +34,7 @@
   int64_t holder_lease_ms = 3000;
   std::vector<std::string> seeds;
   std::string log_level = "info";
-  /// In hundredths of a core.
+  /// CPU that the machine may use, in hundredths of a core.
   int64_t cpu_percent = 100;
   /// How long tasks continue without contact from the leader.
   int64_t lease_ms = 4000;
--- a/src/libs/settings/schema.h
+++ b/src/libs/settings/schema.h
@@ -12,8 +12,8 @@
 
 using json::Bounds;
 
-/// Bounds of a time in ms: at most an hour.
-inline constexpr Bounds kMs{1, 3600000};
+/// Bounds of a duration in ms: at most an hour.
+inline constexpr Bounds kTimeBoundsMs{1, 3600000};
 
 template <typename S>
 struct NumberKey {
@@ -31,6 +31,7 @@
 struct TextKey {
   std::string S::*field;
   bool required = true;
+  /// Whether a non-empty value must have the form "ip:port".
   bool address = false;
 };
 template <typename S>
@@ -47,8 +48,8 @@
   const char* help;
 };
 
-/// Whether the text has the form "ip:port" with a numeric IP address. Safe from
-/// any thread.
+/// Whether the text has the form "ip:port" with a numeric IP address.
+/// Thread-safe.
 bool LooksLikeAddress(const std::string& text);
 
 /// Reads one setting; adds faults to the reader's findings.
@@ -69,8 +70,8 @@
   if (text.required && !reader.Has(key.name)) {
     return reader.Add(key.name, "is missing");
   }
-  constexpr int64_t kMaxText = 200;
-  reader.Read(key.name, value, {text.required ? 1 : 0, kMaxText});
+  constexpr int64_t kMaxTextBytes = 200;
+  reader.Read(key.name, value, {text.required ? 1 : 0, kMaxTextBytes});
   if (text.address && !value.empty() && !LooksLikeAddress(value)) {
     reader.Add(key.name, "must be ip:port with a numeric IP address");
   }
--- a/src/libs/settings/settings.cc
+++ b/src/libs/settings/settings.cc
@@ -39,20 +39,21 @@
       {"heartbeat_ms",
        NumberKey<Settings>{&Settings::heartbeat_ms, {20, 10000}}, "ms",
        "time between heartbeats"},
-      {"suspect_ms", NumberKey<Settings>{&Settings::suspect_ms, kMs}, "ms",
-       "time without heartbeats after which a peer is suspect"},
-      {"dead_ms", NumberKey<Settings>{&Settings::dead_ms, kMs}, "ms",
+      {"suspect_ms", NumberKey<Settings>{&Settings::suspect_ms, kTimeBoundsMs},
+       "ms", "time without heartbeats after which a peer is suspect"},
+      {"dead_ms", NumberKey<Settings>{&Settings::dead_ms, kTimeBoundsMs}, "ms",
        "time without heartbeats after which a peer's racks are taken over"},
-      {"return_ms", NumberKey<Settings>{&Settings::return_ms, kMs}, "ms",
-       "how long a returned peer sends heartbeats before it gets racks"},
+      {"return_ms", NumberKey<Settings>{&Settings::return_ms, kTimeBoundsMs},
+       "ms", "how long a returned peer sends heartbeats before it gets racks"},
       {"list_refresh_ms",
        NumberKey<Settings>{&Settings::list_refresh_ms, {20, 600000}}, "ms",
        "time between reads of the instance list"},
       {"lease_ms", NumberKey<Settings>{&Settings::lease_ms, {200, 600000}},
        "ms", "lease of a task"},
-      {"max_delay_ms", NumberKey<Settings>{&Settings::max_delay_ms, kMs}, "ms",
+      {"max_delay_ms",
+       NumberKey<Settings>{&Settings::max_delay_ms, kTimeBoundsMs}, "ms",
        "longest time after which a sent call may still arrive; added to a "
-       "lease before it counts as lapsed"},
+       "lease before it counts as expired"},
       {"call_timeout_ms",
        NumberKey<Settings>{&Settings::call_timeout_ms, {20, 60000}}, "ms",
        "time limit of one call"},
@@ -99,13 +100,14 @@
     reader.Add("dead_ms", "must be above suspect_ms");
   }
   if (s.lease_ms < 2 * s.dead_ms) {
-    reader.Add("lease_ms",
-               "must be at least twice dead_ms, or tasks lapse while control "
-               "is taken over");
+    reader.Add(
+        "lease_ms",
+        "must be at least twice dead_ms, or task leases expire while control "
+        "is taken over");
   }
 }
 
-void ReadPeers(const Settings& s, json::ObjectReader& reader) {
+void CheckPeers(const Settings& s, json::ObjectReader& reader) {
   for (size_t i = 0; i < s.peers.size(); ++i) {
     if (LooksLikeAddress(s.peers[i])) continue;
     reader.Add("peers[" + std::to_string(i) + "]",
@@ -131,7 +133,7 @@
   Settings out;
   json::ObjectReader reader(*parsed, parsed->value, "", findings);
   for (const auto& key : Keys()) ReadKey(key, reader, out);
-  ReadPeers(out, reader);
+  CheckPeers(out, reader);
   if (findings.empty()) CheckConsistency(out, reader);
   reader.Finish();
   if (!findings.empty()) return std::nullopt;
