--- a/src/libs/faults/malformed_record_reporter.cc
+++ b/src/libs/faults/malformed_record_reporter.cc
@@ -6,19 +6,20 @@
 
 void MalformedRecordReporter::Report(RecordSource source, std::string_view key,
                                      std::string_view cause) {
-  const auto [reported, fresh] =
+  const auto [reported, inserted] =
       reported_.emplace(source, std::string(key), std::string(cause));
-  if (!fresh) return;
-  order_.push_back(reported);
-  if (order_.size() > kMaxRemembered) {
-    reported_.erase(order_.front());
-    order_.pop_front();
+  if (!inserted) return;
+  report_order_.push_back(reported);
+  if (report_order_.size() > kMaxRemembered) {
+    reported_.erase(report_order_.front());
+    report_order_.pop_front();
   }
-  const std::string of(kRecordSourceNames.Name(source));
-  metrics_.Count({.name = "bad_entries", .labels = {{"of", of}}});
-  logging::Event(
-      logging::Level::kError, "entry not used",
-      {{"of", of}, {"key", std::string(key)}, {"cause", std::string(cause)}});
+  const std::string source_name(kRecordSourceNames.Name(source));
+  metrics_.Count({.name = "bad_entries", .labels = {{"of", source_name}}});
+  logging::Event(logging::Level::kError, "entry not used",
+                 {{"of", source_name},
+                  {"key", std::string(key)},
+                  {"cause", std::string(cause)}});
 }
 
 }  // namespace mimosarail::faults
--- a/src/libs/faults/malformed_record_reporter.h
+++ b/src/libs/faults/malformed_record_reporter.h
@@ -57,7 +57,7 @@
   metrics::Registry& metrics_;
   std::set<ReportKey> reported_;
   /// Elements of reported_ in the order in which they were reported.
-  std::deque<std::set<ReportKey>::iterator> order_;
+  std::deque<std::set<ReportKey>::iterator> report_order_;
 };
 
 }  // namespace mimosarail::faults
--- a/src/libs/http/client.cc
+++ b/src/libs/http/client.cc
@@ -16,16 +16,16 @@
 
 using asio::ip::tcp;
 
-constexpr size_t kReadBytes = 16 << 10;
+constexpr size_t kReadBufferBytes = 16 << 10;
 
 struct PendingCall {
-  std::string kind;
+  std::string traffic_kind;
   std::string bytes;
   Millis timeout;
   /// Deadline of the first part of the response.
   TimePoint deadline;
   /// Deadline of the complete response.
-  TimePoint limit;
+  TimePoint response_deadline;
   Callback<Response> done;
 };
 
@@ -47,7 +47,6 @@
 
 }  // namespace
 
-/// Queued calls and connections of one address.
 struct Pool;
 
 struct Client::Private : std::enable_shared_from_this<Client::Private> {
@@ -56,7 +55,7 @@
 
   asio::io_context& io;
   ClientOptions options;
-  std::atomic<int64_t> opened{0};
+  std::atomic<int64_t> connections_opened{0};
   std::unordered_map<std::string, std::shared_ptr<Pool>> pools;
 };
 
@@ -66,13 +65,14 @@
 
 }  // namespace
 
+/// The connections to one address and the calls that wait for one of them.
 struct Pool {
   asio::ip::tcp::endpoint endpoint;
   std::deque<PendingCall> queued;
   /// Idle connections. Their pending reads keep them alive until the io_context
   /// ends; shared pointers here would form a reference cycle with the pool.
   std::vector<std::weak_ptr<Connection>> idle;
-  size_t open = 0;
+  size_t open_connections = 0;
 };
 
 namespace {
@@ -80,19 +80,20 @@
 /// A connection with at most one call in flight.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  /// `io` and `opened` must outlive the connection.
+  /// `io` and `connections_opened` must outlive the connection.
   Connection(asio::io_context& io, const ClientOptions& options,
-             std::atomic<int64_t>& opened, std::shared_ptr<Pool> pool)
+             std::atomic<int64_t>& connections_opened,
+             std::shared_ptr<Pool> pool)
       : io_(io),
-        opened_(opened),
+        connections_opened_(connections_opened),
         socket_(io),
         timer_(io),
         options_(options),
         pool_(std::move(pool)),
         parser_(
             {.kind = MessageKind::kResponse, .max_body = options.max_body}) {
-    ++pool_->open;
-    ++opened_;
+    ++pool_->open_connections;
+    ++connections_opened_;
   }
 
   void Open(PendingCall call) {
@@ -103,7 +104,7 @@
         pool_->endpoint, [self = shared_from_this()](std::error_code error) {
           if (self->closed_) return;
           if (error) return self->Fail(Errc::kUnavailable, error.message());
-          self->SetOptions();
+          self->SetSocketOptions();
           self->connected_ = true;
           self->Send();
           self->ReadNext();
@@ -124,7 +125,7 @@
   void Close() {
     if (closed_) return;
     closed_ = true;
-    --pool_->open;
+    --pool_->open_connections;
     std::erase_if(pool_->idle, [this](const auto& idle) {
       return idle.expired() || idle.lock().get() == this;
     });
@@ -141,11 +142,11 @@
     if (pool_->queued.empty()) return;
     PendingCall call = std::move(pool_->queued.front());
     pool_->queued.pop_front();
-    std::make_shared<Connection>(io_, options_, opened_, pool_)
+    std::make_shared<Connection>(io_, options_, connections_opened_, pool_)
         ->Open(std::move(call));
   }
 
-  void SetOptions() {
+  void SetSocketOptions() {
     std::error_code ignored;  // without the option, calls only take longer
     socket_.set_option(tcp::no_delay(true), ignored);
     const int timeout_ms =
@@ -205,25 +206,28 @@
     if (!closed_) ReadNext();
   }
 
+  /// Allows the call's timeout for the next part of the response.
   void ExtendDeadline() {
-    const TimePoint next = std::min(Clock::now() + call_.timeout, call_.limit);
+    const TimePoint next =
+        std::min(Clock::now() + call_.timeout, call_.response_deadline);
     if (next > call_.deadline) ArmTimer(next);
   }
 
   void CountTraffic(metrics::Direction direction, size_t bytes,
                     int64_t messages) {
     if (options_.traffic == nullptr) return;
-    options_.traffic->Count(call_.kind, direction, bytes, messages);
+    options_.traffic->Count(call_.traffic_kind, direction, bytes, messages);
   }
 
   void Finish() {
     timer_.cancel();
     auto done = std::move(call_.done);
     busy_ = false;
-    // A peer that refuses a long request may answer before it has read all of
-    // it. The bytes of the next call would replace the buffer of the pending
-    // write and mix with the rest of the request: the peer could parse neither
-    // request, or answer one as the other.
+    // The connection is also closed if the request is still being written, as
+    // when a peer refuses a long request before it has read all of it. The next
+    // call would overwrite the buffer of the pending write, and its bytes would
+    // mix with the rest of the request. The peer could parse neither request,
+    // or answer one as the other.
     if (!message_.keep_alive || writing_) {
       Close();
     } else {
@@ -254,7 +258,7 @@
   }
 
   asio::io_context& io_;
-  std::atomic<int64_t>& opened_;
+  std::atomic<int64_t>& connections_opened_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   ClientOptions options_;
@@ -268,14 +272,16 @@
   bool writing_ = false;
   bool connected_ = false;
   bool closed_ = false;
-  std::array<char, kReadBytes> buffer_{};
+  std::array<char, kReadBufferBytes> buffer_{};
 };
 
+/// Sends the call on an idle or a new connection, or queues it.
 void Dispatch(Client::Private& d, const std::string& address,
               PendingCall call) {
   const auto endpoint = rpc::ParseEndpoint(address);
   if (!endpoint) {
-    return call.done(Result<Response>(Errc::kInvalid, "address " + address));
+    return call.done(
+        Result<Response>(Errc::kInvalid, "bad address " + address));
   }
   auto& pool = d.pools[address];
   if (!pool) {
@@ -291,10 +297,10 @@
     if (connection->usable(now)) return connection->Start(std::move(call));
     connection->Close();
   }
-  if (pool->open >= d.options.max_connections) {
+  if (pool->open_connections >= d.options.max_connections) {
     return pool->queued.push_back(std::move(call));
   }
-  std::make_shared<Connection>(d.io, d.options, d.opened, pool)
+  std::make_shared<Connection>(d.io, d.options, d.connections_opened, pool)
       ->Open(std::move(call));
 }
 
@@ -311,17 +317,19 @@
 void Client::Call(const std::string& address, Request request, Millis timeout,
                   Callback<Response> done) {
   const TimePoint now = Clock::now();
-  PendingCall call{.kind = d_->options.traffic_kind(request),
+  PendingCall call{.traffic_kind = d_->options.traffic_kind(request),
                    .bytes = Serialize(address, request),
                    .timeout = timeout,
                    .deadline = now + timeout,
-                   .limit = now + d_->options.max_response_time,
+                   .response_deadline = now + d_->options.max_response_time,
                    .done = std::move(done)};
   asio::post(d_->io, [d = d_, address, call = std::move(call)]() mutable {
     Dispatch(*d, address, std::move(call));
   });
 }
 
-int64_t Client::connections_opened() const { return d_->opened.load(); }
+int64_t Client::connections_opened() const {
+  return d_->connections_opened.load();
+}
 
 }  // namespace mimosarail::http
--- a/src/libs/http/parser.cc
+++ b/src/libs/http/parser.cc
@@ -8,9 +8,9 @@
 namespace mimosarail::http {
 namespace {
 
-/// Maximum size of start line and headers together, in bytes. http_parser's own
+/// Maximum size of the start line and the headers together. http_parser's own
 /// limit is 80 KiB, far more than any peer of this project sends.
-constexpr size_t kMaxHead = 32 << 10;
+constexpr size_t kMaxHeadBytes = 32 << 10;
 
 }  // namespace
 
@@ -38,22 +38,22 @@
     };
     settings.on_url = [](http_parser* p, const char* at, size_t n) {
       Self(p).message.request.target.append(at, n);
-      return Self(p).CountHead(n);
+      return Self(p).CountHeadBytes(n);
     };
     settings.on_header_field = [](http_parser* p, const char* at, size_t n) {
       Self(p).HeaderName().append(at, n);
-      return Self(p).CountHead(n);
+      return Self(p).CountHeadBytes(n);
     };
     settings.on_header_value = [](http_parser* p, const char* at, size_t n) {
       Self(p).in_value = true;
       Self(p).headers.back().second.append(at, n);
-      return Self(p).CountHead(n);
+      return Self(p).CountHeadBytes(n);
     };
     settings.on_headers_complete = [](http_parser* p) {
       // Ignores requests to upgrade, as HTTP allows (RFC 9110, 7.8): no other
-      // protocol is supported. Otherwise the parser would stop here, and it
-      // would depend on how the bytes are split into reads whether the request
-      // is handled or lost.
+      // protocol is supported. Otherwise the parser would stop here, and
+      // whether the request is handled or lost would depend on how its bytes
+      // are split into reads.
       p->upgrade = 0;
       return 0;
     };
@@ -76,12 +76,12 @@
     headers.clear();
     head_bytes = 0;
     in_value = false;
-    inside = true;
+    inside_message = true;
   }
 
-  int CountHead(size_t bytes) {
+  int CountHeadBytes(size_t bytes) {
     head_bytes += bytes;
-    return head_bytes > kMaxHead ? 1 : 0;
+    return head_bytes > kMaxHeadBytes ? 1 : 0;
   }
 
   std::string& HeaderName() {
@@ -102,7 +102,7 @@
   }
 
   void Complete() {
-    inside = false;
+    inside_message = false;
     message.keep_alive = http_should_keep_alive(&parser) != 0;
     if (options.kind == MessageKind::kRequest) {
       message.request.method =
@@ -123,7 +123,7 @@
   std::vector<Header> headers;
   size_t head_bytes = 0;
   bool in_value = false;
-  bool inside = false;
+  bool inside_message = false;
   const std::function<void(ParsedMessage)>* done = nullptr;
 };
 
@@ -140,6 +140,6 @@
   return parsed == bytes.size() && HTTP_PARSER_ERRNO(&d_->parser) == HPE_OK;
 }
 
-bool Parser::inside_message() const { return d_->inside; }
+bool Parser::inside_message() const { return d_->inside_message; }
 
 }  // namespace mimosarail::http
--- a/src/libs/http/server.cc
+++ b/src/libs/http/server.cc
@@ -17,18 +17,18 @@
 
 using asio::ip::tcp;
 
-constexpr size_t kReadBytes = 16 << 10;
-/// A connection is aborted when sent data remains unacknowledged for this long,
-/// in ms.
+constexpr size_t kReadBufferBytes = 16 << 10;
+/// A connection is aborted when sent data remains unacknowledged for this long
+/// (TCP_USER_TIMEOUT).
 constexpr int kUnackedDataTimeoutMs = 5000;
 /// Pause after a failed accept, for example when no file descriptors are left.
 constexpr Millis kAcceptPause{50};
 /// How long idle connections stay open after the server has stopped accepting.
-/// Requests sent just before can still arrive in this time; if the connection
-/// were closed at once, it would break while a caller writes to it. The value
-/// is ten times the longest network latency to a caller in the same region (a
-/// few ms), rounded up.
-constexpr Millis kLastRequestGrace{100};
+/// Requests that were sent just before can still arrive in this time. If the
+/// connection were closed at once, it would break while a caller writes to it.
+/// The value is ten times the longest network latency to a caller in the same
+/// region (a few ms), rounded up.
+constexpr Millis kLastRequestWait{100};
 
 std::string_view ReasonPhrase(int status) {
   switch (status) {
@@ -125,16 +125,16 @@
   }
 
   /// If the connection is waiting for its next request, shortens the wait to
-  /// kLastRequestGrace.
+  /// kLastRequestWait.
   void OnAcceptingStopped() {
-    if (reading_ && !parser_.inside_message()) ArmTimer(kLastRequestGrace);
+    if (reading_ && !parser_.inside_message()) ArmTimer(kLastRequestWait);
   }
 
  private:
   void ReadNext() {
     reading_ = true;
     ArmTimer(parser_.inside_message()     ? server_->options.request_timeout
-             : server_->accepting_stopped ? kLastRequestGrace
+             : server_->accepting_stopped ? kLastRequestWait
                                           : server_->options.idle_timeout);
     socket_.async_read_some(
         asio::buffer(buffer_),
@@ -158,18 +158,18 @@
         });
   }
 
-  /// Cancelling the timer cannot stop a time-out that is already due, for
-  /// example after a process pause. Incrementing timer_generation_ makes such a
-  /// time-out outdated; otherwise it would close the connection of a request
-  /// that has just been read, and the caller would get no answer.
+  /// Cancels the timer and makes a time-out that is already due ineffective.
+  /// cancel() alone does not stop a time-out whose handler is queued, as after
+  /// a pause of the process. That handler would close the connection of a
+  /// request that has just been read, and the caller would get no answer.
   void DisarmTimer() {
     ++timer_generation_;
     timer_.cancel();
   }
 
   void OnTimeout() {
-    // A request that arrived just before the time-out is not dropped: the
-    // pending read is about to deliver it.
+    // The pending read is about to deliver bytes that arrived just before the
+    // time-out: closing the connection would drop their request.
     if (reading_ && HasUnreadBytes()) return;
     Close();
   }
@@ -232,9 +232,9 @@
   }
 
   void Write(const Response& response, bool counted_as_open) {
-    // During shutdown, requests that the caller has already sent are answered
-    // before the connection is closed; no request that was read may remain
-    // without an answer.
+    // During shutdown, the connection is closed with this response, unless the
+    // caller has already sent further requests. Those are answered first: no
+    // request that was read may remain without an answer.
     const bool has_further_requests =
         !requests_.empty() || parser_.inside_message() || HasUnreadBytes();
     keep_alive_ =
@@ -246,7 +246,8 @@
                           std::error_code error, size_t) {
                         if (counted_as_open) --self->server_->open_requests;
                         if (error) return self->Close();
-                        if (!self->keep_alive_) return self->Finish();
+                        if (!self->keep_alive_)
+                          return self->CloseAfterResponse();
                         if (!self->requests_.empty()) return self->HandleNext();
                         self->ReadNext();
                       });
@@ -265,23 +266,26 @@
     return socket_.available(error) > 0 && !error;
   }
 
-  /// Shuts down the sending side first: closing a socket with unread bytes
-  /// would reset the connection and could discard the response in transit.
-  void Finish() {
+  /// Closes the connection after its last response. Shuts down only the sending
+  /// side at first: closing a socket with unread bytes would reset the
+  /// connection and could discard the response in transit.
+  void CloseAfterResponse() {
     std::error_code ignored;  // the peer may have closed the connection
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    Drain();
+    DiscardInput();
   }
 
-  void Drain() {
-    constexpr Millis kDrainReadTimeout{1000};
-    ArmTimer(kDrainReadTimeout);
+  /// Discards received bytes until the peer closes the connection or sends
+  /// nothing for kDiscardTimeout.
+  void DiscardInput() {
+    constexpr Millis kDiscardTimeout{1000};
+    ArmTimer(kDiscardTimeout);
     socket_.async_read_some(
         asio::buffer(buffer_),
         [self = shared_from_this()](std::error_code error, size_t) {
           self->DisarmTimer();
           if (error) return self->Close();
-          self->Drain();
+          self->DiscardInput();
         });
   }
 
@@ -299,11 +303,13 @@
   uint64_t timer_generation_ = 0;
   std::shared_ptr<Server::Private> server_;
   Parser parser_;
+  /// Requests that have been read and not yet passed to the handler.
   std::deque<ParsedMessage> requests_;
   bool keep_alive_ = true;
+  /// A read of the socket is pending.
   bool reading_ = false;
   std::string out_;
-  std::array<char, kReadBytes> buffer_{};
+  std::array<char, kReadBufferBytes> buffer_{};
 };
 
 }  // namespace
@@ -316,7 +322,7 @@
 void Server::Private::StopAccepting() {
   shutting_down = true;
   accepting_stopped = true;
-  // Connections that the kernel has already accepted are served. Later ones are
+  // Serves the connections that the kernel has already accepted. Later ones are
   // refused at once, so that callers can connect to another entry.
   std::error_code error;
   acceptor.non_blocking(true, error);
--- a/src/libs/rpc/client.cc
+++ b/src/libs/rpc/client.cc
@@ -27,7 +27,7 @@
     asio::post(strand_, [self = shared_from_this(), endpoint] {
       self->socket_.async_connect(endpoint, [self](std::error_code error) {
         if (error) return self->Fail(Errc::kUnavailable, error.message());
-        std::error_code ignored;
+        std::error_code ignored;  // without the option, calls are slower
         self->socket_.set_option(tcp::no_delay(true), ignored);
         self->open_ = true;
         self->WriteNext();
@@ -76,9 +76,10 @@
     if (open_ && queue_.size() == 1) WriteNext();
   }
 
-  /// A connection can stop delivering data without a reset, and every call on
-  /// it would then time out. If no frame has been received since the call was
-  /// sent, the connection is closed, so that the next call opens a new one.
+  /// Fails a call that has timed out. Also closes the connection if no frame
+  /// has been received since the call was sent, so that the next call opens a
+  /// new one: a connection can stop delivering data without a reset, and every
+  /// later call on it would time out.
   void OnTimeout(int64_t id, TimePoint sent) {
     Finish(id, Errc::kTimeout);
     if (last_received_ < sent) Fail(Errc::kTimeout, "connection unresponsive");
@@ -116,8 +117,8 @@
                    });
   }
 
-  /// A reply that arrives after its call has timed out is counted as "late",
-  /// since it loads the link as well.
+  /// Counts a received reply under the method of its call. A reply that arrives
+  /// after its call has timed out uses the link too, and is counted as "late".
   void CountReply(int64_t id) {
     const auto found = pending_.find(id);
     const std::string_view name = found == pending_.end()
@@ -132,6 +133,7 @@
     traffic_->Count("ask " + std::string(name), direction, bytes);
   }
 
+  /// Finishes the call that the reply belongs to.
   void Deliver(wire::Frame& frame) {
     if (frame.error != 0) {
       return Finish(frame.id,
@@ -151,7 +153,7 @@
 
   void Fail(Errc code, const std::string& message) {
     if (broken_.exchange(true)) return;
-    std::error_code ignored;
+    std::error_code ignored;  // an error on closing has no consequence
     socket_.close(ignored);
     auto pending = std::move(pending_);
     pending_.clear();
@@ -184,15 +186,16 @@
   std::mutex mutex;
   std::unordered_map<std::string, std::shared_ptr<Connection>> connections;
 
+  /// Returns the open connection to `address`, or opens a new one.
   std::shared_ptr<Connection> Connect(const std::string& address,
                                       const tcp::endpoint& endpoint) {
     std::lock_guard lock(mutex);
-    auto& slot = connections[address];
-    if (!slot || slot->broken()) {
-      slot = std::make_shared<Connection>(io, bytes, traffic);
-      slot->Open(endpoint);
+    auto& connection = connections[address];
+    if (!connection || connection->broken()) {
+      connection = std::make_shared<Connection>(io, bytes, traffic);
+      connection->Open(endpoint);
     }
-    return slot;
+    return connection;
   }
 };
 
--- a/src/libs/rpc/codec.h
+++ b/src/libs/rpc/codec.h
@@ -14,8 +14,8 @@
 /// Encodes a message in Thrift's compact protocol. Thread-safe.
 std::string Encode(const apache::thrift::TBase& message);
 
-/// Decodes a message; false if the bytes are not a complete message. Safe from
-/// any thread.
+/// Decodes a message; false if the bytes are not a complete message.
+/// Thread-safe.
 bool DecodeInto(std::string_view bytes, apache::thrift::TBase& message);
 
 /// Returns the decoded message, or Errc::kMalformed. Thread-safe.
--- a/src/libs/rpc/framing.h
+++ b/src/libs/rpc/framing.h
@@ -12,8 +12,9 @@
 
 namespace mimosarail::rpc {
 
-/// Maximum size of a frame that either side accepts, in bytes.
-inline constexpr uint32_t kMaxFrame = 32U << 20U;
+/// Maximum size of a frame that either side accepts.
+inline constexpr uint32_t kMaxFrameBytes = 32U << 20U;
+/// Size of the length prefix of a frame.
 inline constexpr size_t kLengthBytes = 4;
 
 /// An IP address and a port.
@@ -31,7 +32,8 @@
 /// Returns the length given by the first kLengthBytes bytes.
 uint32_t FrameLength(const std::string& buffer);
 
-/// Reads one frame into `buffer`, which must outlive the read.
+/// Reads one frame into `buffer` and passes it to `done`, or an error. `socket`
+/// and `buffer` must outlive the read.
 template <typename Socket>
 void AsyncReadFrame(Socket& socket, std::string& buffer,
                     std::function<void(Result<wire::Frame>)> done) {
@@ -42,10 +44,10 @@
                                                  size_t) mutable {
         if (error) return done(Error{error, error.message()});
         const uint32_t length = FrameLength(buffer);
-        if (length > kMaxFrame) return done(Errc::kMalformed);
+        if (length > kMaxFrameBytes) return done(Errc::kMalformed);
         // The buffer grows as bytes arrive. If it were allocated at once, a
         // sender could use up the 260 MB of memory of a process by sending only
-        // the length prefix kMaxFrame on each of eight connections.
+        // the length prefix kMaxFrameBytes on each of eight connections.
         buffer.clear();
         asio::async_read(
             socket, asio::dynamic_buffer(buffer, length),
--- a/src/libs/rpc/server.cc
+++ b/src/libs/rpc/server.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Pause after a failed accept, as when no descriptors are left.
+/// Pause after a failed accept, for example when no file descriptors are left.
 constexpr Millis kAcceptPause{50};
 
 using HandlerTable = std::unordered_map<int32_t, Handler>;
@@ -56,6 +56,7 @@
     traffic_->Count("serve " + std::string(name), direction, bytes);
   }
 
+  /// Passes a call to the handler of its method.
   void Dispatch(wire::Frame frame) {
     Responder respond = [weak = weak_from_this(),
                          executor = socket_.get_executor(), id = frame.id,
@@ -80,8 +81,9 @@
       frame.body = std::move(reply.value());
     } else {
       const std::error_code& code = reply.error().code;
-      const bool ours = code.category() == ErrorCategory();
-      frame.error = ours ? code.value() : static_cast<int>(Errc::kUnavailable);
+      const bool is_errc = code.category() == ErrorCategory();
+      frame.error =
+          is_errc ? code.value() : static_cast<int>(Errc::kUnavailable);
       frame.body = reply.error().message;
     }
     queue_.push_back({method, FrameBytes(frame)});
@@ -103,7 +105,7 @@
   }
 
   void Close() {
-    std::error_code ignored;
+    std::error_code ignored;  // an error on closing has no consequence
     socket_.close(ignored);
   }
 
@@ -119,7 +121,10 @@
 
 struct Server::Private : std::enable_shared_from_this<Server::Private> {
   Private(asio::io_context& io_in, metrics::Traffic* traffic_in)
-      : io(io_in), traffic(traffic_in), acceptor(io_in), pause(io_in) {}
+      : io(io_in),
+        traffic(traffic_in),
+        acceptor(io_in),
+        accept_retry_timer(io_in) {}
 
   void AcceptNext() {
     if (!acceptor.is_open()) return;  // the server has been destroyed
@@ -127,8 +132,8 @@
         asio::make_strand(io),
         [self = shared_from_this()](std::error_code error, tcp::socket socket) {
           if (error == asio::error::operation_aborted) return;
-          if (error) return self->AcceptLater(error);
-          std::error_code ignored;
+          if (error) return self->RetryAcceptLater(error);
+          std::error_code ignored;  // without the option, replies are slower
           socket.set_option(tcp::no_delay(true), ignored);
           std::make_shared<Session>(std::move(socket), self->handlers,
                                     self->bytes, self->traffic)
@@ -137,22 +142,23 @@
         });
   }
 
-  /// Accepts again after a pause. Failures are transient, as when no
-  /// descriptors are left for a moment. Without a further accept, the other
+  /// Accepts again after a pause. The cause of a failure may be transient, such
+  /// as a lack of file descriptors. If the server no longer accepted, the other
   /// instances could not reach this one until it is restarted.
-  void AcceptLater(std::error_code cause) {
+  void RetryAcceptLater(std::error_code cause) {
     logging::Event(logging::Level::kWarning, "accept failed",
                    {{"cause", cause.message()}});
-    pause.expires_after(kAcceptPause);
-    pause.async_wait([self = shared_from_this()](std::error_code stopped) {
-      if (!stopped) self->AcceptNext();
-    });
+    accept_retry_timer.expires_after(kAcceptPause);
+    accept_retry_timer.async_wait(
+        [self = shared_from_this()](std::error_code stopped) {
+          if (!stopped) self->AcceptNext();
+        });
   }
 
   asio::io_context& io;
   metrics::Traffic* traffic;
   tcp::acceptor acceptor;
-  asio::steady_timer pause;
+  asio::steady_timer accept_retry_timer;
   std::shared_ptr<HandlerTable> handlers = std::make_shared<HandlerTable>();
   std::shared_ptr<std::atomic<int64_t>> bytes =
       std::make_shared<std::atomic<int64_t>>(0);
@@ -162,7 +168,7 @@
     : d_(std::make_shared<Private>(io, traffic)) {}
 
 Server::~Server() {
-  std::error_code ignored;
+  std::error_code ignored;  // no consequence on destruction
   d_->acceptor.close(ignored);
 }
 
--- a/tests/decoders_test.cc
+++ b/tests/decoders_test.cc
@@ -38,7 +38,7 @@
 }
 
 /// Returns the peak resident memory of this process.
-int64_t ResidentMb() {
+int64_t PeakResidentMb() {
   constexpr int64_t kKbPerMb = 1024;
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -465,9 +465,9 @@
         {asio::ip::make_address("127.0.0.1"), port.value()});
     asio::write(peers.back(), asio::buffer(std::string("\x02\0\0\0x", 5)));
   }
-  const int64_t before = ResidentMb();
+  const int64_t before = PeakResidentMb();
   io.run_for(std::chrono::milliseconds(300));
-  BOOST_TEST(ResidentMb() - before < 50);
+  BOOST_TEST(PeakResidentMb() - before < 50);
 }
 
 /// Guards against allocating memory for a list by its claimed length. A message
@@ -483,9 +483,9 @@
     bytes.push_back(static_cast<char>((left & 0x7fU) | more));
   }
   bytes += std::string(kElements, '\0');
-  const int64_t before = ResidentMb();
+  const int64_t before = PeakResidentMb();
   BOOST_TEST(!rpc::Decode<wire::JobSpec>(bytes).ok());
-  BOOST_TEST(ResidentMb() - before < 100);
+  BOOST_TEST(PeakResidentMb() - before < 100);
 }
 
 }  // namespace mimosarail::platform
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -35,8 +35,8 @@
 using platform::Json;
 using Random = std::mt19937_64;
 
-constexpr uint64_t kInputs = 20000;
-constexpr uint64_t kSeed = 1;
+constexpr uint64_t kDefaultInputs = 20000;
+constexpr uint64_t kDefaultSeed = 1;
 /// Time limit of one input. A mutation has up to 300 KB, and a decoder that
 /// reads it twice under a sanitizer takes some 50 ms.
 constexpr std::chrono::seconds kMaxInputTime{3};
@@ -201,7 +201,7 @@
 
 void MutateBytes(std::string& bytes, const std::string& other, Random& random) {
   const size_t at = Pick(random, bytes.size() + 1);
-  const size_t some = 1 + Pick(random, 16);
+  const size_t length = 1 + Pick(random, 16);
   switch (Pick(random, 9)) {
     case 0:
       bytes.resize(at);
@@ -210,13 +210,14 @@
       if (at < bytes.size()) bytes[at] = static_cast<char>(random());
       return;
     case 2:
-      if (at < bytes.size()) bytes.erase(at, some);
+      if (at < bytes.size()) bytes.erase(at, length);
       return;
     case 3:
       bytes.insert(at, EdgeBytes()[Pick(random, EdgeBytes().size())]);
       return;
     case 4:  // a part duplicated, which can duplicate a member of an object
-      bytes.insert(at, bytes.substr(Pick(random, bytes.size() + 1), 8 * some));
+      bytes.insert(at,
+                   bytes.substr(Pick(random, bytes.size() + 1), 8 * length));
       return;
     case 5:  // the end replaced by the end of another message
       bytes.resize(at);
@@ -275,26 +276,26 @@
 }
 
 void CheckUpstream(const std::string& bytes) {
-  const auto entry = platform::DecodeUpstream("i-1", bytes);
-  if (!entry.ok() || !entry.value().listed) return;
-  const ports::UpstreamEntry& it = entry.value();
-  BOOST_TEST(it.id == "i-1");
-  BOOST_TEST(!it.pool.empty());
-  const auto endpoint = rpc::ParseEndpoint(it.address);
+  const auto decoded = platform::DecodeUpstream("i-1", bytes);
+  if (!decoded.ok() || !decoded.value().listed) return;
+  const ports::UpstreamEntry& entry = decoded.value();
+  BOOST_TEST(entry.id == "i-1");
+  BOOST_TEST(!entry.pool.empty());
+  const auto endpoint = rpc::ParseEndpoint(entry.address);
   BOOST_TEST((endpoint.has_value() && endpoint->port != 0));
-  BOOST_TEST(it.capacity.millicores > 0);
-  BOOST_TEST(it.capacity.memory_mb >= 0);
-  BOOST_TEST(it.capacity.accelerators >= 0);
-  BOOST_TEST(it.warmup_left_ms >= 0);
-  BOOST_TEST(it.leaves_in_ms >= 0);
+  BOOST_TEST(entry.capacity.millicores > 0);
+  BOOST_TEST(entry.capacity.memory_mb >= 0);
+  BOOST_TEST(entry.capacity.accelerators >= 0);
+  BOOST_TEST(entry.warmup_left_ms >= 0);
+  BOOST_TEST(entry.leaves_in_ms >= 0);
 }
 
 void CheckUpstreamId(const std::string& bytes) {
   const auto entry = platform::DecodeUpstream(bytes, "");
   if (!entry.ok()) return;
-  const Json ask =
+  const Json request =
       Json::parse(platform::EncodeAdviceRequest({1, 0, 0}, {bytes}));
-  BOOST_TEST((ask["workers"][0] == bytes));
+  BOOST_TEST((request["workers"][0] == bytes));
   BOOST_TEST((bytes.find_first_of("\r\n") == std::string::npos));
 }
 
@@ -361,7 +362,7 @@
       platform::DecodeAdvice(http::Response{.status = 200, .body = bytes});
   if (!advice.ok()) return;
   BOOST_TEST((advice.value().valid >= Millis(0) &&
-              advice.value().valid <= Millis(platform::kMaxSpanMs)));
+              advice.value().valid <= Millis(platform::kMaxDurationMs)));
 }
 
 void CheckNewest(const std::string& bytes) {
@@ -682,8 +683,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(DecodersHoldInvariantsOnMutatedInputs) {
-  const uint64_t inputs = FromEnvironment("MIMOSARAIL_FUZZ", kInputs);
-  const uint64_t seed = FromEnvironment("MIMOSARAIL_FUZZ_SEED", kSeed);
+  const uint64_t inputs = FromEnvironment("MIMOSARAIL_FUZZ", kDefaultInputs);
+  const uint64_t seed = FromEnvironment("MIMOSARAIL_FUZZ_SEED", kDefaultSeed);
   const uint64_t only = FromEnvironment("MIMOSARAIL_FUZZ_ONLY", UINT64_MAX);
   std::chrono::steady_clock::duration longest{};
   for (uint64_t i = 0; i < inputs; ++i) {
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -288,7 +288,7 @@
 /// Guards against treating a full list of completions as complete: a report
 /// lists at most 500, and further ones may follow.
 BOOST_AUTO_TEST_CASE(FullListOfCompletionsMayBeIncomplete) {
-  const auto ends = [](int count) {
+  const auto decode_report = [](int count) {
     std::string rows;
     for (int i = 1; i <= count; ++i) {
       rows += (i > 1 ? "," : "") + ("[" + std::to_string(i)) +
@@ -297,11 +297,11 @@
     return DecodeRenew(
         Answer(200, R"({"clockMs":1,"running":[],"finished":[)" + rows + "]}"));
   };
-  BOOST_REQUIRE((ends(499).call.verdict == CallVerdict::kDone));
-  BOOST_TEST(!ends(0).more_completions);
-  BOOST_TEST(!ends(499).more_completions);
-  BOOST_REQUIRE((ends(500).call.verdict == CallVerdict::kDone));
-  BOOST_TEST(ends(500).more_completions);
+  BOOST_REQUIRE((decode_report(499).call.verdict == CallVerdict::kDone));
+  BOOST_TEST(!decode_report(0).more_completions);
+  BOOST_TEST(!decode_report(499).more_completions);
+  BOOST_REQUIRE((decode_report(500).call.verdict == CallVerdict::kDone));
+  BOOST_TEST(decode_report(500).more_completions);
 }
 
 BOOST_AUTO_TEST_CASE(AdviceIsDecoded) {
@@ -354,9 +354,9 @@
   }
 }
 
-/// Guards against calls that are never answered. Calls wait for a connection
-/// because all are busy, and the busy ones break; the waiting calls must still
-/// be answered. Otherwise starts, and with them their tasks, hang forever.
+/// Guards against queued calls that are never answered. All connections are
+/// busy, and they break while calls wait for one. If the start of a task were
+/// never answered, the task would hang forever.
 BOOST_AUTO_TEST_CASE(WaitingCallsSurviveBrokenConnections) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
@@ -392,9 +392,9 @@
   BOOST_TEST(answered == kCalls);
 }
 
-/// Guards against a call that is sent within the unsent rest of an earlier
-/// call's body. This happens if a connection is reused after the peer refused a
-/// request before it was sent completely.
+/// Guards against a call whose bytes are sent in the middle of another call's
+/// body. This happens if the peer refuses a request that has not been sent
+/// completely, and the client then reuses the connection.
 BOOST_AUTO_TEST_CASE(ConnectionWithHalfSentRequestIsNotReused) {
   using asio::ip::tcp;
   asio::io_context io;
@@ -472,34 +472,35 @@
   http::Client strict(io, {});
   const std::string address =
       "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
-  std::optional<Result<http::Response>> whole;
-  std::optional<Result<http::Response>> late;
+  std::optional<Result<http::Response>> extended_result;
+  std::optional<Result<http::Response>> strict_result;
   const auto stop = [&] {
-    if (whole && late) io.stop();
+    if (extended_result && strict_result) io.stop();
   };
   extended.Call(address, {.target = "/"}, kTimeout,
                 [&](const Result<http::Response>& reply) {
-                  whole = reply;
+                  extended_result = reply;
                   stop();
                 });
   strict.Call(address, {.target = "/"}, kTimeout,
               [&](const Result<http::Response>& reply) {
-                late = reply;
+                strict_result = reply;
                 stop();
               });
   io.run_for(std::chrono::seconds(20));
-  BOOST_REQUIRE(whole.has_value());
-  BOOST_REQUIRE(late.has_value());
-  BOOST_REQUIRE(whole->ok());
-  BOOST_TEST(whole->value().body.size() == static_cast<size_t>(kParts));
-  BOOST_TEST(!late->ok());
+  BOOST_REQUIRE(extended_result.has_value());
+  BOOST_REQUIRE(strict_result.has_value());
+  BOOST_REQUIRE(extended_result->ok());
+  BOOST_TEST(extended_result->value().body.size() ==
+             static_cast<size_t>(kParts));
+  BOOST_TEST(!strict_result->ok());
 }
 
 /// Guards against missing a configuration that is on a later page.
 BOOST_AUTO_TEST_CASE(TheConfigurationIsReadFromAllPages) {
   asio::io_context io;
   rpc::AsioExecutor executor(io);
-  std::vector<std::string> asked;
+  std::vector<std::string> targets;
   // Base64 of {"wave":7,"machines":["m"]} and of {}.
   const std::string first =
       R"({"items":[{"key":"a","value":"e30=","offset":0}],"hasMore":true,
@@ -511,7 +512,7 @@
   http::Server server(
       io, {},
       [&](const http::Request& request, const http::Responder& respond) {
-        asked.push_back(request.target);
+        targets.push_back(request.target);
         const bool more =
             request.target.find("dependsOn=a") != std::string::npos;
         respond({.status = 200, .body = more ? second : first});
@@ -529,7 +530,7 @@
                    });
   io.run_for(std::chrono::seconds(10));
   BOOST_REQUIRE(got.has_value());
-  BOOST_TEST(asked.size() == 2U);
+  BOOST_TEST(targets.size() == 2U);
   BOOST_TEST(got->documents.size() == 1U);
   BOOST_TEST(got->waves.size() == 1U);
   // Pages are not a snapshot: changes are read from the end offset of the
--- a/tests/rpc_server_test.cc
+++ b/tests/rpc_server_test.cc
@@ -74,7 +74,7 @@
 
 /// Guards against an entry that other entries cannot reach until it is
 /// restarted, although it runs and serves its callers. In a burst of callers it
-/// has no descriptor left for a moment, so that accepting a connection fails.
+/// has no file descriptor left for a moment, so accepting a connection fails.
 /// If the server treats the error as the end of the listener, it never accepts
 /// again.
 BOOST_AUTO_TEST_CASE(ServerKeepsAcceptingAfterFailedAccept) {
