--- a/bench/leader_bench.cc
+++ b/bench/leader_bench.cc
@@ -9,7 +9,7 @@
 #include <ctime>
 #include <random>
 
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 
 namespace mimosarail::bench {
 namespace {
@@ -43,7 +43,7 @@
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-void Submit(jobsim::JobCell& cell, const JobType& type, JobId id,
+void Submit(jobsim::JobCluster& cluster, const JobType& type, JobId id,
             std::mt19937_64& random) {
   wire::JobSpec spec =
       jobsim::OneStepJob(id, type.tasks, type.millicores, type.gang);
@@ -59,16 +59,16 @@
   for (int32_t i = 0; i < type.tasks; ++i) {
     const auto run_time = static_cast<int64_t>(type.millis / 2) +
                           static_cast<int64_t>(random() % type.millis);
-    cell.upstreams().behavior({id, 0, 0, i}).run_time = Millis(run_time);
+    cluster.upstreams().behavior({id, 0, 0, i}).run_time = Millis(run_time);
   }
-  const auto names = cell.names();
-  cell.Submit(names[random() % names.size()], spec);
+  const auto names = cluster.names();
+  cluster.Submit(names[random() % names.size()], spec);
 }
 
 int Run(int upstreams, int seconds) {
-  jobsim::JobCell cell(
+  jobsim::JobCluster cluster(
       {.entries = 12, .upstreams = upstreams, .millicores = 16000});
-  cell.RunFor(Millis(3000));
+  cluster.RunFor(Millis(3000));
   std::mt19937_64 random(7);
   JobId next = 0x1000;
   int64_t tasks = 0;
@@ -79,11 +79,11 @@
           type.per_second * upstreams / kUpstreams / kStepsPerSecond;
       int count = std::poisson_distribution<int>(mean)(random);
       for (; count > 0; --count) {
-        Submit(cell, type, next++, random);
+        Submit(cluster, type, next++, random);
         tasks += type.tasks;
       }
     }
-    cell.RunFor(kStep);
+    cluster.RunFor(kStep);
   }
   const double took = ProcessorSeconds() - before;
   constexpr double kMicros = 1e6;
--- a/tests/cancel_test.cc
+++ b/tests/cancel_test.cc
@@ -9,7 +9,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 #include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
@@ -43,10 +43,10 @@
   return out;
 }
 
-/// A cell whose upstreams are slow to report and to stop runs.
-class SlowCell : public JobCell {
+/// A cluster whose upstreams are slow to report and to stop runs.
+class SlowCluster : public JobCluster {
  public:
-  SlowCell() : JobCell({}) {
+  SlowCluster() : JobCluster({}) {
     for (const auto& id : upstreams().ids()) {
       upstreams().faults(id).long_poll_wait = kLongPollWait;
       upstreams().faults(id).stop_time = kStopTime;
@@ -102,26 +102,26 @@
   explicit CancelScenario(uint64_t seed) : random_(seed) {}
 
   void Play() {
-    for (const auto& id : cell_.upstreams().ids()) {
-      list_records_[id] = cell_.store().Records(kUpstreamTable).at(id);
-      cell_.upstreams().faults(id).long_poll_wait = Millis(50 + Pick(950));
-      cell_.upstreams().faults(id).stop_time = Millis(100 + Pick(800));
+    for (const auto& id : cluster_.upstreams().ids()) {
+      list_records_[id] = cluster_.store().Records(kUpstreamTable).at(id);
+      cluster_.upstreams().faults(id).long_poll_wait = Millis(50 + Pick(950));
+      cluster_.upstreams().faults(id).stop_time = Millis(100 + Pick(800));
     }
-    cell_.RunFor(Millis(2000));
+    cluster_.RunFor(Millis(2000));
     constexpr int kSteps = 60;
     for (int i = 0; i < kSteps; ++i) {
       SubmitRandomJob();
-      if (Chance(50)) cell_.Cancel(RandomEntry(), jobs_[Pick(jobs_.size())]);
+      if (Chance(50)) cluster_.Cancel(RandomEntry(), jobs_[Pick(jobs_.size())]);
       if (Chance(35)) InjectFault();
       // Some periods without faults are long enough for the time bounds to be
       // checked.
-      cell_.RunFor(Chance(8) ? StartPeriodWithoutFaults()
-                             : Millis(50 + Pick(400)));
+      cluster_.RunFor(Chance(8) ? StartPeriodWithoutFaults()
+                                : Millis(50 + Pick(400)));
     }
     EndFaults();
-    cell_.RunFor(Millis(6000));
-    for (const JobId id : jobs_) cell_.Cancel(RandomEntry(), id);
-    cell_.RunFor(Millis(9000));
+    cluster_.RunFor(Millis(6000));
+    for (const JobId id : jobs_) cluster_.Cancel(RandomEntry(), id);
+    cluster_.RunFor(Millis(9000));
     Check();
   }
 
@@ -136,13 +136,13 @@
 
   std::string RandomEntry() {
     std::vector<std::string> remaining;
-    for (const auto& name : cell_.names()) {
+    for (const auto& name : cluster_.names()) {
       if (name != removed_) remaining.push_back(name);
     }
     return remaining[Pick(remaining.size())];
   }
   std::string RandomUpstream() {
-    const auto ids = cell_.upstreams().ids();
+    const auto ids = cluster_.upstreams().ids();
     return ids[Pick(ids.size())];
   }
 
@@ -152,31 +152,31 @@
         OneStepJob(id, 1 + static_cast<int32_t>(Pick(3)),
                    500 + 500 * static_cast<int32_t>(Pick(3)), Chance(20));
     for (int32_t i = 0; i < spec.steps[0].tasks; ++i) {
-      auto& behavior = cell_.upstreams().behavior({id, 0, 0, i});
+      auto& behavior = cluster_.upstreams().behavior({id, 0, 0, i});
       behavior.run_time = Chance(40) ? Millis(30000) : Millis(100 + Pick(1500));
       behavior.failing_runs = Chance(4) ? 1 : 0;
     }
     jobs_.push_back(id);
-    cell_.Submit(RandomEntry(), spec);
+    cluster_.Submit(RandomEntry(), spec);
   }
 
   void InjectFault() {
-    const std::string leader = cell_.Leader();
+    const std::string leader = cluster_.Leader();
     const std::string entry =
         Chance(50) && !leader.empty() ? leader : RandomEntry();
     const std::string upstream = RandomUpstream();
-    UpstreamFaults& faults = cell_.upstreams().faults(upstream);
+    UpstreamFaults& faults = cluster_.upstreams().faults(upstream);
     switch (Pick(9)) {
       case 0:
-        return cell_.Restart(entry);
+        return cluster_.Restart(entry);
       case 1:
         if (!removed_.empty()) return;
         removed_ = entry;
-        return cell_.Kill(entry);
+        return cluster_.Kill(entry);
       case 2:
-        return cell_.Pause(entry);
+        return cluster_.Pause(entry);
       case 3:
-        for (const auto& name : cell_.names()) cell_.Resume(name);
+        for (const auto& name : cluster_.names()) cluster_.Resume(name);
         return;
       case 4:
         faults.delayed_starts = 1 + static_cast<int>(Pick(2));
@@ -192,20 +192,20 @@
       case 7:
         return SetListed(upstream, Chance(50));
       default:
-        cell_.store().faults().drop_replies = static_cast<int>(Pick(3));
+        cluster_.store().faults().drop_replies = static_cast<int>(Pick(3));
     }
   }
 
   void SetListed(const std::string& upstream, bool listed) {
-    cell_.store().Put(kUpstreamTable, upstream,
-                      listed ? list_records_.at(upstream) : "");
+    cluster_.store().Put(kUpstreamTable, upstream,
+                         listed ? list_records_.at(upstream) : "");
   }
 
   void EndFaults() {
-    for (const auto& name : cell_.names()) cell_.Resume(name);
-    cell_.store().faults() = {};
-    for (const auto& id : cell_.upstreams().ids()) {
-      UpstreamFaults& faults = cell_.upstreams().faults(id);
+    for (const auto& name : cluster_.names()) cluster_.Resume(name);
+    cluster_.store().faults() = {};
+    for (const auto& id : cluster_.upstreams().ids()) {
+      UpstreamFaults& faults = cluster_.upstreams().faults(id);
       faults = {.long_poll_wait = faults.long_poll_wait,
                 .stop_time = faults.stop_time};
       SetListed(id, true);
@@ -213,25 +213,25 @@
   }
 
   void Check() {
-    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
+    for (const std::string& what : cluster_.Violations()) BOOST_ERROR(what);
     for (const JobId id : jobs_) {
       for (int32_t i = 0; i < 3; ++i) {
-        if (!cell_.cancelled(id)) continue;
+        if (!cluster_.cancelled(id)) continue;
         const std::string where =
-            cell_.upstreams().UpstreamRunning({id, 0, 0, i});
+            cluster_.upstreams().UpstreamRunning({id, 0, 0, i});
         BOOST_CHECK_MESSAGE(where.empty(), "cancelled but still runs on "
                                                << where << ": "
                                                << JobIdText(id));
       }
-      if (!cell_.accepted(id)) continue;
-      const auto state = cell_.State(id);
+      if (!cluster_.accepted(id)) continue;
+      const auto state = cluster_.State(id);
       BOOST_CHECK_MESSAGE(state && IsFinal(*state),
                           "accepted but never finished: " << JobIdText(id));
     }
   }
 
   std::mt19937_64 random_;
-  JobCell cell_{{}};
+  JobCluster cluster_{{}};
   std::vector<JobId> jobs_;
   std::map<std::string, std::string> list_records_;
   std::string removed_;
@@ -253,20 +253,20 @@
 /// stop. If it treated the run as already being stopped, it would wait for its
 /// end in vain.
 BOOST_AUTO_TEST_CASE(RunFoundAfterItsCancelIsStoppedAtOnce) {
-  SlowCell cell;
-  const std::string at = cell.StartLongJob(1);
+  SlowCluster cluster;
+  const std::string at = cluster.StartLongJob(1);
   BOOST_REQUIRE(!at.empty());
-  const std::string first = cell.Leader();
-  const std::string other = cell.Follower();
-  cell.faults(at).unreachable = true;
-  cell.Kill(first);
-  cell.Cancel(other, 1);
-  cell.RunFor(Millis(1800));
-  BOOST_REQUIRE(cell.cancelled(1));
-  cell.faults(at).unreachable = false;
-  BOOST_TEST(cell.Runs(1));
-  BOOST_TEST(cell.StopsWithin(1, Millis(1700)));
-  BOOST_TEST(cell.Violations().empty());
+  const std::string first = cluster.Leader();
+  const std::string other = cluster.Follower();
+  cluster.faults(at).unreachable = true;
+  cluster.Kill(first);
+  cluster.Cancel(other, 1);
+  cluster.RunFor(Millis(1800));
+  BOOST_REQUIRE(cluster.cancelled(1));
+  cluster.faults(at).unreachable = false;
+  BOOST_TEST(cluster.Runs(1));
+  BOOST_TEST(cluster.StopsWithin(1, Millis(1700)));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against a cancelled task that runs for another 4 s because the stop
@@ -274,14 +274,14 @@
 /// that lists the run. If it started to wait for the end only upon that report,
 /// the stop would be repeated too late.
 BOOST_AUTO_TEST_CASE(LostStopIsRepeatedAfterNextReport) {
-  SlowCell cell;
-  const std::string at = cell.StartLongJob(2);
+  SlowCluster cluster;
+  const std::string at = cluster.StartLongJob(2);
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).drop_stops = 1;
-  cell.Cancel(cell.Follower(), 2);
-  BOOST_TEST(cell.StopsWithin(2, Millis(2900)));
-  BOOST_TEST(cell.cancelled(2));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.faults(at).drop_stops = 1;
+  cluster.Cancel(cluster.Follower(), 2);
+  BOOST_TEST(cluster.StopsWithin(2, Millis(2900)));
+  BOOST_TEST(cluster.cancelled(2));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A job is cancelled while the reply to its start is pending. Its upstream is
@@ -289,17 +289,17 @@
 /// executes the start 2 s late. The run must be stopped upon the first report
 /// that lists it.
 BOOST_AUTO_TEST_CASE(DelayedStartOfCancelledJobIsStopped) {
-  SlowCell cell;
-  const std::string at = cell.StartLongJobLate(3, Millis(2000));
+  SlowCluster cluster;
+  const std::string at = cluster.StartLongJobLate(3, Millis(2000));
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).unreachable = true;
-  cell.Cancel(cell.Follower(), 3);
-  cell.RunFor(Millis(2100));
-  BOOST_REQUIRE(cell.cancelled(3));
-  BOOST_TEST(cell.Runs(3));
-  cell.faults(at).unreachable = false;
-  BOOST_TEST(cell.StopsWithin(3, Millis(1700)));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.faults(at).unreachable = true;
+  cluster.Cancel(cluster.Follower(), 3);
+  cluster.RunFor(Millis(2100));
+  BOOST_REQUIRE(cluster.cancelled(3));
+  BOOST_TEST(cluster.Runs(3));
+  cluster.faults(at).unreachable = false;
+  BOOST_TEST(cluster.StopsWithin(3, Millis(1700)));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The leader sends a start and is removed permanently. The next leader can't
@@ -308,81 +308,83 @@
 /// inventory lists the run, the next leader stops it and counts it once as
 /// orphaned.
 BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsStopped) {
-  SlowCell cell;
-  const std::string first = cell.Leader();
-  const std::string other = cell.Follower();
-  const std::string at = cell.StartLongJobLate(4, Millis(2000));
+  SlowCluster cluster;
+  const std::string first = cluster.Leader();
+  const std::string other = cluster.Follower();
+  const std::string at = cluster.StartLongJobLate(4, Millis(2000));
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).unreachable = true;
-  cell.Kill(first);
-  cell.Cancel(other, 4);
-  cell.RunFor(Millis(2100));
-  BOOST_REQUIRE(cell.cancelled(4));
-  BOOST_TEST(cell.Runs(4));
-  cell.faults(at).unreachable = false;
-  BOOST_TEST(cell.StopsWithin(4, Millis(1700)));
-  const std::string counters = cell.Metrics(cell.Leader());
+  cluster.faults(at).unreachable = true;
+  cluster.Kill(first);
+  cluster.Cancel(other, 4);
+  cluster.RunFor(Millis(2100));
+  BOOST_REQUIRE(cluster.cancelled(4));
+  BOOST_TEST(cluster.Runs(4));
+  cluster.faults(at).unreachable = false;
+  BOOST_TEST(cluster.StopsWithin(4, Millis(1700)));
+  const std::string counters = cluster.Metrics(cluster.Leader());
   BOOST_TEST(counters.find("unasked_runs{why=\"job cancelled\"} 1\n") !=
              std::string::npos);
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The leader sends a start and is removed permanently. The start is due for
 /// execution 3.5 s later, but the next leader can reach the upstream and raises
 /// its fence with its first renewal. The start must be refused.
 BOOST_AUTO_TEST_CASE(LateStartOfRemovedEntryIsFenced) {
-  SlowCell cell;
-  const std::string first = cell.Leader();
-  const std::string other = cell.Follower();
-  BOOST_REQUIRE(!cell.StartLongJobLate(5, Millis(3500)).empty());
-  cell.Kill(first);
-  cell.Cancel(other, 5);
-  cell.RunFor(Millis(8000));
-  BOOST_TEST(cell.cancelled(5));
-  BOOST_TEST(!cell.Runs(5));
+  SlowCluster cluster;
+  const std::string first = cluster.Leader();
+  const std::string other = cluster.Follower();
+  BOOST_REQUIRE(!cluster.StartLongJobLate(5, Millis(3500)).empty());
+  cluster.Kill(first);
+  cluster.Cancel(other, 5);
+  cluster.RunFor(Millis(8000));
+  BOOST_TEST(cluster.cancelled(5));
+  BOOST_TEST(!cluster.Runs(5));
   // At most the start that the next leader ordered before it received the
   // cancel.
-  BOOST_TEST(cell.upstreams().starts() <= 1);
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.upstreams().starts() <= 1);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A cancel is acknowledged, and the leader fails before its stop arrives. The
 /// next leader must load the cancel from the store and stop the run.
 BOOST_AUTO_TEST_CASE(CancelSurvivesLeaderFailure) {
-  SlowCell cell;
-  const std::string at = cell.StartLongJob(6);
+  SlowCluster cluster;
+  const std::string at = cluster.StartLongJob(6);
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).drop_stops = 1;
-  const std::string first = cell.Leader();
-  cell.Cancel(first, 6);
-  for (int i = 0; i < 100 && !cell.cancelled(6); ++i) cell.RunFor(Millis(1));
-  BOOST_REQUIRE(cell.cancelled(6));
-  cell.Kill(first);
-  BOOST_TEST(cell.StopsWithin(6, Millis(3900)));
-  cell.RunFor(Millis(6000));
-  BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.Violations().empty());
+  cluster.faults(at).drop_stops = 1;
+  const std::string first = cluster.Leader();
+  cluster.Cancel(first, 6);
+  for (int i = 0; i < 100 && !cluster.cancelled(6); ++i) {
+    cluster.RunFor(Millis(1));
+  }
+  BOOST_REQUIRE(cluster.cancelled(6));
+  cluster.Kill(first);
+  BOOST_TEST(cluster.StopsWithin(6, Millis(3900)));
+  cluster.RunFor(Millis(6000));
+  BOOST_TEST(cluster.upstreams().starts() == 1);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The specification of a cancelled job is no longer stored after a while. If
 /// an upstream then reports a run of that job, the run must still be stopped.
 BOOST_AUTO_TEST_CASE(RunOfRemovedJobIsStopped) {
-  SlowCell cell;
-  const std::string at = cell.StartLongJob(7);
+  SlowCluster cluster;
+  const std::string at = cluster.StartLongJob(7);
   BOOST_REQUIRE(!at.empty());
-  cell.Cancel(cell.Follower(), 7);
-  cell.RunFor(Millis(20000));
-  const int64_t now =
-      std::chrono::duration_cast<Millis>(cell.clock().now().time_since_epoch())
-          .count();
-  cell.upstreams().Start({.address = "", .id = at},
-                         {.task = {7, 0, 0, 0},
-                          .attempt = int64_t{1} << 40U,
-                          .lease_until_ms = now + kLease.count(),
-                          .fence = cell.upstreams().fence(at)});
-  BOOST_REQUIRE(cell.Runs(7));
-  BOOST_TEST(cell.StopsWithin(7, kLongPollWait + kStopTime + Millis(100)));
-  const std::string counters = cell.Metrics(cell.Leader());
+  cluster.Cancel(cluster.Follower(), 7);
+  cluster.RunFor(Millis(20000));
+  const int64_t now = std::chrono::duration_cast<Millis>(
+                          cluster.clock().now().time_since_epoch())
+                          .count();
+  cluster.upstreams().Start({.address = "", .id = at},
+                            {.task = {7, 0, 0, 0},
+                             .attempt = int64_t{1} << 40U,
+                             .lease_until_ms = now + kLease.count(),
+                             .fence = cluster.upstreams().fence(at)});
+  BOOST_REQUIRE(cluster.Runs(7));
+  BOOST_TEST(cluster.StopsWithin(7, kLongPollWait + kStopTime + Millis(100)));
+  const std::string counters = cluster.Metrics(cluster.Leader());
   BOOST_TEST(counters.find("unasked_runs{why=\"job cancelled\"} 1\n") !=
              std::string::npos);
 }
@@ -390,57 +392,57 @@
 /// A job is cancelled while it waits for free capacity. No task of it may start
 /// when capacity becomes free, nor under the next leader.
 BOOST_AUTO_TEST_CASE(JobCancelledBeforeItsStartNeverRuns) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({8, 0, 0, 0}).run_time = Millis(3000);
-  cell.Submit("entry-0", OneStepJob(8, 1, 8000));
-  cell.RunFor(Millis(100));
-  cell.Submit("entry-0", OneStepJob(9, 1, 8000));
-  cell.RunFor(Millis(100));
-  cell.Cancel("entry-1", 9);
-  cell.RunFor(Millis(100));
-  BOOST_REQUIRE(cell.cancelled(9));
-  cell.RunFor(Millis(4000));
-  BOOST_TEST(!cell.upstreams().HasRun(9));
-  cell.Kill(cell.Leader());
-  cell.RunFor(Millis(4000));
-  BOOST_TEST(!cell.upstreams().HasRun(9));
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({8, 0, 0, 0}).run_time = Millis(3000);
+  cluster.Submit("entry-0", OneStepJob(8, 1, 8000));
+  cluster.RunFor(Millis(100));
+  cluster.Submit("entry-0", OneStepJob(9, 1, 8000));
+  cluster.RunFor(Millis(100));
+  cluster.Cancel("entry-1", 9);
+  cluster.RunFor(Millis(100));
+  BOOST_REQUIRE(cluster.cancelled(9));
+  cluster.RunFor(Millis(4000));
+  BOOST_TEST(!cluster.upstreams().HasRun(9));
+  cluster.Kill(cluster.Leader());
+  cluster.RunFor(Millis(4000));
+  BOOST_TEST(!cluster.upstreams().HasRun(9));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// An upstream leaves the upstream list while it runs a task, and the leader
 /// fails. The next leader must know the upstream from the stored upstream
 /// records and stop the run.
 BOOST_AUTO_TEST_CASE(RunOnUnlistedUpstreamIsStopped) {
-  SlowCell cell;
-  const std::string at = cell.StartLongJob(10);
+  SlowCluster cluster;
+  const std::string at = cluster.StartLongJob(10);
   BOOST_REQUIRE(!at.empty());
-  cell.store().Put(kUpstreamTable, at, "");
-  cell.RunFor(Millis(500));
-  const std::string other = cell.Follower();
-  cell.Kill(cell.Leader());
-  cell.Cancel(other, 10);
-  BOOST_TEST(cell.StopsWithin(10, Millis(3900)));
-  BOOST_TEST(cell.cancelled(10));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.store().Put(kUpstreamTable, at, "");
+  cluster.RunFor(Millis(500));
+  const std::string other = cluster.Follower();
+  cluster.Kill(cluster.Leader());
+  cluster.Cancel(other, 10);
+  BOOST_TEST(cluster.StopsWithin(10, Millis(3900)));
+  BOOST_TEST(cluster.cancelled(10));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// One task of a job fails too often, and the stop of the other task is lost.
 /// The job is reported as failed, and its remaining run must be stopped
 /// nevertheless.
 BOOST_AUTO_TEST_CASE(RemainingTasksOfFailedJobAreStopped) {
-  SlowCell cell;
-  cell.upstreams().behavior({11, 0, 0, 0}).run_time = Millis(20000);
-  cell.upstreams().behavior({11, 0, 0, 1}) = {.run_time = Millis(100),
-                                              .failing_runs = 9};
-  cell.Submit(cell.Follower(), OneStepJob(11, 2, 1000));
-  cell.RunFor(Millis(50));
-  const std::string at = cell.upstreams().UpstreamRunning({11, 0, 0, 0});
+  SlowCluster cluster;
+  cluster.upstreams().behavior({11, 0, 0, 0}).run_time = Millis(20000);
+  cluster.upstreams().behavior({11, 0, 0, 1}) = {.run_time = Millis(100),
+                                                 .failing_runs = 9};
+  cluster.Submit(cluster.Follower(), OneStepJob(11, 2, 1000));
+  cluster.RunFor(Millis(50));
+  const std::string at = cluster.upstreams().UpstreamRunning({11, 0, 0, 0});
   BOOST_REQUIRE(!at.empty());
-  cell.faults(at).drop_stops = 1;
-  BOOST_REQUIRE(cell.RunUntilFinal(11, Millis(6000)));
-  BOOST_TEST((cell.State(11) == JobState::kFailed));
-  BOOST_TEST(cell.StopsWithin(11, Millis(2900)));
+  cluster.faults(at).drop_stops = 1;
+  BOOST_REQUIRE(cluster.RunUntilFinal(11, Millis(6000)));
+  BOOST_TEST((cluster.State(11) == JobState::kFailed));
+  BOOST_TEST(cluster.StopsWithin(11, Millis(2900)));
 }
 
 /// Guards against a leader that steps down when the list entry of an upstream
@@ -449,30 +451,30 @@
 /// reconnected with its first fencing token, it would be refused and conclude
 /// that another entry leads.
 BOOST_AUTO_TEST_CASE(ReturningUpstreamDoesNotDeposeLeader) {
-  SlowCell cell;
-  for (const auto& id : cell.upstreams().ids()) {
-    cell.faults(id).drop_start_replies = 1;
+  SlowCluster cluster;
+  for (const auto& id : cluster.upstreams().ids()) {
+    cluster.faults(id).drop_start_replies = 1;
   }
-  const std::string at = cell.StartLongJob(12);
+  const std::string at = cluster.StartLongJob(12);
   BOOST_REQUIRE(!at.empty());
-  for (const auto& id : cell.upstreams().ids()) {
-    cell.faults(id).drop_start_replies = 0;
+  for (const auto& id : cluster.upstreams().ids()) {
+    cluster.faults(id).drop_start_replies = 0;
   }
-  cell.RunFor(Millis(2000));
-  cell.Cancel(cell.Follower(), 12);
-  cell.RunFor(Millis(2000));
-  const std::string leader = cell.Leader();
-  const int64_t term = cell.entry(leader)->leadership().term();
-  const std::string record = cell.store().Records(kUpstreamTable).at(at);
-  cell.store().Put(kUpstreamTable, at, "");
-  cell.faults(at).unreachable = true;
-  cell.RunFor(Millis(7000));
-  cell.faults(at).unreachable = false;
-  cell.store().Put(kUpstreamTable, at, record);
-  cell.RunFor(Millis(4000));
-  BOOST_TEST(cell.Leader() == leader);
-  BOOST_TEST(cell.entry(leader)->leadership().term() == term);
-  BOOST_TEST(cell.Violations().empty());
+  cluster.RunFor(Millis(2000));
+  cluster.Cancel(cluster.Follower(), 12);
+  cluster.RunFor(Millis(2000));
+  const std::string leader = cluster.Leader();
+  const int64_t term = cluster.entry(leader)->leadership().term();
+  const std::string record = cluster.store().Records(kUpstreamTable).at(at);
+  cluster.store().Put(kUpstreamTable, at, "");
+  cluster.faults(at).unreachable = true;
+  cluster.RunFor(Millis(7000));
+  cluster.faults(at).unreachable = false;
+  cluster.store().Put(kUpstreamTable, at, record);
+  cluster.RunFor(Millis(4000));
+  BOOST_TEST(cluster.Leader() == leader);
+  BOOST_TEST(cluster.entry(leader)->leadership().term() == term);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against a cancel that is answered "no such job" while the job runs
@@ -480,23 +482,23 @@
 /// paused. It resumes with outdated state after another entry has become the
 /// leader and accepted the job.
 BOOST_AUTO_TEST_CASE(FormerLeaderDoesNotReportJobAsUnknown) {
-  SlowCell cell;
-  const std::string paused = cell.Leader();
+  SlowCluster cluster;
+  const std::string paused = cluster.Leader();
   // The successor's announcement is lost.
-  cell.SetIsolated(paused, true);
-  cell.Pause(paused);
-  for (int i = 0; i < 400 && cell.Leader().empty(); ++i) {
-    cell.RunFor(Millis(10));
+  cluster.SetIsolated(paused, true);
+  cluster.Pause(paused);
+  for (int i = 0; i < 400 && cluster.Leader().empty(); ++i) {
+    cluster.RunFor(Millis(10));
   }
-  BOOST_REQUIRE(cell.Leader() != paused);
-  BOOST_REQUIRE(!cell.StartLongJob(13).empty());
-  cell.SetIsolated(paused, false);
-  cell.Resume(paused);
-  cell.Cancel(paused, 13);
-  cell.RunFor(Millis(4500));
-  BOOST_TEST(cell.cancelled(13));
-  BOOST_TEST(!cell.Runs(13));
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_REQUIRE(cluster.Leader() != paused);
+  BOOST_REQUIRE(!cluster.StartLongJob(13).empty());
+  cluster.SetIsolated(paused, false);
+  cluster.Resume(paused);
+  cluster.Cancel(paused, 13);
+  cluster.RunFor(Millis(4500));
+  BOOST_TEST(cluster.cancelled(13));
+  BOOST_TEST(!cluster.Runs(13));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against a cancel that is answered "no such job" although the job has
@@ -504,16 +506,16 @@
 /// job at one entry and cancels it at another at the same time, and the cancel
 /// arrives first.
 BOOST_AUTO_TEST_CASE(CancelConcurrentWithSubmitIsNotReportedAsUnknown) {
-  SlowCell cell;
-  cell.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
-  cell.Cancel(cell.Follower(), 14);
-  cell.RunFor(Millis(2));
-  cell.Submit(cell.Leader(), OneStepJob(14, 1, 1000));
-  cell.RunFor(Millis(4500));
-  BOOST_TEST(cell.accepted(14));
-  BOOST_TEST(cell.cancelled(14));
-  BOOST_TEST(!cell.Runs(14));
-  BOOST_TEST(cell.Violations().empty());
+  SlowCluster cluster;
+  cluster.upstreams().behavior({14, 0, 0, 0}).run_time = Millis(20000);
+  cluster.Cancel(cluster.Follower(), 14);
+  cluster.RunFor(Millis(2));
+  cluster.Submit(cluster.Leader(), OneStepJob(14, 1, 1000));
+  cluster.RunFor(Millis(4500));
+  BOOST_TEST(cluster.accepted(14));
+  BOOST_TEST(cluster.cancelled(14));
+  BOOST_TEST(!cluster.Runs(14));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against a job that waits forever although an upstream is idle. A
@@ -521,24 +523,24 @@
 /// whose end has been reported meanwhile. The leader must not reserve the
 /// resources of that task again.
 BOOST_AUTO_TEST_CASE(OutdatedRenewReplyHoldsNoCapacity) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(Millis(2000));
-  UpstreamFaults& faults = cell.upstreams().faults("up-0");
-  cell.upstreams().behavior({15, 0, 0, 0}).run_time = Millis(1700);
-  cell.upstreams().behavior({16, 0, 0, 0}).run_time = Millis(2000);
-  cell.Submit("entry-0", OneStepJob(15, 1, 4000));
-  cell.RunFor(Millis(1400));
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(Millis(2000));
+  UpstreamFaults& faults = cluster.upstreams().faults("up-0");
+  cluster.upstreams().behavior({15, 0, 0, 0}).run_time = Millis(1700);
+  cluster.upstreams().behavior({16, 0, 0, 0}).run_time = Millis(2000);
+  cluster.Submit("entry-0", OneStepJob(15, 1, 4000));
+  cluster.RunFor(Millis(1400));
   faults.delayed_renew_replies = 1;
   // The start of the second job is in doubt after 0.7 s, and a second renewal
   // is sent.
   faults.drop_start_replies = 1;
-  cell.Submit("entry-0", OneStepJob(16, 1, 1000));
-  cell.RunFor(Millis(3000));
-  cell.Submit("entry-0", OneStepJob(17, 1, 6000));
-  BOOST_TEST(cell.RunUntilFinal(17, Millis(5000)));
-  const std::string counters = cell.Metrics(cell.Leader());
+  cluster.Submit("entry-0", OneStepJob(16, 1, 1000));
+  cluster.RunFor(Millis(3000));
+  cluster.Submit("entry-0", OneStepJob(17, 1, 6000));
+  BOOST_TEST(cluster.RunUntilFinal(17, Millis(5000)));
+  const std::string counters = cluster.Metrics(cluster.Leader());
   BOOST_TEST(counters.find("unasked_runs") == std::string::npos);
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/job_durability_test.cc
+++ b/tests/job_durability_test.cc
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "src/coordinator/job_table.h"
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 #include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
@@ -64,8 +64,8 @@
 }
 
 /// A job answered as accepted is stored, so that any later leader finds it.
-void CheckStored(JobCell& cell, JobId id) {
-  const auto& records = cell.store().Records(kJobTable);
+void CheckStored(JobCluster& cluster, JobId id) {
+  const auto& records = cluster.store().Records(kJobTable);
   const bool stored = records.count(coordinator::SpecKey(id)) > 0 ||
                       records.count(coordinator::ProgressKey(id)) > 0;
   BOOST_CHECK_MESSAGE(stored, "accepted but not stored: " << JobIdText(id));
@@ -73,8 +73,8 @@
 
 /// Each call gets exactly one answer in time, unless the process of its entry
 /// ended first. An answer may be late if that process was paused.
-void CheckOneAnswerEach(const JobCell& cell) {
-  for (const CallerCall& call : cell.calls()) {
+void CheckOneAnswerEach(const JobCluster& cluster) {
+  for (const CallerCall& call : cluster.calls()) {
     const bool expected = !call.connection_lost;
     BOOST_CHECK_MESSAGE(call.answers <= 1,
                         "answered more than once: " << CallText(call));
@@ -88,16 +88,16 @@
 
 /// No entry answers "no such job" to a cancel that was sent after the job had
 /// been accepted.
-void CheckNoneReportedUnknown(const JobCell& cell) {
+void CheckNoneReportedUnknown(const JobCluster& cluster) {
   std::map<JobId, TimePoint> accepted_at;
-  for (const CallerCall& call : cell.calls()) {
+  for (const CallerCall& call : cluster.calls()) {
     const bool confirmed =
         call.answers > 0 && call.verdict == JobVerdict::kConfirmed;
     if (call.kind != CallKind::kSubmit || !confirmed) continue;
     const auto [at, fresh] = accepted_at.emplace(call.job, call.ended);
     if (!fresh) at->second = std::min(at->second, call.ended);
   }
-  for (const CallerCall& call : cell.calls()) {
+  for (const CallerCall& call : cluster.calls()) {
     if (call.kind != CallKind::kCancel || call.answers == 0) continue;
     if (call.verdict != JobVerdict::kNoSuchJob) continue;
     const auto at = accepted_at.find(call.job);
@@ -111,25 +111,25 @@
 /// Answer of each entry on the state of each job.
 using JobAnswers = std::map<std::pair<std::string, JobId>, jobentry::JobAnswer>;
 
-std::shared_ptr<JobAnswers> AskAll(JobCell& cell, const std::set<JobId>& jobs,
-                                   Millis wait) {
+std::shared_ptr<JobAnswers> AskAll(JobCluster& cluster,
+                                   const std::set<JobId>& jobs, Millis wait) {
   // Shared, because an entry may answer after this function has returned.
   auto answers_by_entry = std::make_shared<JobAnswers>();
-  for (const std::string& name : cell.names()) {
+  for (const std::string& name : cluster.names()) {
     for (const JobId id : jobs) {
-      cell.QueryState(name, id,
-                      [answers_by_entry, name, id](jobentry::JobAnswer answer) {
-                        (*answers_by_entry)[{name, id}] = answer;
-                      });
+      cluster.QueryState(
+          name, id, [answers_by_entry, name, id](jobentry::JobAnswer answer) {
+            (*answers_by_entry)[{name, id}] = answer;
+          });
     }
   }
-  cell.RunFor(wait);
+  cluster.RunFor(wait);
   return answers_by_entry;
 }
 
-bool AllFinal(JobCell& cell, const std::set<JobId>& jobs) {
-  const auto answers_by_entry = AskAll(cell, jobs, kPollInterval);
-  return answers_by_entry->size() == jobs.size() * cell.names().size() &&
+bool AllFinal(JobCluster& cluster, const std::set<JobId>& jobs) {
+  const auto answers_by_entry = AskAll(cluster, jobs, kPollInterval);
+  return answers_by_entry->size() == jobs.size() * cluster.names().size() &&
          std::all_of(answers_by_entry->begin(), answers_by_entry->end(),
                      [](const auto& row) {
                        return row.second.verdict == JobVerdict::kConfirmed &&
@@ -138,10 +138,10 @@
 }
 
 /// Every entry knows each of the jobs and reports it as final.
-void CheckAllFound(JobCell& cell, const std::set<JobId>& jobs,
+void CheckAllFound(JobCluster& cluster, const std::set<JobId>& jobs,
                    const std::string& when) {
-  const auto answers_by_entry = AskAll(cell, jobs, kAnswerLimit);
-  for (const std::string& name : cell.names()) {
+  const auto answers_by_entry = AskAll(cluster, jobs, kAnswerLimit);
+  for (const std::string& name : cluster.names()) {
     for (const JobId id : jobs) {
       const std::string what = JobIdText(id) + " at " + name + " " + when;
       const auto answer = answers_by_entry->find({name, id});
@@ -158,12 +158,12 @@
                           "accepted but never finished: " << what);
       const bool wrong = answer->second.state != JobState::kComplete &&
                          !(answer->second.state == JobState::kCancelled &&
-                           cell.cancel_called(id));
+                           cluster.cancel_called(id));
       BOOST_CHECK_MESSAGE(
           !wrong, "ended without a cause as "
                       << kJobStateNames.Name(answer->second.state) << ": "
                       << what);
-      const bool ran = cell.upstreams().DoneRuns({id, 0, 0, 0}) > 0;
+      const bool ran = cluster.upstreams().DoneRuns({id, 0, 0, 0}) > 0;
       BOOST_CHECK_MESSAGE(ran || answer->second.state != JobState::kComplete,
                           "complete without a run: " << what);
     }
@@ -171,11 +171,11 @@
 }
 
 /// Jobs that were acknowledged to a caller as accepted or as cancelled.
-std::set<JobId> Accepted(const JobCell& cell) {
+std::set<JobId> Accepted(const JobCluster& cluster) {
   std::set<JobId> out;
-  for (const CallerCall& call : cell.calls()) {
+  for (const CallerCall& call : cluster.calls()) {
     const bool acknowledged =
-        cell.accepted(call.job) || cell.cancelled(call.job);
+        cluster.accepted(call.job) || cluster.cancelled(call.job);
     if (acknowledged) out.insert(call.job);
   }
   return out;
@@ -184,28 +184,28 @@
 /// Checks the guarantees given to callers after all faults have ended: first
 /// with the running entries, then after a restart of all entries, from the
 /// stored state alone.
-void CheckInvariants(JobCell& cell) {
-  for (const std::string& name : cell.names()) {
-    if (cell.entry(name) == nullptr) cell.Restart(name);
-  }
-  cell.RunFor(kStartupTime);
-  const std::set<JobId> jobs = Accepted(cell);
-  const TimePoint until = cell.clock().now() + kRecoveryTime;
-  while (cell.clock().now() < until && !AllFinal(cell, jobs)) {
-    cell.RunFor(kPollInterval);
-  }
-  CheckAllFound(cell, jobs, "after recovery");
-  CheckOneAnswerEach(cell);
-  CheckNoneReportedUnknown(cell);
-  for (const std::string& name : cell.names()) cell.Restart(name);
-  cell.RunFor(kStartupTime);
-  CheckAllFound(cell, jobs, "after a restart of all entries");
-  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
+void CheckInvariants(JobCluster& cluster) {
+  for (const std::string& name : cluster.names()) {
+    if (cluster.entry(name) == nullptr) cluster.Restart(name);
+  }
+  cluster.RunFor(kStartupTime);
+  const std::set<JobId> jobs = Accepted(cluster);
+  const TimePoint until = cluster.clock().now() + kRecoveryTime;
+  while (cluster.clock().now() < until && !AllFinal(cluster, jobs)) {
+    cluster.RunFor(kPollInterval);
+  }
+  CheckAllFound(cluster, jobs, "after recovery");
+  CheckOneAnswerEach(cluster);
+  CheckNoneReportedUnknown(cluster);
+  for (const std::string& name : cluster.names()) cluster.Restart(name);
+  cluster.RunFor(kStartupTime);
+  CheckAllFound(cluster, jobs, "after a restart of all entries");
+  for (const std::string& what : cluster.Violations()) BOOST_ERROR(what);
 }
 
-std::string AnyFollower(JobCell& cell, const std::string& leader) {
-  for (const std::string& name : cell.names()) {
-    if (name != leader && cell.entry(name) != nullptr) return name;
+std::string AnyFollower(JobCluster& cluster, const std::string& leader) {
+  for (const std::string& name : cluster.names()) {
+    if (name != leader && cluster.entry(name) != nullptr) return name;
   }
   return {};
 }
@@ -229,11 +229,11 @@
 class FaultScenario {
  public:
   explicit FaultScenario(uint64_t seed) : random_(seed) {
-    cell_.store().Seed(seed + 1);
+    cluster_.store().Seed(seed + 1);
   }
 
   void Play() {
-    cell_.RunFor(kStartupTime);
+    cluster_.RunFor(kStartupTime);
     if (Chance(50)) SlowDownStore();
     constexpr int kSteps = 80;
     for (int i = 0; i < kSteps; ++i) {
@@ -245,7 +245,7 @@
     // Callers continue until each of them knows the outcome of its job.
     constexpr int kLastSteps = 20;
     for (int i = 0; i < kLastSteps; ++i) RunCallersFor(Millis(200));
-    CheckInvariants(cell_);
+    CheckInvariants(cluster_);
     CheckCancels();
     CheckReportedUnknown();
     AddToTotals();
@@ -255,7 +255,7 @@
   /// A job of one caller, with the state of its submission.
   struct SubmittedJob {
     wire::JobSpec spec;
-    /// Index of its latest call among the calls of the cell.
+    /// Index of its latest call among the calls of the cluster.
     size_t call = 0;
     TimePoint retry_at{};
     bool resolved = false;
@@ -264,17 +264,17 @@
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
   std::string RandomEntry() {
-    const auto names = cell_.names();
+    const auto names = cluster_.names();
     return names[Pick(names.size())];
   }
-  TimePoint Now() { return cell_.clock().now(); }
+  TimePoint Now() { return cluster_.clock().now(); }
 
   void SubmitJobs(uint64_t count) {
     for (uint64_t i = 0; i < count; ++i) {
       const JobId id = 0xace0000 + submitted_jobs_.size();
       SubmittedJob job;
       job.spec = OneStepJob(id, 1, kMillicores);
-      cell_.upstreams().behavior({id, 0, 0, 0}).run_time =
+      cluster_.upstreams().behavior({id, 0, 0, 0}).run_time =
           Millis(50 + Pick(600));
       submitted_jobs_.push_back(job);
       SendSubmit(submitted_jobs_.back());
@@ -282,10 +282,10 @@
   }
 
   void SendSubmit(SubmittedJob& job) {
-    job.call = cell_.calls().size();
+    job.call = cluster_.calls().size();
     job.retry_at = {};
     reported_unknown_.erase(static_cast<JobId>(job.spec.id));
-    cell_.Submit(RandomEntry(), job.spec);
+    cluster_.Submit(RandomEntry(), job.spec);
   }
 
   /// Advances the time while callers process their answers.
@@ -293,9 +293,9 @@
     const TimePoint until = Now() + span;
     constexpr Millis kStep{25};
     while (Now() < until) {
-      cell_.RunFor(kStep);
-      if (cell_.store().faults().append_latency > kUsualLatency) {
-        cell_.upstreams().RecordFault();
+      cluster_.RunFor(kStep);
+      if (cluster_.store().faults().append_latency > kUsualLatency) {
+        cluster_.upstreams().RecordFault();
       }
       for (SubmittedJob& job : submitted_jobs_) ProcessAnswer(job);
       RecordCancelled();
@@ -310,7 +310,7 @@
       return;
     }
     if (job.resolved) return;
-    const CallerCall& call = cell_.calls()[job.call];
+    const CallerCall& call = cluster_.calls()[job.call];
     const bool timed_out =
         call.answers == 0 && Now() - call.sent > kCallerTimeout;
     const bool unknown =
@@ -325,7 +325,7 @@
   void HandleVerdict(SubmittedJob& job, JobVerdict verdict) {
     job.resolved = true;
     const bool confirmed = verdict == JobVerdict::kConfirmed;
-    if (confirmed) CheckStored(cell_, static_cast<JobId>(job.spec.id));
+    if (confirmed) CheckStored(cluster_, static_cast<JobId>(job.spec.id));
     // The caller repeats an accepted job seconds after the answer, or retries a
     // refused one.
     if (confirmed && Chance(10)) job.retry_at = Now() + Millis(Pick(5000));
@@ -337,7 +337,7 @@
   void Resubmit(SubmittedJob& job) {
     const auto id = static_cast<JobId>(job.spec.id);
     const bool ran_although_refused =
-        cell_.refused(id) && cell_.upstreams().HasRun(id);
+        cluster_.refused(id) && cluster_.upstreams().HasRun(id);
     BOOST_CHECK_MESSAGE(!ran_although_refused,
                         "refused but ran: " << JobIdText(id));
     SendSubmit(job);
@@ -353,14 +353,14 @@
 
   void CancelRandomJob() {
     const SubmittedJob& job = submitted_jobs_[Pick(submitted_jobs_.size())];
-    cancels_.push_back(cell_.calls().size());
-    cell_.Cancel(RandomEntry(), static_cast<JobId>(job.spec.id));
+    cancels_.push_back(cluster_.calls().size());
+    cluster_.Cancel(RandomEntry(), static_cast<JobId>(job.spec.id));
   }
 
   /// Whether a call that submits the job may have taken effect after the given
   /// cancel was answered.
   bool SubmitMayTakeEffectAfter(size_t cancel) const {
-    const auto& calls = cell_.calls();
+    const auto& calls = cluster_.calls();
     const JobId id = calls[cancel].job;
     for (size_t i = 0; i < calls.size(); ++i) {
       const CallerCall& call = calls[i];
@@ -375,12 +375,12 @@
   /// start until it is submitted again.
   void RecordReportedUnknown() {
     std::erase_if(cancels_, [this](size_t at) {
-      const CallerCall& call = cell_.calls()[at];
+      const CallerCall& call = cluster_.calls()[at];
       if (call.answers == 0) return call.connection_lost;
       const bool reported_unknown = call.verdict == JobVerdict::kNoSuchJob;
       if (reported_unknown && !SubmitMayTakeEffectAfter(at)) {
         reported_unknown_[call.job] =
-            cell_.upstreams().Starts({call.job, 0, 0, 0});
+            cluster_.upstreams().Starts({call.job, 0, 0, 0});
       }
       return true;
     });
@@ -390,7 +390,7 @@
     totals.reported_unknown += static_cast<int64_t>(reported_unknown_.size());
     for (const auto& [id, starts] : reported_unknown_) {
       BOOST_CHECK_MESSAGE(
-          cell_.upstreams().Starts({id, 0, 0, 0}) == starts,
+          cluster_.upstreams().Starts({id, 0, 0, 0}) == starts,
           "reported unknown on cancel but started: " << JobIdText(id));
     }
   }
@@ -400,9 +400,9 @@
   void RecordCancelled() {
     for (const SubmittedJob& job : submitted_jobs_) {
       const auto id = static_cast<JobId>(job.spec.id);
-      if (!cell_.cancelled(id)) continue;
+      if (!cluster_.cancelled(id)) continue;
       if (!acknowledged_cancels_.insert(id).second) continue;
-      if (cell_.upstreams().DoneRuns({id, 0, 0, 0}) > 0) continue;
+      if (cluster_.upstreams().DoneRuns({id, 0, 0, 0}) > 0) continue;
       cancelled_before_completion_.insert(id);
     }
   }
@@ -410,7 +410,7 @@
   void CheckCancels() {
     for (const JobId id : cancelled_before_completion_) {
       BOOST_CHECK_MESSAGE(
-          cell_.State(id) == JobState::kCancelled,
+          cluster_.State(id) == JobState::kCancelled,
           "acknowledged as cancelled but is not: " << JobIdText(id));
     }
   }
@@ -419,27 +419,27 @@
     ++totals.scenarios;
     for (const SubmittedJob& job : submitted_jobs_) {
       const auto id = static_cast<JobId>(job.spec.id);
-      totals.accepted += cell_.accepted(id) ? 1 : 0;
-      totals.refused += cell_.refused(id) ? 1 : 0;
+      totals.accepted += cluster_.accepted(id) ? 1 : 0;
+      totals.refused += cluster_.refused(id) ? 1 : 0;
     }
-    for (const CallerCall& call : cell_.calls()) {
+    for (const CallerCall& call : cluster_.calls()) {
       totals.connection_lost += call.connection_lost ? 1 : 0;
       totals.repeats += call.kind == CallKind::kSubmit ? 1 : 0;
     }
     totals.repeats -= static_cast<int64_t>(submitted_jobs_.size());
     totals.cancelled +=
         static_cast<int64_t>(cancelled_before_completion_.size());
-    totals.terms += cell_.entry(cell_.Leader())->leadership().term();
-    totals.out_of_order += cell_.store().out_of_order();
+    totals.terms += cluster_.entry(cluster_.Leader())->leadership().term();
+    totals.out_of_order += cluster_.store().out_of_order();
   }
 
   void Restart(const std::string& name) {
     stopping_.erase(name);
-    cell_.Restart(name);
+    cluster_.Restart(name);
   }
 
   void RestartLater(const std::string& name, Millis after) {
-    cell_.clock().At(Now() + after, [this, name] {
+    cluster_.clock().At(Now() + after, [this, name] {
       if (!healed_) Restart(name);
     });
   }
@@ -449,20 +449,20 @@
     switch (Pick(5)) {
       case 0:
       case 1:
-        cell_.Kill(name);
+        cluster_.Kill(name);
         return RestartLater(name, Millis(100 + Pick(2000)));
       case 2:
-        cell_.Pause(name);
-        return cell_.clock().At(Now() + Millis(300 + Pick(4000)),
-                                [this, name] { cell_.Resume(name); });
+        cluster_.Pause(name);
+        return cluster_.clock().At(Now() + Millis(300 + Pick(4000)),
+                                   [this, name] { cluster_.Resume(name); });
       case 3:
-        cell_.SetIsolated(name, true);
-        return cell_.clock().At(Now() + Millis(300 + Pick(3000)), [this, name] {
-          cell_.SetIsolated(name, false);
-        });
+        cluster_.SetIsolated(name, true);
+        return cluster_.clock().At(
+            Now() + Millis(300 + Pick(3000)),
+            [this, name] { cluster_.SetIsolated(name, false); });
       default:
-        if (cell_.entry(name) == nullptr) return;
-        cell_.entry(name)->BeginShutdown();
+        if (cluster_.entry(name) == nullptr) return;
+        cluster_.entry(name)->BeginShutdown();
         stopping_.insert(name);
         RestartLater(name, kShutdownTime);
     }
@@ -470,10 +470,10 @@
 
   std::string AwaitLeader() {
     const TimePoint until = Now() + kLeaderWaitLimit;
-    while (cell_.Leader().empty() && Now() < until) {
-      cell_.RunFor(kLeaderPollInterval);
+    while (cluster_.Leader().empty() && Now() < until) {
+      cluster_.RunFor(kLeaderPollInterval);
     }
-    return cell_.Leader();
+    return cluster_.Leader();
   }
 
   /// Each successive leader loses leadership before or just after it has loaded
@@ -483,41 +483,41 @@
     for (uint64_t i = 0; i < times; ++i) {
       const std::string leader = AwaitLeader();
       if (leader.empty()) return;
-      cell_.RunFor(Millis(Pick(120)));
+      cluster_.RunFor(Millis(Pick(120)));
       Depose(leader);
       SubmitJobs(Pick(3));
     }
   }
 
   void RestartAll() {
-    for (const std::string& name : cell_.names()) cell_.Kill(name);
-    cell_.RunFor(Millis(300 + Pick(1200)));
-    for (const std::string& name : cell_.names()) Restart(name);
-    cell_.RunFor(Millis(Pick(800)));
+    for (const std::string& name : cluster_.names()) cluster_.Kill(name);
+    cluster_.RunFor(Millis(300 + Pick(1200)));
+    for (const std::string& name : cluster_.names()) Restart(name);
+    cluster_.RunFor(Millis(Pick(800)));
     ResubmitAllAtOnce();
     if (!Chance(50)) return;
     AwaitLeader();
-    cell_.RunFor(Millis(Pick(100)));
+    cluster_.RunFor(Millis(Pick(100)));
     ResubmitAllAtOnce();
   }
 
   void SlowDownStore() {
-    StoreFaults& store = cell_.store().faults();
+    StoreFaults& store = cluster_.store().faults();
     store.append_latency = Millis(60 + Pick(Chance(30) ? 940 : 240));
     store.jitter = Millis(150 + Pick(500));
     store.refused_percent = Chance(30) ? Pick(30) : 0;
   }
 
   void RestoreStoreSpeed() {
-    StoreFaults& store = cell_.store().faults();
+    StoreFaults& store = cluster_.store().faults();
     store.append_latency = kUsualLatency;
     store.jitter = Millis(0);
     store.refused_percent = 0;
   }
 
   void InjectFault() {
-    StoreFaults& store = cell_.store().faults();
-    const std::string leader = cell_.Leader();
+    StoreFaults& store = cluster_.store().faults();
+    const std::string leader = cluster_.Leader();
     switch (Pick(13)) {
       case 0:
       case 1:
@@ -553,19 +553,19 @@
 
   void Heal() {
     healed_ = true;
-    cell_.store().faults() = {};
-    for (const std::string& name : cell_.names()) {
-      cell_.Resume(name);
-      cell_.SetIsolated(name, false);
+    cluster_.store().faults() = {};
+    for (const std::string& name : cluster_.names()) {
+      cluster_.Resume(name);
+      cluster_.SetIsolated(name, false);
       const bool stops = stopping_.count(name) > 0;
-      if (stops || cell_.entry(name) == nullptr) Restart(name);
+      if (stops || cluster_.entry(name) == nullptr) Restart(name);
     }
   }
 
   static constexpr Millis kUsualLatency{4};
 
   std::mt19937_64 random_;
-  JobCell cell_{{}};
+  JobCluster cluster_{{}};
   std::vector<SubmittedJob> submitted_jobs_;
   std::set<JobId> acknowledged_cancels_;
   std::set<JobId> cancelled_before_completion_;
@@ -579,28 +579,29 @@
 };
 
 /// Submits a job at a follower every 20 ms.
-void SubmitJobsFor(JobCell& cell, JobId first, Millis span, Millis run_time) {
+void SubmitJobsFor(JobCluster& cluster, JobId first, Millis span,
+                   Millis run_time) {
   constexpr Millis kGap{20};
-  const std::string entry = AnyFollower(cell, cell.Leader());
+  const std::string entry = AnyFollower(cluster, cluster.Leader());
   for (Millis passed{0}; passed < span; passed += kGap) {
-    cell.upstreams().behavior({first, 0, 0, 0}).run_time = run_time;
-    cell.Submit(entry, OneStepJob(first++, 1, kMillicores));
-    cell.RunFor(kGap);
+    cluster.upstreams().behavior({first, 0, 0, 0}).run_time = run_time;
+    cluster.Submit(entry, OneStepJob(first++, 1, kMillicores));
+    cluster.RunFor(kGap);
   }
 }
 
-void AwaitLeader(JobCell& cell) {
-  const TimePoint until = cell.clock().now() + kLeaderWaitLimit;
-  while (cell.Leader().empty() && cell.clock().now() < until) {
-    cell.RunFor(kLeaderPollInterval);
+void AwaitLeader(JobCluster& cluster) {
+  const TimePoint until = cluster.clock().now() + kLeaderWaitLimit;
+  while (cluster.Leader().empty() && cluster.clock().now() < until) {
+    cluster.RunFor(kLeaderPollInterval);
   }
-  BOOST_REQUIRE(!cell.Leader().empty());
+  BOOST_REQUIRE(!cluster.Leader().empty());
 }
 
 /// Kills the leader and waits for the next one, which may still be loading.
-void ReplaceLeader(JobCell& cell) {
-  cell.Kill(cell.Leader());
-  AwaitLeader(cell);
+void ReplaceLeader(JobCluster& cluster) {
+  cluster.Kill(cluster.Leader());
+  AwaitLeader(cluster);
 }
 
 }  // namespace
@@ -640,44 +641,44 @@
 BOOST_AUTO_TEST_CASE(OvertakenFirstAppendOfTermLosesNoAcceptedJob) {
   constexpr Millis kUsualDelay{75};
   constexpr Millis kLongDelay{700};
-  JobCell cell({});
-  cell.RunFor(kStartupTime);
-  StoreFaults& store = cell.store().faults();
+  JobCluster cluster({});
+  cluster.RunFor(kStartupTime);
+  StoreFaults& store = cluster.store().faults();
   store.append_latency = 2 * kUsualDelay;
-  cell.Kill(cell.Leader());
+  cluster.Kill(cluster.Leader());
   store.append_request_delays[kJobTable] = {kUsualDelay, kLongDelay,
                                             kUsualDelay};
-  AwaitLeader(cell);
-  SubmitJobsFor(cell, 0xfa0000, Millis(2000), Millis(5000));
+  AwaitLeader(cluster);
+  SubmitJobsFor(cluster, 0xfa0000, Millis(2000), Millis(5000));
   store = {};
-  const std::set<JobId> accepted = Accepted(cell);
+  const std::set<JobId> accepted = Accepted(cluster);
   BOOST_TEST(!accepted.empty());
-  for (const JobId id : accepted) CheckStored(cell, id);
+  for (const JobId id : accepted) CheckStored(cluster, id);
   // State held only in this leader's memory is lost with it.
-  ReplaceLeader(cell);
-  CheckInvariants(cell);
+  ReplaceLeader(cluster);
+  CheckInvariants(cluster);
 }
 
 /// Guards against a second run or a missing answer when a leader dies after
 /// storing a job and before answering its caller.
 BOOST_AUTO_TEST_CASE(JobStoredByDyingLeaderIsAccepted) {
   constexpr JobId kJob = 0xfb0000;
-  JobCell cell({});
-  cell.RunFor(kStartupTime);
-  cell.store().faults().append_latency = Millis(400);
-  cell.Submit(AnyFollower(cell, cell.Leader()),
-              OneStepJob(kJob, 1, kMillicores));
+  JobCluster cluster({});
+  cluster.RunFor(kStartupTime);
+  cluster.store().faults().append_latency = Millis(400);
+  cluster.Submit(AnyFollower(cluster, cluster.Leader()),
+                 OneStepJob(kJob, 1, kMillicores));
   const std::string key = coordinator::SpecKey(kJob);
-  while (cell.store().Records(kJobTable).count(key) == 0) {
-    cell.RunFor(kLeaderPollInterval);
-  }
-  BOOST_REQUIRE(!cell.accepted(kJob));
-  ReplaceLeader(cell);
-  cell.store().faults() = {};
-  cell.RunFor(kStartupTime);
-  BOOST_TEST(cell.accepted(kJob));
-  CheckInvariants(cell);
-  BOOST_TEST(cell.upstreams().Starts({kJob, 0, 0, 0}) == 1);
+  while (cluster.store().Records(kJobTable).count(key) == 0) {
+    cluster.RunFor(kLeaderPollInterval);
+  }
+  BOOST_REQUIRE(!cluster.accepted(kJob));
+  ReplaceLeader(cluster);
+  cluster.store().faults() = {};
+  cluster.RunFor(kStartupTime);
+  BOOST_TEST(cluster.accepted(kJob));
+  CheckInvariants(cluster);
+  BOOST_TEST(cluster.upstreams().Starts({kJob, 0, 0, 0}) == 1);
 }
 
 /// Guards against losing accepted jobs when a leader is killed or paused while
@@ -686,32 +687,32 @@
   constexpr Millis kPauseTime{4000};
   for (const bool resumes : {false, true}) {
     BOOST_TEST_CONTEXT((resumes ? "paused" : "killed")) {
-      JobCell cell({});
-      cell.RunFor(kStartupTime);
-      SubmitJobsFor(cell, 0xfc0000, Millis(400), Millis(5000));
-      const size_t before = Accepted(cell).size();
+      JobCluster cluster({});
+      cluster.RunFor(kStartupTime);
+      SubmitJobsFor(cluster, 0xfc0000, Millis(400), Millis(5000));
+      const size_t before = Accepted(cluster).size();
       BOOST_REQUIRE(before > 0U);
-      cell.store().faults().append_latency = Millis(400);
-      ReplaceLeader(cell);
-      const std::string second = cell.Leader();
-      cell.RunFor(Millis(100));
-      BOOST_REQUIRE(!cell.entry(second)->leadership().leader_ready());
+      cluster.store().faults().append_latency = Millis(400);
+      ReplaceLeader(cluster);
+      const std::string second = cluster.Leader();
+      cluster.RunFor(Millis(100));
+      BOOST_REQUIRE(!cluster.entry(second)->leadership().leader_ready());
       if (resumes) {
-        cell.Pause(second);
-        cell.RunFor(Millis(1));
+        cluster.Pause(second);
+        cluster.RunFor(Millis(1));
       } else {
-        cell.Kill(second);
+        cluster.Kill(second);
       }
-      AwaitLeader(cell);
-      const std::string third = cell.Leader();
+      AwaitLeader(cluster);
+      const std::string third = cluster.Leader();
       BOOST_REQUIRE(third != second);
-      SubmitJobsFor(cell, 0xfd0000, Millis(600), Millis(200));
-      cell.RunFor(kPauseTime);
-      cell.Resume(second);
-      cell.store().faults() = {};
-      cell.RunFor(kStartupTime);
-      BOOST_TEST(Accepted(cell).size() > before);
-      CheckInvariants(cell);
+      SubmitJobsFor(cluster, 0xfd0000, Millis(600), Millis(200));
+      cluster.RunFor(kPauseTime);
+      cluster.Resume(second);
+      cluster.store().faults() = {};
+      cluster.RunFor(kStartupTime);
+      BOOST_TEST(Accepted(cluster).size() > before);
+      CheckInvariants(cluster);
     }
   }
 }
@@ -724,34 +725,36 @@
                      delay_ms, resumes) {
   constexpr JobId kRepeatedJob = 0xfe0000;
   constexpr JobId kCancelledJob = 0xfe0001;
-  JobCell cell({});
-  cell.RunFor(kStartupTime);
-  const std::string first = cell.Leader();
-  const std::string entry = AnyFollower(cell, first);
+  JobCluster cluster({});
+  cluster.RunFor(kStartupTime);
+  const std::string first = cluster.Leader();
+  const std::string entry = AnyFollower(cluster, first);
   const wire::JobSpec repeated_job = OneStepJob(kRepeatedJob, 1, kMillicores);
   const wire::JobSpec cancelled_job = OneStepJob(kCancelledJob, 1, kMillicores);
-  cell.upstreams().behavior({kCancelledJob, 0, 0, 0}).run_time = Millis(9000);
-  cell.store().faults().append_request_delays[kJobTable] = {Millis(delay_ms)};
-  cell.Submit(first, repeated_job);
-  cell.Submit(first, cancelled_job);
-  cell.RunFor(Millis(100));
-  resumes ? cell.Pause(first) : cell.Kill(first);
-  cell.RunFor(Millis(1));
-  AwaitLeader(cell);
-  BOOST_REQUIRE(cell.Leader() != first);
-  cell.Submit(entry, repeated_job);
-  cell.Submit(entry, cancelled_job);
-  cell.RunFor(Millis(800));
-  BOOST_TEST(cell.accepted(kRepeatedJob));
-  BOOST_TEST(cell.accepted(kCancelledJob));
-  cell.Cancel(entry, kCancelledJob);
-  cell.RunFor(Millis(delay_ms));
-  BOOST_TEST(cell.cancelled(kCancelledJob));
-  cell.Resume(first);
-  cell.RunFor(kStartupTime);
-  CheckInvariants(cell);
-  BOOST_TEST((cell.State(kCancelledJob) == JobState::kCancelled));
-  BOOST_TEST(cell.upstreams().Starts({kRepeatedJob, 0, 0, 0}) == 1);
+  cluster.upstreams().behavior({kCancelledJob, 0, 0, 0}).run_time =
+      Millis(9000);
+  cluster.store().faults().append_request_delays[kJobTable] = {
+      Millis(delay_ms)};
+  cluster.Submit(first, repeated_job);
+  cluster.Submit(first, cancelled_job);
+  cluster.RunFor(Millis(100));
+  resumes ? cluster.Pause(first) : cluster.Kill(first);
+  cluster.RunFor(Millis(1));
+  AwaitLeader(cluster);
+  BOOST_REQUIRE(cluster.Leader() != first);
+  cluster.Submit(entry, repeated_job);
+  cluster.Submit(entry, cancelled_job);
+  cluster.RunFor(Millis(800));
+  BOOST_TEST(cluster.accepted(kRepeatedJob));
+  BOOST_TEST(cluster.accepted(kCancelledJob));
+  cluster.Cancel(entry, kCancelledJob);
+  cluster.RunFor(Millis(delay_ms));
+  BOOST_TEST(cluster.cancelled(kCancelledJob));
+  cluster.Resume(first);
+  cluster.RunFor(kStartupTime);
+  CheckInvariants(cluster);
+  BOOST_TEST((cluster.State(kCancelledJob) == JobState::kCancelled));
+  BOOST_TEST(cluster.upstreams().Starts({kRepeatedJob, 0, 0, 0}) == 1);
 }
 
 /// Guards against a job that is answered "no such job" because its record was
@@ -760,28 +763,28 @@
                      boost::unit_test::data::xrange(1000, 1600, 20), delay_ms) {
   constexpr JobId kJob = 0xff0000;
   constexpr Millis kFenceDelay{150};
-  JobCell cell({});
-  cell.RunFor(kStartupTime);
-  const std::string first = cell.Leader();
-  cell.upstreams().behavior({kJob, 0, 0, 0}).run_time = Millis(9000);
-  cell.store().faults().append_request_delays[kJobTable] = {Millis(delay_ms),
-                                                            kFenceDelay};
-  cell.Submit(first, OneStepJob(kJob, 1, kMillicores));
-  cell.RunFor(Millis(30));
-  cell.Pause(first);
-  cell.RunFor(Millis(1));
-  AwaitLeader(cell);
-  BOOST_REQUIRE(cell.Leader() != first);
-  cell.RunFor(kStartupTime);
-  cell.Cancel(cell.Leader(), kJob);
-  cell.RunFor(kStartupTime);
-  const JobVerdict verdict = cell.calls().back().verdict;
+  JobCluster cluster({});
+  cluster.RunFor(kStartupTime);
+  const std::string first = cluster.Leader();
+  cluster.upstreams().behavior({kJob, 0, 0, 0}).run_time = Millis(9000);
+  cluster.store().faults().append_request_delays[kJobTable] = {Millis(delay_ms),
+                                                               kFenceDelay};
+  cluster.Submit(first, OneStepJob(kJob, 1, kMillicores));
+  cluster.RunFor(Millis(30));
+  cluster.Pause(first);
+  cluster.RunFor(Millis(1));
+  AwaitLeader(cluster);
+  BOOST_REQUIRE(cluster.Leader() != first);
+  cluster.RunFor(kStartupTime);
+  cluster.Cancel(cluster.Leader(), kJob);
+  cluster.RunFor(kStartupTime);
+  const JobVerdict verdict = cluster.calls().back().verdict;
   BOOST_TEST(
       (verdict == JobVerdict::kConfirmed || verdict == JobVerdict::kNoSuchJob));
-  const int starts = cell.upstreams().Starts({kJob, 0, 0, 0});
-  cell.Kill(first);
-  CheckInvariants(cell);
-  BOOST_TEST(cell.upstreams().Starts({kJob, 0, 0, 0}) == starts);
+  const int starts = cluster.upstreams().Starts({kJob, 0, 0, 0});
+  cluster.Kill(first);
+  CheckInvariants(cluster);
+  BOOST_TEST(cluster.upstreams().Starts({kJob, 0, 0, 0}) == starts);
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/job_fault_injection_test.cc
+++ b/tests/job_fault_injection_test.cc
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 #include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
@@ -39,15 +39,15 @@
   explicit FaultSchedule(uint64_t seed) : random_(seed) {}
 
   void Play() {
-    cell_.RunFor(Millis(2000));
+    cluster_.RunFor(Millis(2000));
     constexpr int kSteps = 60;
     for (int i = 0; i < kSteps; ++i) {
       SubmitRandomJob();
       if (Chance(35)) InjectFault();
-      cell_.RunFor(Millis(50 + Pick(400)));
+      cluster_.RunFor(Millis(50 + Pick(400)));
     }
     Heal();
-    cell_.RunFor(Millis(25000));
+    cluster_.RunFor(Millis(25000));
     Check();
   }
 
@@ -56,11 +56,11 @@
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
 
   std::string RandomEntry() {
-    const auto names = cell_.names();
+    const auto names = cluster_.names();
     return names[Pick(names.size())];
   }
   std::string RandomUpstream() {
-    const auto ids = cell_.upstreams().ids();
+    const auto ids = cluster_.upstreams().ids();
     return ids[Pick(ids.size())];
   }
 
@@ -80,83 +80,83 @@
     }
     for (int32_t s = 0; s < static_cast<int32_t>(spec.steps.size()); ++s) {
       for (int32_t i = 0; i < spec.steps[static_cast<size_t>(s)].tasks; ++i) {
-        auto& behavior = cell_.upstreams().behavior({id, 0, s, i});
+        auto& behavior = cluster_.upstreams().behavior({id, 0, s, i});
         behavior.run_time = Millis(100 + Pick(1500));
         behavior.failing_runs = Chance(4) ? 1 : 0;
       }
     }
     jobs_.push_back(id);
-    cell_.Submit(RandomEntry(), spec);
+    cluster_.Submit(RandomEntry(), spec);
     // The caller may resend the job to another entry.
-    if (Chance(20)) cell_.Submit(RandomEntry(), spec);
-    if (Chance(8)) cell_.Cancel(RandomEntry(), jobs_[Pick(jobs_.size())]);
+    if (Chance(20)) cluster_.Submit(RandomEntry(), spec);
+    if (Chance(8)) cluster_.Cancel(RandomEntry(), jobs_[Pick(jobs_.size())]);
   }
 
   void InjectFault() {
-    const std::string leader = cell_.Leader();
+    const std::string leader = cluster_.Leader();
     const std::string entry =
         Chance(50) && !leader.empty() ? leader : RandomEntry();
     switch (Pick(10)) {
       case 0:
-        return cell_.Restart(entry);
+        return cluster_.Restart(entry);
       case 1:
-        return cell_.Pause(entry);
+        return cluster_.Pause(entry);
       case 2:
-        for (const auto& name : cell_.names()) cell_.Resume(name);
+        for (const auto& name : cluster_.names()) cluster_.Resume(name);
         return;
       case 3:
-        return cell_.SetIsolated(entry, Chance(60));
+        return cluster_.SetIsolated(entry, Chance(60));
       case 4:
-        cell_.store().faults().down = Chance(50);
+        cluster_.store().faults().down = Chance(50);
         return;
       case 5:
         if (Chance(60)) {
-          cell_.store().faults().partitioned_entries.insert(entry);
+          cluster_.store().faults().partitioned_entries.insert(entry);
         } else {
-          cell_.store().faults().partitioned_entries.clear();
+          cluster_.store().faults().partitioned_entries.clear();
         }
         return;
       case 6:
-        cell_.store().faults().drop_replies = static_cast<int>(Pick(4));
-        cell_.store().faults().delayed_appends = static_cast<int>(Pick(2));
+        cluster_.store().faults().drop_replies = static_cast<int>(Pick(4));
+        cluster_.store().faults().delayed_appends = static_cast<int>(Pick(2));
         return;
       case 7:
-        cell_.store().DropHistory();
+        cluster_.store().DropHistory();
         return;
       case 8:
-        cell_.upstreams().faults(RandomUpstream()).drop_start_replies = 2;
-        cell_.upstreams().faults(RandomUpstream()).delayed_starts = 1;
+        cluster_.upstreams().faults(RandomUpstream()).drop_start_replies = 2;
+        cluster_.upstreams().faults(RandomUpstream()).delayed_starts = 1;
         return;
       default:
-        cell_.upstreams().faults(RandomUpstream()).unreachable = Chance(50);
+        cluster_.upstreams().faults(RandomUpstream()).unreachable = Chance(50);
     }
   }
 
   void Heal() {
-    for (const auto& name : cell_.names()) {
-      cell_.Resume(name);
-      cell_.SetIsolated(name, false);
+    for (const auto& name : cluster_.names()) {
+      cluster_.Resume(name);
+      cluster_.SetIsolated(name, false);
     }
-    cell_.store().faults() = {};
-    for (const auto& id : cell_.upstreams().ids()) {
-      cell_.upstreams().faults(id) = {};
+    cluster_.store().faults() = {};
+    for (const auto& id : cluster_.upstreams().ids()) {
+      cluster_.upstreams().faults(id) = {};
     }
   }
 
   void Check() {
-    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
+    for (const std::string& what : cluster_.Violations()) BOOST_ERROR(what);
     for (const JobId id : jobs_) {
-      if (!cell_.accepted(id)) continue;
-      const auto state = cell_.State(id);
+      if (!cluster_.accepted(id)) continue;
+      const auto state = cluster_.State(id);
       BOOST_CHECK_MESSAGE(state.has_value(),
                           "accepted but unknown: " << JobIdText(id));
       if (!state) continue;
       BOOST_CHECK_MESSAGE(IsFinal(*state),
                           "accepted but never finished: " << JobIdText(id));
-      if (cell_.cancelled(id) || *state != JobState::kComplete) continue;
+      if (cluster_.cancelled(id) || *state != JobState::kComplete) continue;
       int done = 0;
       for (int32_t i = 0; i < 4; ++i) {
-        done += cell_.upstreams().DoneRuns({id, 0, 0, i});
+        done += cluster_.upstreams().DoneRuns({id, 0, 0, i});
       }
       BOOST_CHECK_MESSAGE(done > 0,
                           "complete without a run: " << JobIdText(id));
@@ -164,7 +164,7 @@
   }
 
   std::mt19937_64 random_;
-  JobCell cell_{{}};
+  JobCluster cluster_{{}};
   std::vector<JobId> jobs_;
 };
 
@@ -176,19 +176,19 @@
   explicit RollingShutdown(uint64_t seed) : random_(seed) {}
 
   void Play() {
-    cell_.RunFor(Millis(2000));
-    for (const std::string& name : cell_.names()) {
+    cluster_.RunFor(Millis(2000));
+    for (const std::string& name : cluster_.names()) {
       BeginStop(name);
       RunFor(Millis(500 + Pick(3000)));
     }
     RunFor(kShutdownTime);
-    cell_.store().faults() = {};
-    for (const auto& name : cell_.names()) cell_.SetIsolated(name, false);
-    cell_.RunFor(Millis(25000));
-    for (const std::string& what : cell_.Violations()) BOOST_ERROR(what);
+    cluster_.store().faults() = {};
+    for (const auto& name : cluster_.names()) cluster_.SetIsolated(name, false);
+    cluster_.RunFor(Millis(25000));
+    for (const std::string& what : cluster_.Violations()) BOOST_ERROR(what);
     for (const JobId id : jobs_) {
-      if (!cell_.accepted(id)) continue;
-      const auto state = cell_.State(id);
+      if (!cluster_.accepted(id)) continue;
+      const auto state = cluster_.State(id);
       BOOST_CHECK_MESSAGE(state && IsFinal(*state),
                           "accepted but never finished: " << JobIdText(id));
     }
@@ -208,75 +208,76 @@
   uint64_t Pick(uint64_t below) { return random_() % below; }
 
   void BeginStop(const std::string& name) {
-    cell_.entry(name)->BeginShutdown();
-    stopping_[name].since = cell_.clock().now();
+    cluster_.entry(name)->BeginShutdown();
+    stopping_[name].since = cluster_.clock().now();
   }
 
   void RunFor(Millis span) {
     for (Millis passed{0}; passed < span; passed += kGap) {
-      for (const std::string& name : cell_.names()) SubmitAt(name);
+      for (const std::string& name : cluster_.names()) SubmitAt(name);
       if (Pick(100) < 12) InjectFault();
-      cell_.RunFor(kGap);
+      cluster_.RunFor(kGap);
       EndProcesses();
     }
   }
 
   void SubmitAt(const std::string& name) {
     const auto stopping = stopping_.find(name);
-    const TimePoint now = cell_.clock().now();
+    const TimePoint now = cluster_.clock().now();
     if (stopping != stopping_.end() &&
         now - stopping->second.since >= kIntakeTime) {
       return;  // the entry accepts no more calls
     }
     const JobId id = 0xdef0000 + jobs_.size();
     jobs_.push_back(id);
-    cell_.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(20 + Pick(100));
-    cell_.Submit(name, OneStepJob(id, 1, 500));
+    cluster_.upstreams().behavior({id, 0, 0, 0}).run_time =
+        Millis(20 + Pick(100));
+    cluster_.Submit(name, OneStepJob(id, 1, 500));
     if (stopping != stopping_.end()) stopping->second.submitted.push_back(id);
     if (Pick(100) >= 15) return;
     // No job is cancelled at two entries.
     const JobId other = jobs_[Pick(jobs_.size())];
     if (!cancelled_.insert(other).second) return;
-    cell_.Cancel(name, other);
+    cluster_.Cancel(name, other);
     if (stopping != stopping_.end()) {
       stopping->second.cancelled.push_back(other);
     }
   }
 
   void EndProcesses() {
-    const TimePoint now = cell_.clock().now();
+    const TimePoint now = cluster_.clock().now();
     for (auto at = stopping_.begin(); at != stopping_.end();) {
       if (now - at->second.since < kShutdownTime) {
         ++at;
         continue;
       }
       for (const JobId id : at->second.submitted) {
-        BOOST_CHECK_MESSAGE(cell_.answered(id),
+        BOOST_CHECK_MESSAGE(cluster_.answered(id),
                             "process ended with an open call: "
                                 << JobIdText(id) << " at " << at->first);
       }
       for (const JobId id : at->second.cancelled) {
-        BOOST_CHECK_MESSAGE(cell_.cancel_answered(id),
+        BOOST_CHECK_MESSAGE(cluster_.cancel_answered(id),
                             "process ended with an open cancel: "
                                 << JobIdText(id) << " at " << at->first);
       }
-      cell_.Restart(at->first);
+      cluster_.Restart(at->first);
       at = stopping_.erase(at);
     }
   }
 
   void InjectFault() {
-    auto& store = cell_.store().faults();
-    const auto names = cell_.names();
+    auto& store = cluster_.store().faults();
+    const auto names = cluster_.names();
     const std::string& random_name = names[Pick(names.size())];
     switch (Pick(5)) {
       case 0:
         store.down = !store.down;
         return;
       case 1:
-        return cell_.SetIsolated(random_name, true);
+        return cluster_.SetIsolated(random_name, true);
       case 2:
-        for (const auto& name : names) cell_.SetIsolated(name, false);
+        for (const auto& name : names) cluster_.SetIsolated(name, false);
         return;
       case 3:
         store.partitioned_entries.insert(random_name);
@@ -287,7 +288,7 @@
   }
 
   std::mt19937_64 random_;
-  JobCell cell_{{.seeds = {"entry-0", "entry-1", "entry-2"}}};
+  JobCluster cluster_{{.seeds = {"entry-0", "entry-1", "entry-2"}}};
   std::vector<JobId> jobs_;
   std::set<JobId> cancelled_;
   std::map<std::string, Stopping> stopping_;
@@ -310,34 +311,34 @@
 /// A caller submits one job. It is stored, runs once and is reported as
 /// complete.
 BOOST_AUTO_TEST_CASE(JobRunsOnceWithoutFaults) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.Submit("entry-1", OneStepJob(7, 3, 1000));
-  cell.RunFor(Millis(200));
-  BOOST_TEST(cell.accepted(7));
-  BOOST_TEST(cell.RunUntilFinal(7, Millis(10000)));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.Submit("entry-1", OneStepJob(7, 3, 1000));
+  cluster.RunFor(Millis(200));
+  BOOST_TEST(cluster.accepted(7));
+  BOOST_TEST(cluster.RunUntilFinal(7, Millis(10000)));
   for (int32_t i = 0; i < 3; ++i) {
-    BOOST_TEST(cell.upstreams().DoneRuns({7, 0, 0, i}) == 1);
+    BOOST_TEST(cluster.upstreams().DoneRuns({7, 0, 0, i}) == 1);
   }
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A job is accepted, then all entries lose power at once and restart with
 /// empty memory. The job must still be known, and its run must continue on its
 /// upstream instead of starting a second time.
 BOOST_AUTO_TEST_CASE(AcceptedJobSurvivesLossOfAllEntries) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({9, 0, 0, 0}).run_time = Millis(3000);
-  cell.Submit("entry-2", OneStepJob(9, 1, 1000));
-  cell.RunFor(Millis(100));
-  BOOST_TEST(cell.accepted(9));
-  for (const auto& name : cell.names()) cell.Kill(name);
-  cell.RunFor(Millis(500));
-  for (const auto& name : cell.names()) cell.Restart(name);
-  BOOST_TEST(cell.RunUntilFinal(9, Millis(12000)));
-  BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({9, 0, 0, 0}).run_time = Millis(3000);
+  cluster.Submit("entry-2", OneStepJob(9, 1, 1000));
+  cluster.RunFor(Millis(100));
+  BOOST_TEST(cluster.accepted(9));
+  for (const auto& name : cluster.names()) cluster.Kill(name);
+  cluster.RunFor(Millis(500));
+  for (const auto& name : cluster.names()) cluster.Restart(name);
+  BOOST_TEST(cluster.RunUntilFinal(9, Millis(12000)));
+  BOOST_TEST(cluster.upstreams().starts() == 1);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A job fails permanently with the second failed run of its task. The leader
@@ -345,60 +346,60 @@
 /// next leader learns of the second failure first and must still count both;
 /// otherwise the task gets a third run.
 BOOST_AUTO_TEST_CASE(FailuresAreCountedInAnyOrderAfterTakeover) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({11, 0, 0, 0}) = {.run_time = Millis(300),
-                                              .failing_runs = 9};
-  cell.Submit("entry-0", OneStepJob(11, 1, 1000));
-  cell.RunFor(Millis(150));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({11, 0, 0, 0}) = {.run_time = Millis(300),
+                                                 .failing_runs = 9};
+  cluster.Submit("entry-0", OneStepJob(11, 1, 1000));
+  cluster.RunFor(Millis(150));
   // From now on the leader stores nothing and continues with its state in
   // memory.
-  cell.store().faults().partitioned_entries.insert(cell.Leader());
-  cell.RunFor(Millis(20000));
-  BOOST_TEST(cell.Violations().empty());
-  const auto state = cell.State(11);
+  cluster.store().faults().partitioned_entries.insert(cluster.Leader());
+  cluster.RunFor(Millis(20000));
+  BOOST_TEST(cluster.Violations().empty());
+  const auto state = cluster.State(11);
   BOOST_TEST(state.has_value());
   BOOST_TEST((state == JobState::kFailed));
-  BOOST_TEST(cell.upstreams().starts() == 2);
+  BOOST_TEST(cluster.upstreams().starts() == 2);
 }
 
 /// An upstream leaves a start unanswered and executes it 2.5 s later. By then
 /// the task runs elsewhere; the late start must be refused because of its fence
 /// token.
 BOOST_AUTO_TEST_CASE(LateStartIsFenced) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  for (const auto& id : cell.upstreams().ids()) {
-    cell.upstreams().faults(id).delayed_starts = 1;
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  for (const auto& id : cluster.upstreams().ids()) {
+    cluster.upstreams().faults(id).delayed_starts = 1;
   }
-  cell.upstreams().behavior({13, 0, 0, 0}).run_time = Millis(4000);
-  cell.Submit("entry-0", OneStepJob(13, 1, 1000));
-  BOOST_TEST(cell.RunUntilFinal(13, Millis(30000)));
-  BOOST_TEST(cell.Violations().empty());
-  BOOST_TEST(cell.upstreams().DoneRuns({13, 0, 0, 0}) == 1);
+  cluster.upstreams().behavior({13, 0, 0, 0}).run_time = Millis(4000);
+  cluster.Submit("entry-0", OneStepJob(13, 1, 1000));
+  BOOST_TEST(cluster.RunUntilFinal(13, Millis(30000)));
+  BOOST_TEST(cluster.Violations().empty());
+  BOOST_TEST(cluster.upstreams().DoneRuns({13, 0, 0, 0}) == 1);
 }
 
 /// The leader is paused for 5 s and resumes while it still considers itself the
 /// leader. Another entry has taken over meanwhile, so no order of the resumed
 /// leader may start a task.
 BOOST_AUTO_TEST_CASE(PausedLeaderStartsNothingAfterResume) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
   for (JobId id = 20; id < 30; ++id) {
-    cell.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(1500);
-    cell.Submit("entry-3", OneStepJob(id, 1, 4000));
+    cluster.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(1500);
+    cluster.Submit("entry-3", OneStepJob(id, 1, 4000));
   }
-  cell.RunFor(Millis(120));
-  const std::string paused = cell.Leader();
-  cell.Pause(paused);
-  cell.RunFor(Millis(5000));
-  BOOST_TEST(cell.Leader() != paused);
-  BOOST_TEST(!cell.Leader().empty());
-  cell.Resume(paused);
+  cluster.RunFor(Millis(120));
+  const std::string paused = cluster.Leader();
+  cluster.Pause(paused);
+  cluster.RunFor(Millis(5000));
+  BOOST_TEST(cluster.Leader() != paused);
+  BOOST_TEST(!cluster.Leader().empty());
+  cluster.Resume(paused);
   for (JobId id = 20; id < 30; ++id) {
-    BOOST_TEST(cell.RunUntilFinal(id, Millis(20000)));
+    BOOST_TEST(cluster.RunUntilFinal(id, Millis(20000)));
   }
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A caller cancels a job and is told that there is no such job, but the job
@@ -406,29 +407,29 @@
 /// next leader accepted the job meanwhile. On resuming, the entry answered from
 /// its outdated state, before it learned that it was no longer the leader.
 BOOST_AUTO_TEST_CASE(ResumedLeaderDoesNotReportJobAsUnknown) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string paused = cell.Leader();
-  cell.Pause(paused);
-  cell.RunFor(Millis(5000));
-  cell.upstreams().behavior({69, 0, 0, 0}).run_time = Millis(9000);
-  cell.Submit(cell.Leader(), OneStepJob(69, 1, 1000));
-  cell.RunFor(Millis(200));
-  BOOST_REQUIRE(cell.accepted(69));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string paused = cluster.Leader();
+  cluster.Pause(paused);
+  cluster.RunFor(Millis(5000));
+  cluster.upstreams().behavior({69, 0, 0, 0}).run_time = Millis(9000);
+  cluster.Submit(cluster.Leader(), OneStepJob(69, 1, 1000));
+  cluster.RunFor(Millis(200));
+  BOOST_REQUIRE(cluster.accepted(69));
   std::vector<coordinator::JobVerdict> verdicts;
   const auto note = [&verdicts](const jobentry::JobAnswer& answer) {
     verdicts.push_back(answer.verdict);
   };
   // Messages that arrived during the pause are read first.
-  cell.entry(paused)->Cancel(69, Millis(3000), note);
-  cell.entry(paused)->State(69, Millis(3000), note);
-  cell.Resume(paused);
-  cell.RunFor(Millis(4000));
+  cluster.entry(paused)->Cancel(69, Millis(3000), note);
+  cluster.entry(paused)->State(69, Millis(3000), note);
+  cluster.Resume(paused);
+  cluster.RunFor(Millis(4000));
   BOOST_REQUIRE_EQUAL(verdicts.size(), 2U);
   for (const auto verdict : verdicts) {
     BOOST_TEST((verdict == coordinator::JobVerdict::kConfirmed));
   }
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The same, but messages that arrived during the pause are read before the
@@ -440,92 +441,92 @@
   constexpr int kPauseOffsets = 210;  // longer than one renewal period
   for (int offset = 0; offset < kPauseOffsets; offset += 3) {
     BOOST_TEST_CONTEXT("paused after " << 2000 + offset << " ms") {
-      JobCell cell({});
-      cell.RunFor(Millis(2000 + offset));
-      const std::string paused = cell.Leader();
-      cell.Pause(paused);
-      cell.RunFor(Millis(600));
-      cell.SetIsolated(paused, true);
-      cell.RunFor(Millis(4400));
-      cell.SetIsolated(paused, false);
-      cell.upstreams().behavior({70, 0, 0, 0}).run_time = Millis(9000);
-      cell.Submit(cell.Leader(), OneStepJob(70, 1, 1000));
-      cell.RunFor(Millis(200));
-      BOOST_REQUIRE(cell.accepted(70));
-      cell.Cancel(paused, 70);
-      cell.RunFor(Millis(1));
-      cell.Resume(paused);
-      cell.RunFor(Millis(4000));
-      BOOST_TEST(cell.cancelled(70));
-      BOOST_TEST(cell.Violations().empty());
+      JobCluster cluster({});
+      cluster.RunFor(Millis(2000 + offset));
+      const std::string paused = cluster.Leader();
+      cluster.Pause(paused);
+      cluster.RunFor(Millis(600));
+      cluster.SetIsolated(paused, true);
+      cluster.RunFor(Millis(4400));
+      cluster.SetIsolated(paused, false);
+      cluster.upstreams().behavior({70, 0, 0, 0}).run_time = Millis(9000);
+      cluster.Submit(cluster.Leader(), OneStepJob(70, 1, 1000));
+      cluster.RunFor(Millis(200));
+      BOOST_REQUIRE(cluster.accepted(70));
+      cluster.Cancel(paused, 70);
+      cluster.RunFor(Millis(1));
+      cluster.Resume(paused);
+      cluster.RunFor(Millis(4000));
+      BOOST_TEST(cluster.cancelled(70));
+      BOOST_TEST(cluster.Violations().empty());
     }
   }
 }
 
 /// Guards against losing accepted jobs when a later append overtakes theirs.
 BOOST_AUTO_TEST_CASE(OvertakenAppendLosesNoAcceptedJob) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.store().faults().append_latency = Millis(200);
-  cell.Kill(cell.Leader());
-  cell.RunFor(Millis(3000));
-  const std::string leader = cell.Leader();
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.store().faults().append_latency = Millis(200);
+  cluster.Kill(cluster.Leader());
+  cluster.RunFor(Millis(3000));
+  const std::string leader = cluster.Leader();
   BOOST_REQUIRE(!leader.empty());
-  cell.store().faults().append_request_delays["jobs"] = {Millis(400),
-                                                         Millis(100)};
+  cluster.store().faults().append_request_delays["jobs"] = {Millis(400),
+                                                            Millis(100)};
   constexpr JobId kJobs = 6;
   for (JobId id = 1; id <= kJobs; ++id) {
     for (int32_t i = 0; i < 2; ++i) {
-      cell.upstreams().behavior({id, 0, 0, i}).run_time = Millis(20000);
+      cluster.upstreams().behavior({id, 0, 0, i}).run_time = Millis(20000);
     }
-    cell.Submit(leader, OneStepJob(id, 2, 1000));
-    cell.RunFor(Millis(60));
+    cluster.Submit(leader, OneStepJob(id, 2, 1000));
+    cluster.RunFor(Millis(60));
   }
-  cell.RunFor(Millis(1500));
-  cell.store().faults().append_latency = Millis(4);
-  cell.Kill(leader);
-  cell.RunFor(Millis(4000));
+  cluster.RunFor(Millis(1500));
+  cluster.store().faults().append_latency = Millis(4);
+  cluster.Kill(leader);
+  cluster.RunFor(Millis(4000));
   for (JobId id = 1; id <= kJobs; ++id) {
-    if (!cell.accepted(id)) continue;
-    BOOST_TEST(cell.State(id).has_value(), "accepted but lost: " << id);
+    if (!cluster.accepted(id)) continue;
+    BOOST_TEST(cluster.State(id).has_value(), "accepted but lost: " << id);
   }
-  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
+  for (const std::string& what : cluster.Violations()) BOOST_ERROR(what);
 }
 
 /// Guards against a job whose record can never be stored blocking all others.
 BOOST_AUTO_TEST_CASE(JobTooLargeForStoreDoesNotBlockOthers) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
   wire::JobSpec large = OneStepJob(1, 1, 1000);
   large.steps[0].data_rack = std::string(300 << 10, 'r');
-  cell.Submit("entry-1", large);
-  cell.RunFor(Millis(100));
-  cell.Submit("entry-2", OneStepJob(2, 1, 1000));
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(cell.refused(1));
-  BOOST_TEST(!cell.upstreams().HasRun(1));
-  BOOST_TEST(cell.accepted(2));
-  BOOST_TEST(cell.RunUntilFinal(2, Millis(3000)));
-  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
+  cluster.Submit("entry-1", large);
+  cluster.RunFor(Millis(100));
+  cluster.Submit("entry-2", OneStepJob(2, 1, 1000));
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(cluster.refused(1));
+  BOOST_TEST(!cluster.upstreams().HasRun(1));
+  BOOST_TEST(cluster.accepted(2));
+  BOOST_TEST(cluster.RunUntilFinal(2, Millis(3000)));
+  for (const std::string& what : cluster.Violations()) BOOST_ERROR(what);
 }
 
 /// The store is unavailable: a new job is refused and must then never run.
 /// Callers get the refusal within the entry's own time limit instead of at
 /// their deadline.
 BOOST_AUTO_TEST_CASE(JobRefusedDuringStoreOutageNeverRuns) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.store().faults().down = true;
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.store().faults().down = true;
   // The leader detects the outage by the first unanswered append.
-  cell.Submit("entry-1", OneStepJob(30, 1, 1000));
-  cell.RunFor(Millis(1000));
-  cell.Submit("entry-1", OneStepJob(31, 1, 1000));
-  cell.RunFor(Millis(1500));
-  BOOST_TEST(cell.refused(31));
-  cell.store().faults().down = false;
-  cell.RunFor(Millis(10000));
-  BOOST_TEST(!cell.upstreams().HasRun(31));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.Submit("entry-1", OneStepJob(30, 1, 1000));
+  cluster.RunFor(Millis(1000));
+  cluster.Submit("entry-1", OneStepJob(31, 1, 1000));
+  cluster.RunFor(Millis(1500));
+  BOOST_TEST(cluster.refused(31));
+  cluster.store().faults().down = false;
+  cluster.RunFor(Millis(10000));
+  BOOST_TEST(!cluster.upstreams().HasRun(31));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The store stops responding. A job submitted shortly afterwards waits behind
@@ -534,22 +535,22 @@
 /// deadline, may be submitted again, and must never run because of the refused
 /// submission alone.
 BOOST_AUTO_TEST_CASE(UnsentJobIsRefusedBeforeItsDeadline) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.store().faults().down = true;
-  cell.Submit("entry-1", OneStepJob(32, 1, 1000));
-  cell.RunFor(Millis(100));
-  cell.Submit("entry-1", OneStepJob(33, 1, 1000));
-  cell.Submit("entry-2", OneStepJob(34, 1, 1000));
-  cell.RunFor(Millis(1300));
-  BOOST_TEST(cell.refused(33));
-  BOOST_TEST(cell.refused(34));
-  cell.store().faults().down = false;
-  cell.RunFor(Millis(2000));
-  cell.Submit("entry-3", OneStepJob(34, 1, 1000));
-  BOOST_TEST(cell.RunUntilFinal(34, Millis(10000)));
-  BOOST_TEST(!cell.upstreams().HasRun(33));
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.store().faults().down = true;
+  cluster.Submit("entry-1", OneStepJob(32, 1, 1000));
+  cluster.RunFor(Millis(100));
+  cluster.Submit("entry-1", OneStepJob(33, 1, 1000));
+  cluster.Submit("entry-2", OneStepJob(34, 1, 1000));
+  cluster.RunFor(Millis(1300));
+  BOOST_TEST(cluster.refused(33));
+  BOOST_TEST(cluster.refused(34));
+  cluster.store().faults().down = false;
+  cluster.RunFor(Millis(2000));
+  cluster.Submit("entry-3", OneStepJob(34, 1, 1000));
+  BOOST_TEST(cluster.RunUntilFinal(34, Millis(10000)));
+  BOOST_TEST(!cluster.upstreams().HasRun(33));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A caller's cancel is never acknowledged although its record is stored: a
@@ -589,16 +590,16 @@
 /// caller saw the connection break. The entry must give a final answer before
 /// it exits.
 BOOST_AUTO_TEST_CASE(StoppingEntryAnswersAllAcceptedCalls) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
   const std::string stopping =
-      cell.Leader() == "entry-0" ? "entry-1" : "entry-0";
-  cell.entry(stopping)->BeginShutdown();
-  cell.RunFor(Millis(3000));
-  cell.SetIsolated(stopping, true);
-  cell.Submit(stopping, OneStepJob(36, 1, 1000));
-  cell.RunFor(Millis(1500));
-  BOOST_TEST(cell.answered(36));
+      cluster.Leader() == "entry-0" ? "entry-1" : "entry-0";
+  cluster.entry(stopping)->BeginShutdown();
+  cluster.RunFor(Millis(3000));
+  cluster.SetIsolated(stopping, true);
+  cluster.Submit(stopping, OneStepJob(36, 1, 1000));
+  cluster.RunFor(Millis(1500));
+  BOOST_TEST(cluster.answered(36));
 }
 
 /// Callers of a stopping entry see their connections close without an answer.
@@ -608,22 +609,22 @@
 /// announcement did not reach it, and it forwarded every later request to
 /// itself.
 BOOST_AUTO_TEST_CASE(StoppingLeaderFindsItsSuccessor) {
-  JobCell cell({.seeds = {"entry-0", "entry-1", "entry-2"}});
-  cell.RunFor(Millis(2000));
-  const std::string stopping = cell.Leader();
-  cell.store().faults().down = true;
-  cell.entry(stopping)->BeginShutdown();
-  cell.RunFor(Millis(1300));
-  cell.SetIsolated(stopping, true);
-  cell.store().faults().down = false;
-  while (cell.Leader().empty()) cell.RunFor(Millis(50));
-  BOOST_REQUIRE(cell.Leader() != stopping);
-  cell.RunFor(Millis(50));
-  cell.SetIsolated(stopping, false);
-  cell.RunFor(Millis(500));
-  cell.Submit(stopping, OneStepJob(61, 1, 1000));
-  cell.RunFor(Millis(500));
-  BOOST_TEST(cell.accepted(61));
+  JobCluster cluster({.seeds = {"entry-0", "entry-1", "entry-2"}});
+  cluster.RunFor(Millis(2000));
+  const std::string stopping = cluster.Leader();
+  cluster.store().faults().down = true;
+  cluster.entry(stopping)->BeginShutdown();
+  cluster.RunFor(Millis(1300));
+  cluster.SetIsolated(stopping, true);
+  cluster.store().faults().down = false;
+  while (cluster.Leader().empty()) cluster.RunFor(Millis(50));
+  BOOST_REQUIRE(cluster.Leader() != stopping);
+  cluster.RunFor(Millis(50));
+  cluster.SetIsolated(stopping, false);
+  cluster.RunFor(Millis(500));
+  cluster.Submit(stopping, OneStepJob(61, 1, 1000));
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(cluster.accepted(61));
 }
 
 /// A caller cancels a job and sees the connection close without an answer. The
@@ -631,37 +632,37 @@
 /// cancel's record was on its way to a slow store. When it lost leadership, it
 /// dropped all callbacks that waited for the record.
 BOOST_AUTO_TEST_CASE(CancelAtResigningLeaderIsAnswered) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string leader = cell.Leader();
-  cell.upstreams().behavior({64, 0, 0, 0}).run_time = Millis(9000);
-  cell.Submit(leader, OneStepJob(64, 1, 1000));
-  cell.RunFor(Millis(500));
-  BOOST_REQUIRE(cell.accepted(64));
-  cell.store().faults().down = true;
-  cell.Cancel(leader, 64);
-  cell.RunFor(Millis(50));
-  cell.entry(leader)->BeginShutdown();
-  cell.RunFor(Millis(5000));
-  BOOST_TEST(cell.cancel_answered(64));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string leader = cluster.Leader();
+  cluster.upstreams().behavior({64, 0, 0, 0}).run_time = Millis(9000);
+  cluster.Submit(leader, OneStepJob(64, 1, 1000));
+  cluster.RunFor(Millis(500));
+  BOOST_REQUIRE(cluster.accepted(64));
+  cluster.store().faults().down = true;
+  cluster.Cancel(leader, 64);
+  cluster.RunFor(Millis(50));
+  cluster.entry(leader)->BeginShutdown();
+  cluster.RunFor(Millis(5000));
+  BOOST_TEST(cluster.cancel_answered(64));
 }
 
 /// A caller cancels a job while the store is unresponsive. The leader kept its
 /// own callers waiting for as long as that lasted, far beyond their deadlines.
 BOOST_AUTO_TEST_CASE(CancelIsAnsweredWithinItsDeadline) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string leader = cell.Leader();
-  cell.upstreams().behavior({66, 0, 0, 0}).run_time = Millis(9000);
-  cell.Submit(leader, OneStepJob(66, 1, 1000));
-  cell.RunFor(Millis(500));
-  cell.store().faults().down = true;
-  for (const auto& name : cell.names()) {
-    if (name != leader) cell.Kill(name);
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string leader = cluster.Leader();
+  cluster.upstreams().behavior({66, 0, 0, 0}).run_time = Millis(9000);
+  cluster.Submit(leader, OneStepJob(66, 1, 1000));
+  cluster.RunFor(Millis(500));
+  cluster.store().faults().down = true;
+  for (const auto& name : cluster.names()) {
+    if (name != leader) cluster.Kill(name);
   }
-  cell.Cancel(leader, 66);
-  cell.RunFor(Millis(4000));
-  BOOST_TEST(cell.cancel_answered(66));
+  cluster.Cancel(leader, 66);
+  cluster.RunFor(Millis(4000));
+  BOOST_TEST(cluster.cancel_answered(66));
 }
 
 /// A stopping entry accepts a job and holds it until it is too late to forward
@@ -669,20 +670,20 @@
 /// entry that may not claim leadership did not search for another leader
 /// either.
 BOOST_AUTO_TEST_CASE(StoppingFollowerFindsNewLeaderAfterLeaderFailure) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string leader = cell.Leader();
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string leader = cluster.Leader();
   const std::string stopping = leader == "entry-0" ? "entry-1" : "entry-0";
-  cell.entry(stopping)->BeginShutdown();
-  cell.SetIsolated(stopping, true);
-  cell.Kill(leader);
-  cell.RunFor(Millis(2000));
-  BOOST_REQUIRE(!cell.Leader().empty());
-  cell.SetIsolated(stopping, false);
-  cell.RunFor(Millis(1000));
-  cell.Submit(stopping, OneStepJob(62, 1, 1000));
-  cell.RunFor(Millis(500));
-  BOOST_TEST(cell.accepted(62));
+  cluster.entry(stopping)->BeginShutdown();
+  cluster.SetIsolated(stopping, true);
+  cluster.Kill(leader);
+  cluster.RunFor(Millis(2000));
+  BOOST_REQUIRE(!cluster.Leader().empty());
+  cluster.SetIsolated(stopping, false);
+  cluster.RunFor(Millis(1000));
+  cluster.Submit(stopping, OneStepJob(62, 1, 1000));
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(cluster.accepted(62));
 }
 
 /// Callers of one entry are refused while it is partitioned from the store,
@@ -694,21 +695,21 @@
 BOOST_AUTO_TEST_CASE(FollowerOfDeadLeaderAsksOtherEntries) {
   for (const bool stopping_entry : {false, true}) {
     BOOST_TEST_CONTEXT((stopping_entry ? "stopping" : "serving")) {
-      JobCell cell({});
-      cell.RunFor(Millis(2000));
-      const std::string leader = cell.Leader();
+      JobCluster cluster({});
+      cluster.RunFor(Millis(2000));
+      const std::string leader = cluster.Leader();
       const std::string follower = leader == "entry-0" ? "entry-1" : "entry-0";
-      if (stopping_entry) cell.entry(follower)->BeginShutdown();
-      cell.store().faults().partitioned_entries.insert(follower);
-      cell.SetIsolated(follower, true);
-      cell.Kill(leader);
-      cell.RunFor(Millis(2000));
-      BOOST_REQUIRE(!cell.Leader().empty());
-      cell.SetIsolated(follower, false);
-      cell.RunFor(Millis(1000));
-      cell.Submit(follower, OneStepJob(67, 1, 1000));
-      cell.RunFor(Millis(500));
-      BOOST_TEST(cell.accepted(67));
+      if (stopping_entry) cluster.entry(follower)->BeginShutdown();
+      cluster.store().faults().partitioned_entries.insert(follower);
+      cluster.SetIsolated(follower, true);
+      cluster.Kill(leader);
+      cluster.RunFor(Millis(2000));
+      BOOST_REQUIRE(!cluster.Leader().empty());
+      cluster.SetIsolated(follower, false);
+      cluster.RunFor(Millis(1000));
+      cluster.Submit(follower, OneStepJob(67, 1, 1000));
+      cluster.RunFor(Millis(500));
+      BOOST_TEST(cluster.accepted(67));
     }
   }
 }
@@ -722,20 +723,20 @@
 BOOST_AUTO_TEST_CASE(FormerLeaderDiscoversItsSuccessor) {
   for (const int upstreams : {6, 0}) {
     BOOST_TEST_CONTEXT(upstreams << " upstreams") {
-      JobCell cell({.upstreams = upstreams});
-      cell.RunFor(Millis(2000));
-      const std::string first = cell.Leader();
-      cell.store().faults().partitioned_entries.insert(first);
-      cell.SetIsolated(first, true);
-      cell.RunFor(Millis(4000));
-      BOOST_REQUIRE(cell.Leader() != first);
-      cell.SetIsolated(first, false);
-      cell.RunFor(Millis(1000));
-      BOOST_TEST(!cell.entry(first)->leadership().leading());
-      cell.Submit(first, OneStepJob(68, 1, 1000));
-      cell.RunFor(Millis(500));
-      BOOST_TEST(cell.accepted(68));
-      BOOST_TEST(cell.Violations().empty());
+      JobCluster cluster({.upstreams = upstreams});
+      cluster.RunFor(Millis(2000));
+      const std::string first = cluster.Leader();
+      cluster.store().faults().partitioned_entries.insert(first);
+      cluster.SetIsolated(first, true);
+      cluster.RunFor(Millis(4000));
+      BOOST_REQUIRE(cluster.Leader() != first);
+      cluster.SetIsolated(first, false);
+      cluster.RunFor(Millis(1000));
+      BOOST_TEST(!cluster.entry(first)->leadership().leading());
+      cluster.Submit(first, OneStepJob(68, 1, 1000));
+      cluster.RunFor(Millis(500));
+      BOOST_TEST(cluster.accepted(68));
+      BOOST_TEST(cluster.Violations().empty());
     }
   }
 }
@@ -745,19 +746,19 @@
 /// entry asked that seed repeatedly and never the next one, and refused its
 /// callers all the while.
 BOOST_AUTO_TEST_CASE(UnreachableSeedIsSkipped) {
-  JobCell cell({.seeds = {"entry-0", "entry-1", "entry-2"}});
-  cell.RunFor(Millis(2000));
-  cell.Kill("entry-0");
-  cell.RunFor(Millis(3000));
-  BOOST_REQUIRE(!cell.Leader().empty());
+  JobCluster cluster({.seeds = {"entry-0", "entry-1", "entry-2"}});
+  cluster.RunFor(Millis(2000));
+  cluster.Kill("entry-0");
+  cluster.RunFor(Millis(3000));
+  BOOST_REQUIRE(!cluster.Leader().empty());
   const std::string started =
-      cell.Leader() == "entry-3" ? "entry-2" : "entry-3";
-  cell.store().faults().partitioned_entries.insert(started);
-  cell.Restart(started);
-  cell.RunFor(Millis(3000));
-  cell.Submit(started, OneStepJob(63, 1, 1000));
-  cell.RunFor(Millis(500));
-  BOOST_TEST(cell.accepted(63));
+      cluster.Leader() == "entry-3" ? "entry-2" : "entry-3";
+  cluster.store().faults().partitioned_entries.insert(started);
+  cluster.Restart(started);
+  cluster.RunFor(Millis(3000));
+  cluster.Submit(started, OneStepJob(63, 1, 1000));
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(cluster.accepted(63));
 }
 
 /// A job starts late while entries are stopped one after another. The leader
@@ -765,10 +766,11 @@
 /// the call open: the shutdown did not wait for advice in flight, and the entry
 /// accepted calls until its process ended. The adviser's work was lost.
 BOOST_AUTO_TEST_CASE(StoppingEntryReturnsAdviceInFlight) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string name = cell.Leader() == "entry-0" ? "entry-1" : "entry-0";
-  jobentry::JobEntry& stopping = *cell.entry(name);
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string name =
+      cluster.Leader() == "entry-0" ? "entry-1" : "entry-0";
+  jobentry::JobEntry& stopping = *cluster.entry(name);
   wire::AdviseCall call;
   call.upstreams = {"up-0"};
   call.timeout_ms = 1000;
@@ -784,7 +786,7 @@
   stopping.OnAdvise(call, note);
   BOOST_REQUIRE_EQUAL(verdicts.size(), 1U);
   BOOST_TEST(verdicts[0] != 0);
-  cell.RunFor(Millis(100));
+  cluster.RunFor(Millis(100));
   BOOST_REQUIRE_EQUAL(verdicts.size(), 2U);
   BOOST_TEST(verdicts[1] == 0);
   BOOST_TEST(stopping.advice_in_flight() == 0);
@@ -794,96 +796,96 @@
 /// moment is not refused: another entry becomes the leader before the caller's
 /// deadline.
 BOOST_AUTO_TEST_CASE(JobIsAcceptedWhenLeaderLosesTheStore) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string first = cell.Leader();
-  cell.store().faults().partitioned_entries.insert(first);
-  cell.RunFor(Millis(600));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string first = cluster.Leader();
+  cluster.store().faults().partitioned_entries.insert(first);
+  cluster.RunFor(Millis(600));
   const std::string other = first == "entry-0" ? "entry-1" : "entry-0";
-  cell.Submit(other, OneStepJob(35, 1, 1000));
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(!cell.refused(35));
-  BOOST_TEST(cell.accepted(35));
-  BOOST_TEST(cell.Leader() != first);
-  BOOST_TEST(cell.RunUntilFinal(35, Millis(10000)));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.Submit(other, OneStepJob(35, 1, 1000));
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(!cluster.refused(35));
+  BOOST_TEST(cluster.accepted(35));
+  BOOST_TEST(cluster.Leader() != first);
+  BOOST_TEST(cluster.RunUntilFinal(35, Millis(10000)));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// One member of a gang fails: the other members are aborted, and the whole
 /// gang restarts with one attempt number, never as a mixture of two attempts.
 BOOST_AUTO_TEST_CASE(FailedGangRestartsAsAWhole) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({40, 0, 0, 1}) = {.run_time = Millis(200),
-                                              .failing_runs = 1};
-  cell.Submit("entry-0", OneStepJob(40, 4, 3000, true));
-  BOOST_TEST(cell.RunUntilFinal(40, Millis(15000)));
-  BOOST_TEST((cell.State(40) == JobState::kComplete));
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({40, 0, 0, 1}) = {.run_time = Millis(200),
+                                                 .failing_runs = 1};
+  cluster.Submit("entry-0", OneStepJob(40, 4, 3000, true));
+  BOOST_TEST(cluster.RunUntilFinal(40, Millis(15000)));
+  BOOST_TEST((cluster.State(40) == JobState::kComplete));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// An upstream dies with a task, and the only sign is that it stops responding.
 /// The task may start elsewhere only once its lease has certainly expired, and
 /// then must.
 BOOST_AUTO_TEST_CASE(TaskOfDeadUpstreamRunsElsewhere) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({50, 0, 0, 0}).run_time = Millis(2000);
-  cell.Submit("entry-0", OneStepJob(50, 1, 1000));
-  cell.RunFor(Millis(300));
-  const std::string at = cell.upstreams().UpstreamRunning({50, 0, 0, 0});
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({50, 0, 0, 0}).run_time = Millis(2000);
+  cluster.Submit("entry-0", OneStepJob(50, 1, 1000));
+  cluster.RunFor(Millis(300));
+  const std::string at = cluster.upstreams().UpstreamRunning({50, 0, 0, 0});
   BOOST_REQUIRE(!at.empty());
-  cell.upstreams().faults(at).terminated = true;
-  cell.RunFor(Millis(3500));
-  BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.RunUntilFinal(50, Millis(15000)));
-  BOOST_TEST(cell.upstreams().starts() == 2);
-  BOOST_TEST(cell.Violations().empty());
+  cluster.upstreams().faults(at).terminated = true;
+  cluster.RunFor(Millis(3500));
+  BOOST_TEST(cluster.upstreams().starts() == 1);
+  BOOST_TEST(cluster.RunUntilFinal(50, Millis(15000)));
+  BOOST_TEST(cluster.upstreams().starts() == 2);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The leader is stopped for maintenance: another entry becomes the leader
 /// within half a second, without waiting for the election timeout.
 BOOST_AUTO_TEST_CASE(ResigningLeaderIsReplacedAtOnce) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string first = cell.Leader();
-  cell.entry(first)->BeginShutdown();
-  cell.RunFor(Millis(500));
-  BOOST_TEST(!cell.Leader().empty());
-  BOOST_TEST(cell.Leader() != first);
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string first = cluster.Leader();
+  cluster.entry(first)->BeginShutdown();
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(!cluster.Leader().empty());
+  BOOST_TEST(cluster.Leader() != first);
 }
 
 /// All machines power on together, and the first process up is on the weakest
 /// machine. As the leader, it took 3 s to load the accepted jobs, and callers
 /// waited. It must hand over leadership as soon as a fitter entry is known.
 BOOST_AUTO_TEST_CASE(LessFitLeaderHandsOver) {
-  JobCell cell(
+  JobCluster cluster(
       {.entries = 3,
        .fitness = {{"entry-0", 12}, {"entry-1", 12}, {"entry-2", 50}}});
-  cell.Kill("entry-2");
-  cell.RunFor(Millis(3000));
-  BOOST_TEST((cell.Leader() == "entry-0" || cell.Leader() == "entry-1"));
-  cell.Submit("entry-1", OneStepJob(60, 1, 1000));
-  cell.Restart("entry-2");
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(cell.Leader() == "entry-2");
-  BOOST_TEST(cell.RunUntilFinal(60, Millis(10000)));
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(cell.Leader() == "entry-2");
-  BOOST_TEST(cell.Violations().empty());
+  cluster.Kill("entry-2");
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST((cluster.Leader() == "entry-0" || cluster.Leader() == "entry-1"));
+  cluster.Submit("entry-1", OneStepJob(60, 1, 1000));
+  cluster.Restart("entry-2");
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(cluster.Leader() == "entry-2");
+  BOOST_TEST(cluster.RunUntilFinal(60, Millis(10000)));
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(cluster.Leader() == "entry-2");
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// If no fitter entry is known, weak entries replace a dead leader at once.
 BOOST_AUTO_TEST_CASE(UnfitEntriesElectLeaderWithoutDelay) {
-  JobCell cell(
+  JobCluster cluster(
       {.entries = 3,
        .fitness = {{"entry-0", 12}, {"entry-1", 12}, {"entry-2", 12}}});
-  cell.RunFor(Millis(4000));
-  const std::string first = cell.Leader();
+  cluster.RunFor(Millis(4000));
+  const std::string first = cluster.Leader();
   BOOST_REQUIRE(!first.empty());
-  cell.Kill(first);
-  cell.RunFor(Millis(1600));
-  BOOST_TEST(!cell.Leader().empty());
+  cluster.Kill(first);
+  cluster.RunFor(Millis(1600));
+  BOOST_TEST(!cluster.Leader().empty());
 }
 
 }  // namespace mimosarail::jobsim
--- a/tests/jobsim/job_cell.cc
+++ b/tests/jobsim/job_cluster.cc
@@ -1,4 +1,4 @@
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 
 #include <algorithm>
 
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-struct JobCell::Process {
-  Process(JobCell& cell, const std::string& name)
-      : executor(cell.clock_),
-        store(cell.store_, executor, name, &cell.Machine(name)),
-        tasks(cell.upstreams_, executor, name),
-        peers(cell, executor, name),
-        hosts(cell.hosts_, executor),
+struct JobCluster::Process {
+  Process(JobCluster& cluster, const std::string& name)
+      : executor(cluster.clock_),
+        store(cluster.store_, executor, name, &cluster.Machine(name)),
+        tasks(cluster.upstreams_, executor, name),
+        peers(cluster, executor, name),
+        hosts(cluster.hosts_, executor),
         entry(std::make_unique<jobentry::JobEntry>(
             jobentry::JobEntry::Dependencies{
                 .executor = executor,
@@ -39,21 +39,21 @@
                 .adviser = tasks,
                 .peers = peers,
                 .metrics = metrics,
-                .hosts = cell.options_.hosts ? &hosts : nullptr,
+                .hosts = cluster.options_.hosts ? &hosts : nullptr,
                 .wave_status = &hosts},
-            Options(name, cell.options_))) {
+            Options(name, cluster.options_))) {
     entry->Start();
   }
 
   static jobentry::JobEntryOptions Options(const std::string& name,
-                                           const CellOptions& cell) {
+                                           const JobClusterOptions& cluster) {
     jobentry::JobEntryOptions out;
     out.leadership.member.name = name;
-    if (cell.fitness.count(name) > 0) {
-      out.leadership.member.fitness = cell.fitness.at(name);
+    if (cluster.fitness.count(name) > 0) {
+      out.leadership.member.fitness = cluster.fitness.at(name);
     }
     out.leadership.member.address = AddressOf(name);
-    for (const std::string& seed : cell.seeds) {
+    for (const std::string& seed : cluster.seeds) {
       out.leadership.seeds.push_back(AddressOf(seed));
     }
     return out;
@@ -68,7 +68,7 @@
   std::unique_ptr<jobentry::JobEntry> entry;
 };
 
-JobCell::JobCell(CellOptions options) : options_(options) {
+JobCluster::JobCluster(JobClusterOptions options) : options_(options) {
   store_.Put(kConfigTable, "config", "1");
   for (int i = 0; i < options_.upstreams; ++i) AddUpstream(i);
   upstreams_.SetReplacement(options_.replacement_delay,
@@ -85,9 +85,9 @@
   CheckPeriodically();
 }
 
-JobCell::~JobCell() = default;
+JobCluster::~JobCluster() = default;
 
-wire::UpstreamRecord JobCell::ListEntry(int number) const {
+wire::UpstreamRecord JobCluster::ListEntry(int number) const {
   const std::string id = "up-" + std::to_string(number);
   wire::UpstreamRecord record;
   record.id = id;
@@ -99,7 +99,7 @@
   return record;
 }
 
-void JobCell::AddUpstream(int number) {
+void JobCluster::AddUpstream(int number) {
   const wire::UpstreamRecord record = ListEntry(number);
   upstreams_.Add(record.id, options_.millicores, options_.memory_mb);
   store_.Put(kUpstreamTable, record.id, rpc::Encode(record));
@@ -107,7 +107,7 @@
   hosts_.Add("host-" + std::to_string(number), record.id, record);
 }
 
-void JobCell::ReplaceUpstream(const std::string& crashed) {
+void JobCluster::ReplaceUpstream(const std::string& crashed) {
   wire::UpstreamRecord record = list_entries_[crashed];
   // The adviser decides by the last digit, so it stays the same.
   record.id =
@@ -118,13 +118,13 @@
   store_.Put(kUpstreamTable, record.id, rpc::Encode(record));
 }
 
-void JobCell::CheckPeriodically() {
+void JobCluster::CheckPeriodically() {
   if (HasActiveFault()) upstreams_.RecordFault();
   upstreams_.CheckCancelled();
   clock_.At(clock_.now() + kCheckInterval, [this] { CheckPeriodically(); });
 }
 
-bool JobCell::HasActiveFault() const {
+bool JobCluster::HasActiveFault() const {
   const StoreFaults& store = store_.faults();
   if (store.down || !store.partitioned_entries.empty() ||
       store.drop_replies > 0 || store.delayed_appends > 0 ||
@@ -139,13 +139,13 @@
   return paused || upstreams_.HasActiveFault();
 }
 
-std::string JobCell::Metrics(const std::string& entry) const {
+std::string JobCluster::Metrics(const std::string& entry) const {
   const auto found = processes_.find(entry);
   if (found == processes_.end() || !found->second) return {};
   return found->second->metrics.Text();
 }
 
-MachineFake& JobCell::Machine(const std::string& entry) {
+MachineFake& JobCluster::Machine(const std::string& entry) {
   auto& machine = machines_[entry];
   if (!machine) {
     machine = std::make_unique<MachineFake>(clock_);
@@ -156,12 +156,12 @@
   return *machine;
 }
 
-void JobCell::Start(const std::string& name) {
+void JobCluster::Start(const std::string& name) {
   upstreams_.RecordFault();
   processes_[name] = std::make_unique<Process>(*this, name);
 }
 
-void JobCell::Kill(const std::string& entry) {
+void JobCluster::Kill(const std::string& entry) {
   auto& process = processes_[entry];
   if (!process) return;
   upstreams_.RecordFault();
@@ -175,12 +175,12 @@
   killed_processes_.push_back(std::move(process));
 }
 
-void JobCell::Restart(const std::string& entry) {
+void JobCluster::Restart(const std::string& entry) {
   Kill(entry);
   Start(entry);
 }
 
-void JobCell::Pause(const std::string& entry) {
+void JobCluster::Pause(const std::string& entry) {
   if (!processes_[entry]) return;
   processes_[entry]->executor.Pause();
   for (CallerCall& call : calls_) {
@@ -188,11 +188,11 @@
   }
 }
 
-void JobCell::Resume(const std::string& entry) {
+void JobCluster::Resume(const std::string& entry) {
   if (processes_[entry]) processes_[entry]->executor.Resume();
 }
 
-void JobCell::SetIsolated(const std::string& entry, bool isolated) {
+void JobCluster::SetIsolated(const std::string& entry, bool isolated) {
   if (isolated) {
     isolated_.insert(entry);
   } else {
@@ -200,8 +200,8 @@
   }
 }
 
-void JobCell::SetPartition(const std::set<std::string>& entries,
-                           const std::set<std::string>& upstreams) {
+void JobCluster::SetPartition(const std::set<std::string>& entries,
+                              const std::set<std::string>& upstreams) {
   for (const std::string& entry : partition_) {
     store_.faults().partitioned_entries.erase(entry);
   }
@@ -212,18 +212,18 @@
   upstreams_.SetPartition(std::move(all));
 }
 
-std::vector<std::string> JobCell::names() const {
+std::vector<std::string> JobCluster::names() const {
   std::vector<std::string> out;
   for (const auto& [name, process] : processes_) out.push_back(name);
   return out;
 }
 
-jobentry::JobEntry* JobCell::entry(const std::string& name) {
+jobentry::JobEntry* JobCluster::entry(const std::string& name) {
   auto& process = processes_[name];
   return process ? process->entry.get() : nullptr;
 }
 
-std::string JobCell::Leader() {
+std::string JobCluster::Leader() {
   std::string leader;
   int64_t term = 0;
   for (const auto& [name, process] : processes_) {
@@ -236,7 +236,8 @@
   return leader;
 }
 
-size_t JobCell::RecordCall(CallKind kind, const std::string& entry, JobId id) {
+size_t JobCluster::RecordCall(CallKind kind, const std::string& entry,
+                              JobId id) {
   const auto& process = processes_[entry];
   calls_.push_back({.kind = kind,
                     .job = id,
@@ -247,13 +248,13 @@
   return calls_.size() - 1;
 }
 
-void JobCell::RecordAnswer(size_t call, coordinator::JobVerdict verdict) {
+void JobCluster::RecordAnswer(size_t call, coordinator::JobVerdict verdict) {
   ++calls_[call].answers;
   calls_[call].ended = clock_.now();
   calls_[call].verdict = verdict;
 }
 
-void JobCell::Submit(const std::string& entry, wire::JobSpec spec) {
+void JobCluster::Submit(const std::string& entry, wire::JobSpec spec) {
   upstreams_.RegisterJob(spec);
   const auto id = static_cast<JobId>(spec.id);
   const size_t call = RecordCall(CallKind::kSubmit, entry, id);
@@ -273,8 +274,8 @@
   });
 }
 
-void JobCell::QueryState(const std::string& entry, JobId id,
-                         std::function<void(jobentry::JobAnswer)> done) {
+void JobCluster::QueryState(const std::string& entry, JobId id,
+                            std::function<void(jobentry::JobAnswer)> done) {
   auto& process = processes_[entry];
   if (!process) return;
   auto* target = process->entry.get();
@@ -283,12 +284,12 @@
   });
 }
 
-bool JobCell::answered(JobId id) const {
+bool JobCluster::answered(JobId id) const {
   const auto found = answers_.find(id);
   return found != answers_.end() && found->second.size() >= submits_.at(id);
 }
 
-bool JobCell::refused(JobId id) const {
+bool JobCluster::refused(JobId id) const {
   // A call whose entry died was not refused: the job may have been accepted.
   if (!answered(id)) return false;
   const auto found = answers_.find(id);
@@ -297,7 +298,7 @@
   });
 }
 
-void JobCell::Cancel(const std::string& entry, JobId id) {
+void JobCluster::Cancel(const std::string& entry, JobId id) {
   const size_t call = RecordCall(CallKind::kCancel, entry, id);
   auto& process = processes_[entry];
   if (!process) return;
@@ -323,14 +324,14 @@
   });
 }
 
-bool JobCell::cancel_answered(JobId id) const {
+bool JobCluster::cancel_answered(JobId id) const {
   const auto called = cancels_.find(id);
   const auto answered = cancel_answers_.find(id);
   return called != cancels_.end() && answered != cancel_answers_.end() &&
          answered->second >= called->second;
 }
 
-std::optional<JobState> JobCell::State(JobId id) {
+std::optional<JobState> JobCluster::State(JobId id) {
   // An answer may arrive after this function has returned.
   struct Query {
     bool answered = false;
@@ -357,7 +358,7 @@
   return std::nullopt;
 }
 
-bool JobCell::RunUntilFinal(JobId id, Millis limit) {
+bool JobCluster::RunUntilFinal(JobId id, Millis limit) {
   const TimePoint until = clock_.now() + limit;
   while (clock_.now() < until) {
     clock_.RunFor(Millis(500));
@@ -367,7 +368,7 @@
   return false;
 }
 
-std::vector<std::string> JobCell::Violations() const {
+std::vector<std::string> JobCluster::Violations() const {
   std::vector<std::string> out = upstreams_.violations();
   out.insert(out.end(), hosts_.violations().begin(), hosts_.violations().end());
   for (const auto& [id, answers] : answers_) {
@@ -403,8 +404,8 @@
     std::function<void(jobentry::JobEntry&, std::function<void(Reply)>)>
         serve) {
   const std::string name = address.substr(0, address.find(':'));
-  const auto found = cell_.processes_.find(name);
-  if (found == cell_.processes_.end() || !found->second) {
+  const auto found = cluster_.processes_.find(name);
+  if (found == cluster_.processes_.end() || !found->second) {
     // No process listens: the connection is refused.
     return executor_.RunAfter(2 * kNetworkDelay, [done] {
       done(Result<Reply>(Errc::kUnavailable, "refused"));
@@ -415,15 +416,18 @@
     if (std::exchange(*answered, true)) return;
     done(Result<Reply>(Errc::kTimeout, "no answer"));
   });
-  if (cell_.isolated_.count(name) > 0 || cell_.isolated_.count(self_) > 0) {
+  if (cluster_.isolated_.count(name) > 0 ||
+      cluster_.isolated_.count(self_) > 0) {
+    return;
+  }
+  if (cluster_.partition_.count(name) != cluster_.partition_.count(self_)) {
     return;
   }
-  if (cell_.partition_.count(name) != cell_.partition_.count(self_)) return;
   auto* process = found->second.get();
-  const Millis way =
-      kNetworkDelay + cell_.peer_latency_[name] + cell_.peer_latency_[self_];
-  MachineFake& caller_machine = cell_.Machine(self_);
-  MachineFake& callee_machine = cell_.Machine(name);
+  const Millis way = kNetworkDelay + cluster_.peer_latency_[name] +
+                     cluster_.peer_latency_[self_];
+  MachineFake& caller_machine = cluster_.Machine(self_);
+  MachineFake& callee_machine = cluster_.Machine(name);
   const auto deliver = [answered, done](const Reply& reply) {
     if (std::exchange(*answered, true)) return;
     done(reply);
--- a/tests/jobsim/job_cell.h
+++ b/tests/jobsim/job_cluster.h
@@ -18,13 +18,13 @@
 
 namespace mimosarail::jobsim {
 
-class JobCell;
+class JobCluster;
 
-/// The client of one entry for the other entries of the cell.
+/// The client of one entry for the other entries of the cluster.
 class EntryClientFake final : public leadership::EntryClientPort {
  public:
-  EntryClientFake(JobCell& cell, Executor& executor, std::string self)
-      : cell_(cell), executor_(executor), self_(std::move(self)) {}
+  EntryClientFake(JobCluster& cluster, Executor& executor, std::string self)
+      : cluster_(cluster), executor_(executor), self_(std::move(self)) {}
 
   void Heartbeat(const std::string& address, const wire::HeartbeatCall& call,
                  Millis timeout, Callback<wire::HeartbeatReply> done) override;
@@ -51,12 +51,12 @@
             std::function<void(jobentry::JobEntry&, std::function<void(Reply)>)>
                 serve);
 
-  JobCell& cell_;
+  JobCluster& cluster_;
   Executor& executor_;
   std::string self_;
 };
 
-struct CellOptions {
+struct JobClusterOptions {
   int entries = 4;
   int upstreams = 6;
   int32_t millicores = 8000;
@@ -97,10 +97,10 @@
 };
 
 /// Complete entry instances over fakes of the platform and a manual clock.
-class JobCell {
+class JobCluster {
  public:
-  explicit JobCell(CellOptions options);
-  ~JobCell();
+  explicit JobCluster(JobClusterOptions options);
+  ~JobCluster();
 
   /// Replaces the entry's process by one without its memory.
   void Restart(const std::string& entry);
@@ -190,7 +190,7 @@
   void CheckPeriodically();
   bool HasActiveFault() const;
 
-  CellOptions options_;
+  JobClusterOptions options_;
   sim::ManualClock clock_;
   StoreFake store_{clock_};
   UpstreamsFake upstreams_{clock_};
@@ -216,7 +216,7 @@
   std::map<JobId, std::vector<coordinator::JobVerdict>> answers_;
 };
 
-/// A job with one step for the cell's only queue.
+/// A job with one step for the cluster's only queue.
 wire::JobSpec OneStepJob(JobId id, int32_t tasks, int32_t millicores,
                          bool gang = false);
 
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -50,8 +50,8 @@
   Millis stop_time{200};
 };
 
-/// All upstreams of a test's cell, with checks of the calls that reach them. A
-/// start that exceeds the capacity is executed and recorded as a violation.
+/// All upstreams of a test's cluster, with checks of the calls that reach them.
+/// A start that exceeds the capacity is executed and recorded as a violation.
 class UpstreamsFake {
  public:
   explicit UpstreamsFake(sim::ManualClock& clock) : clock_(clock) {}
--- a/tests/maintenance_test.cc
+++ b/tests/maintenance_test.cc
@@ -10,7 +10,7 @@
 #include "src/libs/settings/job_settings.h"
 #include "src/maintenance/wave_plan.h"
 #include "src/maintenance/wave_records.h"
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -384,7 +384,7 @@
 
 namespace {
 
-CellOptions WithHosts() { return {.hosts = true}; }
+JobClusterOptions WithHosts() { return {.hosts = true}; }
 
 ports::WaveRequest Wave(int64_t number, Names hosts, size_t max_unavailable,
                         Millis duration = Millis(40000)) {
@@ -397,18 +397,20 @@
 const Names kAllHosts{"host-0", "host-1", "host-2",
                       "host-3", "host-4", "host-5"};
 
-bool RunUntilComplete(JobCell& cell, int64_t wave, Millis limit) {
-  const TimePoint until = cell.clock().now() + limit;
-  while (cell.clock().now() < until) {
-    cell.RunFor(Millis(50));
-    cell.hosts().CheckStatus();
-    if (cell.hosts().Status(wave) == "complete") return true;
+bool RunUntilComplete(JobCluster& cluster, int64_t wave, Millis limit) {
+  const TimePoint until = cluster.clock().now() + limit;
+  while (cluster.clock().now() < until) {
+    cluster.RunFor(Millis(50));
+    cluster.hosts().CheckStatus();
+    if (cluster.hosts().Status(wave) == "complete") return true;
   }
   return false;
 }
 
-void CheckNoViolations(const JobCell& cell) {
-  for (const std::string& violation : cell.Violations()) BOOST_ERROR(violation);
+void CheckNoViolations(const JobCluster& cluster) {
+  for (const std::string& violation : cluster.Violations()) {
+    BOOST_ERROR(violation);
+  }
 }
 
 }  // namespace
@@ -416,23 +418,23 @@
 /// Operators request a wave over all hosts while nothing else happens. Each
 /// host has its maintenance once, and the status is "running", then "complete".
 BOOST_AUTO_TEST_CASE(WaveCompletesWithoutFaults) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
-  cell.RunFor(Millis(600));
-  BOOST_TEST(cell.hosts().Status(kWave) == "running");
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(40000)));
-  BOOST_TEST(cell.hosts().begins() == 6);
-  CheckNoViolations(cell);
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
+  cluster.RunFor(Millis(600));
+  BOOST_TEST(cluster.hosts().Status(kWave) == "running");
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(40000)));
+  BOOST_TEST(cluster.hosts().begins() == 6);
+  CheckNoViolations(cluster);
 }
 
 /// Guards against the cost of calls without a wave or without a host API.
 BOOST_AUTO_TEST_CASE(NoCallsWithoutWave) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(10000));
-  BOOST_TEST(cell.hosts().calls() == 0);
-  BOOST_TEST(cell.store().Records("status").empty());
-  JobCell without({});
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(10000));
+  BOOST_TEST(cluster.hosts().calls() == 0);
+  BOOST_TEST(cluster.store().Records("status").empty());
+  JobCluster without({});
   without.RunFor(Millis(3000));
   without.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
   without.RunFor(Millis(10000));
@@ -442,34 +444,34 @@
 
 /// Guards against calls after the last maintenance, also by a new leader.
 BOOST_AUTO_TEST_CASE(NoCallsAfterCompleteWave) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 3));
-  BOOST_REQUIRE(RunUntilComplete(cell, kWave, Millis(40000)));
-  cell.RunFor(Millis(500));
-  const int calls = cell.hosts().calls();
-  cell.RunFor(Millis(10000));
-  cell.Restart(cell.Leader());
-  cell.RunFor(Millis(10000));
-  BOOST_TEST(cell.hosts().calls() == calls);
-  BOOST_TEST(cell.hosts().Status(kWave) == "complete");
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 3));
+  BOOST_REQUIRE(RunUntilComplete(cluster, kWave, Millis(40000)));
+  cluster.RunFor(Millis(500));
+  const int calls = cluster.hosts().calls();
+  cluster.RunFor(Millis(10000));
+  cluster.Restart(cluster.Leader());
+  cluster.RunFor(Millis(10000));
+  BOOST_TEST(cluster.hosts().calls() == calls);
+  BOOST_TEST(cluster.hosts().Status(kWave) == "complete");
 }
 
 /// The leader restarts repeatedly during a wave. The next leader continues the
 /// wave: no host has its maintenance twice, and none is omitted.
 BOOST_AUTO_TEST_CASE(NewLeaderContinuesWave) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 1, Millis(60000)));
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 1, Millis(60000)));
   for (int i = 0; i < 4; ++i) {
-    cell.RunFor(Millis(5200));
-    cell.hosts().CheckStatus();
-    const std::string leader = cell.Leader();
-    if (!leader.empty()) cell.Restart(leader);
+    cluster.RunFor(Millis(5200));
+    cluster.hosts().CheckStatus();
+    const std::string leader = cluster.Leader();
+    if (!leader.empty()) cluster.Restart(leader);
   }
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
-  BOOST_TEST(cell.hosts().begins() == 6);
-  CheckNoViolations(cell);
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(60000)));
+  BOOST_TEST(cluster.hosts().begins() == 6);
+  CheckNoViolations(cluster);
 }
 
 /// An order gets no reply and takes effect 5 s later, after its leader has
@@ -477,84 +479,84 @@
 /// ordered; the next leader repeats the order under its own token, which
 /// resolves it.
 BOOST_AUTO_TEST_CASE(DelayedOrderOfEarlierLeaderCountsAsAway) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().faults().delayed_orders = 1;
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 1));
-  cell.RunFor(Millis(800));
-  BOOST_REQUIRE(cell.hosts().faults().delayed_orders == 0);
-  cell.Restart(cell.Leader());
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
-  BOOST_TEST(cell.hosts().begins() == 6);
-  CheckNoViolations(cell);
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().faults().delayed_orders = 1;
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 1));
+  cluster.RunFor(Millis(800));
+  BOOST_REQUIRE(cluster.hosts().faults().delayed_orders == 0);
+  cluster.Restart(cluster.Leader());
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(60000)));
+  BOOST_TEST(cluster.hosts().begins() == 6);
+  CheckNoViolations(cluster);
 }
 
 /// Three orders are carried out but their replies are lost. The wave completes
 /// all the same, and no more hosts than allowed are away.
 BOOST_AUTO_TEST_CASE(LostRepliesAreResolved) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().faults().drop_replies = 3;
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
-  BOOST_TEST(cell.hosts().begins() == 6);
-  CheckNoViolations(cell);
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().faults().drop_replies = 3;
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(60000)));
+  BOOST_TEST(cluster.hosts().begins() == 6);
+  CheckNoViolations(cluster);
 }
 
 /// The API is unresponsive for 8 s and then refuses five calls. It is retried
 /// with increasing backoff, and the wave continues when the API is back.
 BOOST_AUTO_TEST_CASE(UnavailableApiIsRetriedWithBackoff) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().faults().down = true;
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
-  cell.RunFor(Millis(8000));
-  BOOST_TEST(cell.hosts().calls() <= 5);
-  cell.hosts().faults().down = false;
-  cell.hosts().faults().throttled_calls = 5;
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
-  CheckNoViolations(cell);
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().faults().down = true;
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
+  cluster.RunFor(Millis(8000));
+  BOOST_TEST(cluster.hosts().calls() <= 5);
+  cluster.hosts().faults().down = false;
+  cluster.hosts().faults().throttled_calls = 5;
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(60000)));
+  CheckNoViolations(cluster);
 }
 
 /// A leader has ordered a host without success and crashes. The next leader
 /// sends no order for 3 s: ordered by two leaders within that time, and by the
 /// first one again, the host would have two alternating holders.
 BOOST_AUTO_TEST_CASE(NewLeaderWaitsForEarlierLeadersOrdersToExpire) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 1));
-  while (cell.hosts().lists() < 2) cell.RunFor(Millis(5));
-  cell.hosts().faults().throttled_calls = 100;
-  cell.RunFor(Millis(600));
-  BOOST_REQUIRE(cell.hosts().orders() > 0);
-  cell.Restart(cell.Leader());
-  cell.hosts().faults() = {};
-  while (cell.Leader().empty()) cell.RunFor(Millis(5));
-  const int orders = cell.hosts().orders();
-  cell.RunFor(HostsFake::kHolderLease - Millis(100));
-  BOOST_TEST(cell.hosts().orders() == orders);
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(40000)));
-  CheckNoViolations(cell);
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 1));
+  while (cluster.hosts().lists() < 2) cluster.RunFor(Millis(5));
+  cluster.hosts().faults().throttled_calls = 100;
+  cluster.RunFor(Millis(600));
+  BOOST_REQUIRE(cluster.hosts().orders() > 0);
+  cluster.Restart(cluster.Leader());
+  cluster.hosts().faults() = {};
+  while (cluster.Leader().empty()) cluster.RunFor(Millis(5));
+  const int orders = cluster.hosts().orders();
+  cluster.RunFor(HostsFake::kHolderLease - Millis(100));
+  BOOST_TEST(cluster.hosts().orders() == orders);
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(40000)));
+  CheckNoViolations(cluster);
 }
 
 /// The first host crashes between the reading of the list and its order, which
 /// is refused. Its record is removed before the next host is ordered: a leader
 /// that found both records would treat both hosts as ordered.
 BOOST_AUTO_TEST_CASE(RefusedOrderLeavesNoRecord) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 1));
-  while (cell.hosts().lists() < 2) cell.RunFor(Millis(5));
-  cell.hosts().Crash("host-0", Millis(8000));
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 1));
+  while (cluster.hosts().lists() < 2) cluster.RunFor(Millis(5));
+  cluster.hosts().Crash("host-0", Millis(8000));
   const auto recorded = [&](const std::string& host) {
     const auto key =
         KeyOf(maintenance::HostRecord{.wave = kWave, .host = host});
-    return cell.store().Records("jobs").count(key) > 0;
+    return cluster.store().Records("jobs").count(key) > 0;
   };
   bool refused_recorded = false;
-  const TimePoint until = cell.clock().now() + Millis(4000);
-  while (cell.clock().now() < until && !recorded("host-1")) {
-    cell.RunFor(Millis(5));
+  const TimePoint until = cluster.clock().now() + Millis(4000);
+  while (cluster.clock().now() < until && !recorded("host-1")) {
+    cluster.RunFor(Millis(5));
     refused_recorded = refused_recorded || recorded("host-0");
   }
   BOOST_TEST(refused_recorded);
@@ -566,42 +568,42 @@
 /// back as another upstream. The wave waits for the second and not for the
 /// first.
 BOOST_AUTO_TEST_CASE(WaveIgnoresRemovedHostsAndWaitsForReplacedOnes) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().Leave("host-3");
-  cell.hosts().Crash("host-4", Millis(15000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
-  BOOST_TEST(!RunUntilComplete(cell, kWave, Millis(14000)));
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(30000)));
-  BOOST_TEST(cell.hosts().begins() == 5);
-  CheckNoViolations(cell);
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().Leave("host-3");
+  cluster.hosts().Crash("host-4", Millis(15000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 2));
+  BOOST_TEST(!RunUntilComplete(cluster, kWave, Millis(14000)));
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(30000)));
+  BOOST_TEST(cluster.hosts().begins() == 5);
+  CheckNoViolations(cluster);
 }
 
 /// Jobs and gangs run while all hosts have their maintenance. Every job
 /// completes, each task is done once, and hosts are drained before they go
 /// away.
 BOOST_AUTO_TEST_CASE(JobsAndGangsCompleteDuringWave) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 1, Millis(60000)));
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 1, Millis(60000)));
   std::vector<JobId> jobs;
   for (JobId id = 100; id < 160; ++id) {
     const bool gang = id % 4 == 0;
-    cell.upstreams().behavior({id, 0, 0, 0}).run_time =
+    cluster.upstreams().behavior({id, 0, 0, 0}).run_time =
         Millis(200 + 40 * (id % 30));
-    cell.Submit("entry-1", OneStepJob(id, gang ? 4 : 2, 1500, gang));
+    cluster.Submit("entry-1", OneStepJob(id, gang ? 4 : 2, 1500, gang));
     jobs.push_back(id);
-    cell.RunFor(Millis(300));
-    cell.hosts().CheckStatus();
+    cluster.RunFor(Millis(300));
+    cluster.hosts().CheckStatus();
   }
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(60000)));
-  cell.RunFor(Millis(10000));
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(60000)));
+  cluster.RunFor(Millis(10000));
   for (const JobId id : jobs) {
-    const auto state = cell.State(id);
+    const auto state = cluster.State(id);
     BOOST_CHECK_MESSAGE(state == JobState::kComplete, JobIdText(id));
-    BOOST_TEST(cell.upstreams().DoneRuns({id, 0, 0, 0}) == 1);
+    BOOST_TEST(cluster.upstreams().DoneRuns({id, 0, 0, 0}) == 1);
   }
-  CheckNoViolations(cell);
+  CheckNoViolations(cluster);
 }
 
 /// A task that takes long and saves no checkpoint runs on a host whose drain
@@ -610,41 +612,41 @@
 /// (4 s), and a completion right before the maintenance would be recorded here
 /// and lost there.
 BOOST_AUTO_TEST_CASE(HostIsDrainedBeforeMaintenance) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
-  cell.upstreams().behavior({7, 0, 0, 0}).run_time = Millis(30000);
-  cell.Submit("entry-1", OneStepJob(7, 1, 6000));
-  cell.RunFor(Millis(300));
-  const std::string before = cell.upstreams().UpstreamRunning({7, 0, 0, 0});
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
+  cluster.upstreams().behavior({7, 0, 0, 0}).run_time = Millis(30000);
+  cluster.Submit("entry-1", OneStepJob(7, 1, 6000));
+  cluster.RunFor(Millis(300));
+  const std::string before = cluster.upstreams().UpstreamRunning({7, 0, 0, 0});
   BOOST_REQUIRE(!before.empty());
   const std::string host = "host-" + before.substr(before.find('-') + 1);
-  cell.hosts().RequestWave(Wave(kWave, {host}, 1, Millis(1000)));
-  BOOST_REQUIRE(RunUntilComplete(cell, kWave, Millis(3000)));
-  cell.RunFor(Millis(300));
-  const std::string after = cell.upstreams().UpstreamRunning({7, 0, 0, 0});
+  cluster.hosts().RequestWave(Wave(kWave, {host}, 1, Millis(1000)));
+  BOOST_REQUIRE(RunUntilComplete(cluster, kWave, Millis(3000)));
+  cluster.RunFor(Millis(300));
+  const std::string after = cluster.upstreams().UpstreamRunning({7, 0, 0, 0});
   BOOST_TEST(!after.empty());
   BOOST_TEST(after != before);
-  CheckNoViolations(cell);
+  CheckNoViolations(cluster);
 }
 
 /// A long-running job of four tasks allows one to be unavailable. Its tasks are
 /// moved one after the other, each running again before the next one stops.
 BOOST_AUTO_TEST_CASE(LongRunningTasksMoveOneAtATime) {
-  JobCell cell(WithHosts());
-  cell.RunFor(Millis(3000));
+  JobCluster cluster(WithHosts());
+  cluster.RunFor(Millis(3000));
   wire::JobSpec spec = OneStepJob(500, 4, 3000);
   spec.steps[0].long_running = true;
   spec.steps[0].max_unavailable = 1;
   spec.steps[0].max_per_upstream = 2;
-  cell.Submit("entry-1", spec);
-  cell.RunFor(Millis(4000));
-  cell.hosts().RequestWave(Wave(kWave, kAllHosts, 3, Millis(60000)));
-  BOOST_TEST(RunUntilComplete(cell, kWave, Millis(90000)));
-  cell.RunFor(Millis(6000));
+  cluster.Submit("entry-1", spec);
+  cluster.RunFor(Millis(4000));
+  cluster.hosts().RequestWave(Wave(kWave, kAllHosts, 3, Millis(60000)));
+  BOOST_TEST(RunUntilComplete(cluster, kWave, Millis(90000)));
+  cluster.RunFor(Millis(6000));
   for (int32_t i = 0; i < 4; ++i) {
-    BOOST_TEST(!cell.upstreams().UpstreamRunning({500, 0, 0, i}).empty());
+    BOOST_TEST(!cluster.upstreams().UpstreamRunning({500, 0, 0, i}).empty());
   }
-  CheckNoViolations(cell);
+  CheckNoViolations(cluster);
 }
 
 namespace {
@@ -657,7 +659,7 @@
   explicit WaveSchedule(uint64_t seed) : random_(seed) {}
 
   void Execute() {
-    cell_.RunFor(Millis(2500));
+    cluster_.RunFor(Millis(2500));
     SubmitLongRunning();
     constexpr int kSteps = 90;
     for (int i = 0; i < kSteps; ++i) {
@@ -675,7 +677,7 @@
   uint64_t Pick(uint64_t below) { return random_() % below; }
   bool Chance(uint64_t percent) { return Pick(100) < percent; }
   std::string RandomEntry() {
-    const auto names = cell_.names();
+    const auto names = cluster_.names();
     return names[Pick(names.size())];
   }
 
@@ -683,8 +685,8 @@
   void Run(Millis span) {
     constexpr Millis kPollInterval{50};
     for (Millis passed{0}; passed < span; passed += kPollInterval) {
-      cell_.RunFor(kPollInterval);
-      cell_.hosts().CheckStatus();
+      cluster_.RunFor(kPollInterval);
+      cluster_.hosts().CheckStatus();
     }
   }
 
@@ -694,7 +696,7 @@
       if (Chance(70)) hosts.push_back(host);
     }
     ++waves_;
-    cell_.hosts().RequestWave(
+    cluster_.hosts().RequestWave(
         Wave(waves_, hosts, 1 + Pick(3), Millis(8000 + Pick(30000))));
   }
 
@@ -702,7 +704,7 @@
     wire::JobSpec spec = OneStepJob(0x1a500, 3, 1500);
     spec.steps[0].long_running = true;
     spec.steps[0].max_unavailable = 1 + static_cast<int32_t>(Pick(2));
-    cell_.Submit(RandomEntry(), spec);
+    cluster_.Submit(RandomEntry(), spec);
   }
 
   void SubmitRandomJob() {
@@ -713,30 +715,30 @@
                    500 + 500 * static_cast<int32_t>(Pick(4)), gang);
     spec.steps[0].checkpoints = Chance(40);
     for (int32_t i = 0; i < spec.steps[0].tasks; ++i) {
-      cell_.upstreams().behavior({id, 0, 0, i}).run_time =
+      cluster_.upstreams().behavior({id, 0, 0, i}).run_time =
           Millis(100 + Pick(2500));
     }
     jobs_.push_back(id);
     specs_[id] = spec;
-    cell_.Submit(RandomEntry(), spec);
+    cluster_.Submit(RandomEntry(), spec);
   }
 
   void InjectFault() {
-    const std::string leader = cell_.Leader();
+    const std::string leader = cluster_.Leader();
     const std::string entry =
         Chance(60) && !leader.empty() ? leader : RandomEntry();
-    auto& api = cell_.hosts().faults();
-    auto& store = cell_.store().faults();
+    auto& api = cluster_.hosts().faults();
+    auto& store = cluster_.store().faults();
     switch (Pick(11)) {
       case 0:
-        return cell_.Restart(entry);
+        return cluster_.Restart(entry);
       case 1:
-        return cell_.Pause(entry);
+        return cluster_.Pause(entry);
       case 2:
-        for (const auto& name : cell_.names()) cell_.Resume(name);
+        for (const auto& name : cluster_.names()) cluster_.Resume(name);
         return;
       case 3:
-        return cell_.SetIsolated(entry, Chance(60));
+        return cluster_.SetIsolated(entry, Chance(60));
       case 4:
         store.down = Chance(40);
         return;
@@ -766,32 +768,32 @@
   void InjectHostFault() {
     const std::string& host = kAllHosts[Pick(kAllHosts.size())];
     if (Chance(80)) {
-      cell_.hosts().Crash(host, Millis(1500 + Pick(5000)));
+      cluster_.hosts().Crash(host, Millis(1500 + Pick(5000)));
     } else if (!host_left_) {
       host_left_ = true;
-      cell_.hosts().Leave(host);
+      cluster_.hosts().Leave(host);
     }
   }
 
   void EndFaults() {
-    for (const auto& name : cell_.names()) {
-      cell_.Resume(name);
-      cell_.SetIsolated(name, false);
+    for (const auto& name : cluster_.names()) {
+      cluster_.Resume(name);
+      cluster_.SetIsolated(name, false);
     }
-    cell_.store().faults() = {};
-    cell_.hosts().faults() = {};
+    cluster_.store().faults() = {};
+    cluster_.hosts().faults() = {};
   }
 
   void Check() {
-    CheckNoViolations(cell_);
+    CheckNoViolations(cluster_);
     for (int64_t wave = 1; wave <= waves_; ++wave) {
       BOOST_CHECK_MESSAGE(
-          cell_.hosts().Status(wave) == "complete",
-          "wave " << wave << " is \"" << cell_.hosts().Status(wave) << "\"");
+          cluster_.hosts().Status(wave) == "complete",
+          "wave " << wave << " is \"" << cluster_.hosts().Status(wave) << "\"");
     }
     for (const JobId id : jobs_) {
-      if (!cell_.accepted(id)) continue;
-      const auto state = cell_.State(id);
+      if (!cluster_.accepted(id)) continue;
+      const auto state = cluster_.State(id);
       BOOST_CHECK_MESSAGE(
           state && IsFinal(*state),
           "accepted, but not in a final state: " << JobIdText(id));
@@ -804,7 +806,7 @@
     const wire::StepSpec& step = specs_.at(id).steps[0];
     int done = 0;
     for (int32_t i = 0; i < step.tasks; ++i) {
-      if (cell_.upstreams().DurableDoneRuns({id, 0, 0, i}) > 0) ++done;
+      if (cluster_.upstreams().DurableDoneRuns({id, 0, 0, i}) > 0) ++done;
     }
     BOOST_CHECK_MESSAGE(
         done >= (step.gang ? 1 : step.tasks),
@@ -812,7 +814,7 @@
   }
 
   std::mt19937_64 random_;
-  JobCell cell_{WithHosts()};
+  JobCluster cluster_{WithHosts()};
   std::vector<JobId> jobs_;
   std::map<JobId, wire::JobSpec> specs_;
   int64_t waves_ = 0;
--- a/tests/malformed_records_test.cc
+++ b/tests/malformed_records_test.cc
@@ -7,7 +7,7 @@
 
 #include "src/libs/logging/log.h"
 #include "src/libs/rpc/codec.h"
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 
 namespace mimosarail::jobsim {
 namespace {
@@ -24,22 +24,23 @@
 
 /// Whether the leader's counter of malformed records of this kind has this
 /// value.
-bool HasMalformedRecordCount(JobCell& cell, const std::string& of, int times) {
+bool HasMalformedRecordCount(JobCluster& cluster, const std::string& of,
+                             int times) {
   const std::string line =
       "bad_entries{of=\"" + of + "\"} " + std::to_string(times) + "\n";
-  return cell.Metrics(cell.Leader()).find(line) != std::string::npos;
+  return cluster.Metrics(cluster.Leader()).find(line) != std::string::npos;
 }
 
-void KillAll(JobCell& cell) {
-  for (const auto& name : cell.names()) cell.Kill(name);
+void KillAll(JobCluster& cluster) {
+  for (const auto& name : cluster.names()) cluster.Kill(name);
 }
 
-void RestartAll(JobCell& cell) {
-  for (const auto& name : cell.names()) cell.Restart(name);
+void RestartAll(JobCluster& cluster) {
+  for (const auto& name : cluster.names()) cluster.Restart(name);
 }
 
-int64_t ConfigVersion(JobCell& cell) {
-  return cell.entry(cell.Leader())->OnHeartbeat({}).config_version;
+int64_t ConfigVersion(JobCluster& cluster) {
+  return cluster.entry(cluster.Leader())->OnHeartbeat({}).config_version;
 }
 
 }  // namespace
@@ -61,51 +62,52 @@
 /// not called, and each record is reported once, although the list is read four
 /// times a second and one of the records is written again for each job.
 BOOST_AUTO_TEST_CASE(MalformedListEntriesDoNotAffectOthers) {
-  JobCell cell({});
-  cell.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
-  cell.store().Put(kUpstreamTable, kMalformedBytes, kMalformedBytes);
-  cell.RunFor(Millis(2000));
+  JobCluster cluster({});
+  cluster.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
+  cluster.store().Put(kUpstreamTable, kMalformedBytes, kMalformedBytes);
+  cluster.RunFor(Millis(2000));
   for (JobId id = 1; id <= 8; ++id) {
-    cell.Submit("entry-1", OneStepJob(id, 2, 2000));
-    cell.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
-    cell.RunFor(Millis(300));
+    cluster.Submit("entry-1", OneStepJob(id, 2, 2000));
+    cluster.store().Put(kUpstreamTable, "up-bad", kMalformedBytes);
+    cluster.RunFor(Millis(300));
   }
   for (JobId id = 1; id <= 8; ++id) {
-    BOOST_TEST(cell.RunUntilFinal(id, Millis(10000)));
+    BOOST_TEST(cluster.RunUntilFinal(id, Millis(10000)));
   }
-  BOOST_TEST(!cell.upstreams().WasCalled("up-bad"));
-  BOOST_TEST(HasMalformedRecordCount(cell, "upstream list", 2));
-  cell.store().DropHistory();
-  cell.RunFor(Millis(1000));
-  BOOST_TEST(HasMalformedRecordCount(cell, "upstream list", 2));
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(!cluster.upstreams().WasCalled("up-bad"));
+  BOOST_TEST(HasMalformedRecordCount(cluster, "upstream list", 2));
+  cluster.store().DropHistory();
+  cluster.RunFor(Millis(1000));
+  BOOST_TEST(HasMalformedRecordCount(cluster, "upstream list", 2));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The list entry of an upstream that runs a task becomes malformed. The task
 /// is neither lost nor run a second time. Nothing new starts on the upstream
 /// until a readable entry follows; then the upstream is used again.
 BOOST_AUTO_TEST_CASE(UpstreamKeepsTasksWhenItsListEntryBecomesMalformed) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(9000);
-  cell.Submit("entry-1", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(500));
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
-  cell.store().Put(kUpstreamTable, "up-0", kMalformedBytes);
-  cell.RunFor(Millis(500));
-  cell.Submit("entry-1", OneStepJob(2, 1, 1000));
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(9000);
+  cluster.Submit("entry-1", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  cluster.store().Put(kUpstreamTable, "up-0", kMalformedBytes);
+  cluster.RunFor(Millis(500));
+  cluster.Submit("entry-1", OneStepJob(2, 1, 1000));
   // Longer than any lease: the lease of the running task must be renewed.
-  cell.RunFor(Millis(8000));
-  BOOST_TEST(cell.accepted(2));
-  BOOST_TEST(!cell.upstreams().HasRun(2));
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-  BOOST_TEST(!cell.upstreams().HasRun(2));
-  cell.store().Put(kUpstreamTable, "up-0", rpc::Encode(cell.ListEntry(0)));
-  BOOST_TEST(cell.RunUntilFinal(2, Millis(5000)));
-  BOOST_TEST(cell.upstreams().starts() == 2);
-  BOOST_TEST(cell.Violations().empty());
+  cluster.RunFor(Millis(8000));
+  BOOST_TEST(cluster.accepted(2));
+  BOOST_TEST(!cluster.upstreams().HasRun(2));
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(5000)));
+  BOOST_TEST(cluster.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
+  BOOST_TEST(!cluster.upstreams().HasRun(2));
+  cluster.store().Put(kUpstreamTable, "up-0",
+                      rpc::Encode(cluster.ListEntry(0)));
+  BOOST_TEST(cluster.RunUntilFinal(2, Millis(5000)));
+  BOOST_TEST(cluster.upstreams().starts() == 2);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The list entry of an upstream that runs a task becomes malformed, and then
@@ -113,25 +115,25 @@
 /// from the registry of upstreams and learns from the upstream that the task
 /// runs; a cancel reaches the task.
 BOOST_AUTO_TEST_CASE(NewLeaderFindsUpstreamWithMalformedListEntry) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
-  cell.Submit("entry-1", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(500));
-  cell.store().Put(kUpstreamTable, "up-0", kMalformedBytes);
-  cell.RunFor(Millis(300));
-  RestartAll(cell);
-  cell.RunFor(Millis(9000));
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
-  BOOST_TEST(cell.upstreams().starts() == 1);
-  cell.Submit("entry-1", OneStepJob(2, 1, 1000));
-  cell.RunFor(Millis(1000));
-  BOOST_TEST(!cell.upstreams().HasRun(2));
-  cell.Cancel("entry-0", 1);
-  cell.RunFor(Millis(2000));
-  BOOST_TEST(cell.cancelled(1));
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "");
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
+  cluster.Submit("entry-1", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(500));
+  cluster.store().Put(kUpstreamTable, "up-0", kMalformedBytes);
+  cluster.RunFor(Millis(300));
+  RestartAll(cluster);
+  cluster.RunFor(Millis(9000));
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(cluster.upstreams().starts() == 1);
+  cluster.Submit("entry-1", OneStepJob(2, 1, 1000));
+  cluster.RunFor(Millis(1000));
+  BOOST_TEST(!cluster.upstreams().HasRun(2));
+  cluster.Cancel("entry-0", 1);
+  cluster.RunFor(Millis(2000));
+  BOOST_TEST(cluster.cancelled(1));
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) == "");
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The upstream list contains an entry of a pool that neither a job nor the
@@ -139,59 +141,62 @@
 /// a new leader would wait 6 s for its inventory. The upstream is used once a
 /// job or the configuration names its pool.
 BOOST_AUTO_TEST_CASE(UpstreamOfUnreferencedPoolIsNotCalled) {
-  JobCell cell({.upstreams = 2});
-  wire::UpstreamRecord unreferenced = cell.ListEntry(7);
+  JobCluster cluster({.upstreams = 2});
+  wire::UpstreamRecord unreferenced = cluster.ListEntry(7);
   unreferenced.pool = "strange";
-  cell.upstreams().Add(unreferenced.id, 8000, 16000);
-  cell.store().Put(kUpstreamTable, unreferenced.id, rpc::Encode(unreferenced));
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(!cell.upstreams().WasCalled(unreferenced.id));
-  BOOST_TEST(HasMalformedRecordCount(cell, "upstream list", 1));
+  cluster.upstreams().Add(unreferenced.id, 8000, 16000);
+  cluster.store().Put(kUpstreamTable, unreferenced.id,
+                      rpc::Encode(unreferenced));
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(!cluster.upstreams().WasCalled(unreferenced.id));
+  BOOST_TEST(HasMalformedRecordCount(cluster, "upstream list", 1));
   wire::JobSpec job = OneStepJob(1, 1, 1000);
   job.queue.pool = "strange";
-  cell.Submit("entry-1", job);
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  BOOST_TEST(cell.upstreams().WasCalled(unreferenced.id));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.Submit("entry-1", job);
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(5000)));
+  BOOST_TEST(cluster.upstreams().WasCalled(unreferenced.id));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// An unreadable configuration follows the active one, and another arrives in
 /// the same read as a valid one. The last valid configuration stays active, and
 /// a later valid one is applied.
 BOOST_AUTO_TEST_CASE(MalformedConfigurationKeepsCurrentOne) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  BOOST_TEST(ConfigVersion(cell) == 1);
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  BOOST_TEST(ConfigVersion(cluster) == 1);
   for (int i = 0; i < 5; ++i) {
-    cell.store().Put(kConfigTable, "config", kMalformedBytes);
-    cell.RunFor(Millis(500));
+    cluster.store().Put(kConfigTable, "config", kMalformedBytes);
+    cluster.RunFor(Millis(500));
+  }
+  BOOST_TEST(ConfigVersion(cluster) == 1);
+  BOOST_TEST(HasMalformedRecordCount(cluster, "configuration", 1));
+  cluster.store().Put(kConfigTable, "config", "2");
+  cluster.store().Put(kConfigTable, "config", kMalformedBytes);
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(ConfigVersion(cluster) == 2);
+  cluster.store().Put(kConfigTable, "config", "3");
+  cluster.RunFor(Millis(500));
+  BOOST_TEST(ConfigVersion(cluster) == 3);
+  for (const auto& name : cluster.names()) {
+    BOOST_TEST(cluster.entry(name)->Ready());
   }
-  BOOST_TEST(ConfigVersion(cell) == 1);
-  BOOST_TEST(HasMalformedRecordCount(cell, "configuration", 1));
-  cell.store().Put(kConfigTable, "config", "2");
-  cell.store().Put(kConfigTable, "config", kMalformedBytes);
-  cell.RunFor(Millis(500));
-  BOOST_TEST(ConfigVersion(cell) == 2);
-  cell.store().Put(kConfigTable, "config", "3");
-  cell.RunFor(Millis(500));
-  BOOST_TEST(ConfigVersion(cell) == 3);
-  for (const auto& name : cell.names()) BOOST_TEST(cell.entry(name)->Ready());
 }
 
 /// An external writer overwrites the record of the current leader. The leader
 /// continues in its term and rewrites its record.
 BOOST_AUTO_TEST_CASE(LeaderRewritesItsOverwrittenRecord) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string leader = cell.Leader();
-  const int64_t term = cell.entry(leader)->leadership().term();
-  cell.store().Put(kLeaderTable, kLeaderKey, kMalformedBytes);
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(cell.Leader() == leader);
-  BOOST_TEST(cell.entry(leader)->leadership().term() == term);
-  BOOST_TEST(cell.store().Records(kLeaderTable).at(kLeaderKey) !=
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string leader = cluster.Leader();
+  const int64_t term = cluster.entry(leader)->leadership().term();
+  cluster.store().Put(kLeaderTable, kLeaderKey, kMalformedBytes);
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(cluster.Leader() == leader);
+  BOOST_TEST(cluster.entry(leader)->leadership().term() == term);
+  BOOST_TEST(cluster.store().Records(kLeaderTable).at(kLeaderKey) !=
              kMalformedBytes);
-  BOOST_TEST(HasMalformedRecordCount(cell, "leaders", 1));
+  BOOST_TEST(HasMalformedRecordCount(cluster, "leaders", 1));
 }
 
 /// All entries lose power, and when they restart, the leader record is
@@ -213,27 +218,27 @@
         record(-3, "stranger:1"), record(INT64_MAX, "stranger:1"),
         record(1LL << 53, "stranger:1"), record(1000000, "stranger:1"),
         record(3, "")}) {
-    JobCell cell({});
-    cell.RunFor(Millis(2000));
+    JobCluster cluster({});
+    cluster.RunFor(Millis(2000));
     // Several terms, so that the first one is far below the last.
     for (int i = 0; i < 8; ++i) {
-      cell.Restart(cell.Leader());
-      cell.RunFor(Millis(2500));
+      cluster.Restart(cluster.Leader());
+      cluster.RunFor(Millis(2500));
     }
-    const int64_t before = cell.entry(cell.Leader())->leadership().term();
-    cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(4000);
-    cell.Submit("entry-1", OneStepJob(1, 1, 1000));
-    cell.RunFor(Millis(300));
-    KillAll(cell);
-    cell.store().Put(kLeaderTable, kLeaderKey, bad);
-    RestartAll(cell);
-    cell.RunFor(Millis(2500));
+    const int64_t before = cluster.entry(cluster.Leader())->leadership().term();
+    cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(4000);
+    cluster.Submit("entry-1", OneStepJob(1, 1, 1000));
+    cluster.RunFor(Millis(300));
+    KillAll(cluster);
+    cluster.store().Put(kLeaderTable, kLeaderKey, bad);
+    RestartAll(cluster);
+    cluster.RunFor(Millis(2500));
     BOOST_TEST_CONTEXT("record of " << bad.size() << " bytes") {
-      BOOST_REQUIRE(!cell.Leader().empty());
-      BOOST_TEST(cell.entry(cell.Leader())->leadership().term() > before);
-      BOOST_TEST(cell.RunUntilFinal(1, Millis(9000)));
-      BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-      BOOST_TEST(cell.Violations().empty());
+      BOOST_REQUIRE(!cluster.Leader().empty());
+      BOOST_TEST(cluster.entry(cluster.Leader())->leadership().term() > before);
+      BOOST_TEST(cluster.RunUntilFinal(1, Millis(9000)));
+      BOOST_TEST(cluster.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
+      BOOST_TEST(cluster.Violations().empty());
     }
   }
 }
@@ -265,34 +270,34 @@
         Row{kProgressPrefix, kMalformedBytes},
         Row{kProgressPrefix, rpc::Encode(unknown_state)},
         Row{kProgressPrefix, rpc::Encode(unknown_task)}}) {
-    JobCell cell({});
-    cell.RunFor(Millis(2000));
+    JobCluster cluster({});
+    cluster.RunFor(Millis(2000));
     for (const JobId id : {bad_id, good_id}) {
-      cell.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(1500);
-      cell.Submit("entry-1", OneStepJob(id, 1, 1000));
+      cluster.upstreams().behavior({id, 0, 0, 0}).run_time = Millis(1500);
+      cluster.Submit("entry-1", OneStepJob(id, 1, 1000));
     }
-    cell.RunFor(Millis(300));
-    BOOST_TEST(cell.accepted(bad_id));
-    KillAll(cell);
+    cluster.RunFor(Millis(300));
+    BOOST_TEST(cluster.accepted(bad_id));
+    KillAll(cluster);
     const std::string key = row.key_prefix + JobIdText(bad_id);
-    cell.store().Put(kJobTable, key, row.value);
-    RestartAll(cell);
-    cell.RunFor(Millis(3000));
-    cell.Submit("entry-2", OneStepJob(bad_id, 1, 1000));
-    cell.Cancel("entry-3", bad_id);
+    cluster.store().Put(kJobTable, key, row.value);
+    RestartAll(cluster);
+    cluster.RunFor(Millis(3000));
+    cluster.Submit("entry-2", OneStepJob(bad_id, 1, 1000));
+    cluster.Cancel("entry-3", bad_id);
     BOOST_TEST_CONTEXT(row.key_prefix << " of " << row.value.size()
                                       << " bytes") {
-      BOOST_TEST(cell.RunUntilFinal(good_id, Millis(9000)));
-      cell.RunFor(Millis(5000));
-      BOOST_TEST(cell.upstreams().DoneRuns({good_id, 0, 0, 0}) == 1);
-      BOOST_TEST(cell.upstreams().starts() == 2);
-      BOOST_TEST(cell.answered(bad_id));
-      BOOST_TEST(!cell.refused(bad_id));
-      BOOST_TEST(!cell.cancelled(bad_id));
-      BOOST_TEST(!cell.State(bad_id).has_value());
-      BOOST_TEST(cell.store().Records(kJobTable).at(key) == row.value);
-      BOOST_TEST(HasMalformedRecordCount(cell, "jobs", 1));
-      BOOST_TEST(cell.Violations().empty());
+      BOOST_TEST(cluster.RunUntilFinal(good_id, Millis(9000)));
+      cluster.RunFor(Millis(5000));
+      BOOST_TEST(cluster.upstreams().DoneRuns({good_id, 0, 0, 0}) == 1);
+      BOOST_TEST(cluster.upstreams().starts() == 2);
+      BOOST_TEST(cluster.answered(bad_id));
+      BOOST_TEST(!cluster.refused(bad_id));
+      BOOST_TEST(!cluster.cancelled(bad_id));
+      BOOST_TEST(!cluster.State(bad_id).has_value());
+      BOOST_TEST(cluster.store().Records(kJobTable).at(key) == row.value);
+      BOOST_TEST(HasMalformedRecordCount(cluster, "jobs", 1));
+      BOOST_TEST(cluster.Violations().empty());
     }
   }
 }
@@ -303,57 +308,57 @@
 /// result; otherwise it runs the task a second time. A task that still runs is
 /// stopped, because the resources that it uses are unknown.
 BOOST_AUTO_TEST_CASE(TaskEndsOfJobWithMalformedRecordAreKept) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
   const TaskId ends{1, 0, 0, 0};
   const TaskId keeps_running{1, 0, 0, 1};
   const TaskId fails{1, 0, 0, 2};
-  cell.upstreams().behavior(ends).run_time = Millis(600);
-  cell.upstreams().behavior(keeps_running).run_time = Millis(20000);
-  cell.upstreams().behavior(fails) = {.run_time = Millis(600),
-                                      .failing_runs = 1};
-  cell.Submit("entry-1", OneStepJob(1, 3, 1000));
-  cell.RunFor(Millis(300));
-  BOOST_TEST(cell.upstreams().starts() == 3);
-  KillAll(cell);
-  cell.RunFor(Millis(1000));
+  cluster.upstreams().behavior(ends).run_time = Millis(600);
+  cluster.upstreams().behavior(keeps_running).run_time = Millis(20000);
+  cluster.upstreams().behavior(fails) = {.run_time = Millis(600),
+                                         .failing_runs = 1};
+  cluster.Submit("entry-1", OneStepJob(1, 3, 1000));
+  cluster.RunFor(Millis(300));
+  BOOST_TEST(cluster.upstreams().starts() == 3);
+  KillAll(cluster);
+  cluster.RunFor(Millis(1000));
   const std::string key = kSpecPrefix + JobIdText(1);
-  const std::string record = cell.store().Records(kJobTable).at(key);
-  cell.store().Put(kJobTable, key, kMalformedBytes);
-  RestartAll(cell);
-  cell.RunFor(Millis(12000));
-  BOOST_TEST(cell.upstreams().UpstreamRunning(keeps_running) == "");
-  BOOST_TEST(cell.upstreams().starts() == 3);
-  KillAll(cell);
-  cell.store().Put(kJobTable, key, record);
-  cell.upstreams().behavior(keeps_running).run_time = Millis(500);
-  RestartAll(cell);
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(20000)));
-  BOOST_TEST(cell.upstreams().DoneRuns(ends) == 1);
-  BOOST_TEST(cell.upstreams().DoneRuns(keeps_running) == 1);
-  BOOST_TEST(cell.upstreams().DoneRuns(fails) == 1);
-  BOOST_TEST(cell.upstreams().starts() == 5);
-  BOOST_TEST(cell.Violations().empty());
+  const std::string record = cluster.store().Records(kJobTable).at(key);
+  cluster.store().Put(kJobTable, key, kMalformedBytes);
+  RestartAll(cluster);
+  cluster.RunFor(Millis(12000));
+  BOOST_TEST(cluster.upstreams().UpstreamRunning(keeps_running) == "");
+  BOOST_TEST(cluster.upstreams().starts() == 3);
+  KillAll(cluster);
+  cluster.store().Put(kJobTable, key, record);
+  cluster.upstreams().behavior(keeps_running).run_time = Millis(500);
+  RestartAll(cluster);
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(20000)));
+  BOOST_TEST(cluster.upstreams().DoneRuns(ends) == 1);
+  BOOST_TEST(cluster.upstreams().DoneRuns(keeps_running) == 1);
+  BOOST_TEST(cluster.upstreams().DoneRuns(fails) == 1);
+  BOOST_TEST(cluster.upstreams().starts() == 5);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The job table contains a record of a kind that this version does not know.
 /// The record is reported and left unchanged; the job runs.
 BOOST_AUTO_TEST_CASE(RecordOfUnknownKindIsLeftUnchanged) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(1500);
-  cell.Submit("entry-1", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(300));
-  KillAll(cell);
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(1500);
+  cluster.Submit("entry-1", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(300));
+  KillAll(cluster);
   const std::string key = kUnknownKindPrefix + JobIdText(1);
-  cell.store().Put(kJobTable, key, kMalformedBytes);
-  cell.store().Put(kJobTable, std::string(1, kSpecPrefix), kMalformedBytes);
-  RestartAll(cell);
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(9000)));
-  BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-  BOOST_TEST(cell.store().Records(kJobTable).at(key) == kMalformedBytes);
-  BOOST_TEST(HasMalformedRecordCount(cell, "jobs", 2));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.store().Put(kJobTable, key, kMalformedBytes);
+  cluster.store().Put(kJobTable, std::string(1, kSpecPrefix), kMalformedBytes);
+  RestartAll(cluster);
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(9000)));
+  BOOST_TEST(cluster.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
+  BOOST_TEST(cluster.store().Records(kJobTable).at(key) == kMalformedBytes);
+  BOOST_TEST(HasMalformedRecordCount(cluster, "jobs", 2));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// The registry record of an upstream that runs a task is unreadable, the
@@ -361,32 +366,32 @@
 /// relied on the rest of the registry would start the task a second time while
 /// its lease is still valid on that upstream.
 BOOST_AUTO_TEST_CASE(NewLeaderWaitsOutLeasesOnMalformedRegistryRecord) {
-  JobCell cell({.upstreams = 2});
-  cell.RunFor(Millis(2000));
-  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
-  cell.Submit("entry-1", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(500));
-  const std::string where = cell.upstreams().UpstreamRunning({1, 0, 0, 0});
+  JobCluster cluster({.upstreams = 2});
+  cluster.RunFor(Millis(2000));
+  cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
+  cluster.Submit("entry-1", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(500));
+  const std::string where = cluster.upstreams().UpstreamRunning({1, 0, 0, 0});
   BOOST_REQUIRE(!where.empty());
-  KillAll(cell);
-  cell.upstreams().faults(where).unreachable = true;
-  cell.store().Put(kUpstreamTable, where, "");
-  cell.store().Put(kJobTable, kUpstreamPrefix + where, kMalformedBytes);
-  RestartAll(cell);
-  cell.RunFor(Millis(9000));
-  BOOST_TEST(cell.upstreams().starts() == 2);
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) != where);
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) != "");
-  BOOST_TEST(cell.Violations().empty());
+  KillAll(cluster);
+  cluster.upstreams().faults(where).unreachable = true;
+  cluster.store().Put(kUpstreamTable, where, "");
+  cluster.store().Put(kJobTable, kUpstreamPrefix + where, kMalformedBytes);
+  RestartAll(cluster);
+  cluster.RunFor(Millis(9000));
+  BOOST_TEST(cluster.upstreams().starts() == 2);
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) != where);
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) != "");
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// A peer sends impossible terms, submits invalid jobs, and answers with
 /// unknown verdicts and states.
 BOOST_AUTO_TEST_CASE(InvalidPeerMessagesAreIgnored) {
-  JobCell cell({});
-  cell.RunFor(Millis(2000));
-  const std::string leader = cell.Leader();
-  jobentry::JobEntry& entry = *cell.entry(leader);
+  JobCluster cluster({});
+  cluster.RunFor(Millis(2000));
+  const std::string leader = cluster.Leader();
+  jobentry::JobEntry& entry = *cluster.entry(leader);
   const int64_t term = entry.leadership().term();
   for (const int64_t invalid_term :
        {INT64_MIN, int64_t{-1}, int64_t{1} << 53, INT64_MAX}) {
@@ -396,7 +401,9 @@
     wire::AnnounceCall call;
     call.term = invalid_term;
     call.leader.address = "stranger:1";
-    for (const auto& name : cell.names()) cell.entry(name)->OnAnnounce(call);
+    for (const auto& name : cluster.names()) {
+      cluster.entry(name)->OnAnnounce(call);
+    }
   }
   wire::SubmitJobCall job;
   int32_t verdict = -1;
@@ -407,8 +414,8 @@
   wire::AdviseCall advise;
   advise.timeout_ms = INT64_MIN;
   entry.OnAdvise(advise, [](const wire::AdviseReply&) {});
-  cell.RunFor(Millis(2000));
-  BOOST_TEST(cell.Leader() == leader);
+  cluster.RunFor(Millis(2000));
+  BOOST_TEST(cluster.Leader() == leader);
   BOOST_TEST(entry.leadership().term() == term);
   BOOST_TEST((coordinator::ToJobVerdict(99) ==
               coordinator::JobVerdict::kOutcomeUnknown));
--- a/tests/takeover_load_test.cc
+++ b/tests/takeover_load_test.cc
@@ -6,7 +6,7 @@
 
 #include "src/coordinator/job_table.h"
 #include "src/libs/rpc/codec.h"
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 #include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
@@ -59,10 +59,10 @@
 
 /// Puts jobs of an earlier leader into the table. Returns their size in the
 /// encoding of the store's replies.
-size_t FillTable(JobCell& cell, int jobs, size_t payload_bytes) {
+size_t FillTable(JobCluster& cluster, int jobs, size_t payload_bytes) {
   size_t bytes = 0;
   const auto put = [&](const std::string& key, const std::string& value) {
-    cell.store().Put("jobs", key, value);
+    cluster.store().Put("jobs", key, value);
     bytes += key.size() + value.size() * 4 / 3;
   };
   for (int i = 0; i < jobs; ++i) {
@@ -73,7 +73,7 @@
     wire::ProgressRecord progress;
     progress.state = static_cast<int32_t>(JobState::kComplete);
     if (open) {
-      cell.upstreams().RegisterJob(spec);
+      cluster.upstreams().RegisterJob(spec);
       put(coordinator::SpecKey(id), rpc::Encode(spec));
     } else {
       put(coordinator::ProgressKey(id), rpc::Encode(progress));
@@ -84,19 +84,19 @@
 
 /// Submits jobs at every entry until the first one is accepted. Returns the
 /// time until then, or `limit` if it takes longer.
-Millis TimeToServe(JobCell& cell, Millis limit) {
+Millis TimeToServe(JobCluster& cluster, Millis limit) {
   JobId next = 0xca00000;
   const JobId first = next;
   for (Millis waited{0}; waited < limit; waited += kStep) {
     for (int i = 0; i < 2; ++i) {
       wire::JobSpec spec = OneStepJob(next, 3, 100);
       spec.payload = std::string(200, 'y');
-      cell.Submit("entry-" + std::to_string(next % kEntries), spec);
+      cluster.Submit("entry-" + std::to_string(next % kEntries), spec);
       ++next;
     }
-    cell.RunFor(kStep);
+    cluster.RunFor(kStep);
     for (JobId id = first; id < next; ++id) {
-      if (cell.accepted(id)) return waited + kStep;
+      if (cluster.accepted(id)) return waited + kStep;
     }
   }
   return limit;
@@ -115,27 +115,27 @@
 /// plus 3 s.
 BOOST_DATA_TEST_CASE(NewLeaderServesInTimeOnSlowLinks,
                      boost::unit_test::data::make(kFleets), fleet) {
-  JobCell cell({.entries = kEntries,
-                .upstreams = 6,
-                .link = {.bytes_per_s = fleet.link_bytes_per_s},
-                .processor = {.bytes_per_s = fleet.processor_bytes_per_s,
-                              .per_message = fleet.message_time}});
-  const size_t bytes = FillTable(cell, fleet.jobs, fleet.payload_bytes);
-  for (const std::string& name : cell.names()) cell.Kill(name);
-  cell.RunFor(Millis(1000));
-  for (const std::string& name : cell.names()) cell.Restart(name);
+  JobCluster cluster({.entries = kEntries,
+                      .upstreams = 6,
+                      .link = {.bytes_per_s = fleet.link_bytes_per_s},
+                      .processor = {.bytes_per_s = fleet.processor_bytes_per_s,
+                                    .per_message = fleet.message_time}});
+  const size_t bytes = FillTable(cluster, fleet.jobs, fleet.payload_bytes);
+  for (const std::string& name : cluster.names()) cluster.Kill(name);
+  cluster.RunFor(Millis(1000));
+  for (const std::string& name : cluster.names()) cluster.Restart(name);
   const double loading_s =
       static_cast<double>(bytes) / fleet.link_bytes_per_s +
       static_cast<double>(bytes) / fleet.processor_bytes_per_s;
   constexpr double kMillisPerSecond = 1000;
   const Millis loading(static_cast<int64_t>(loading_s * kMillisPerSecond));
   const Millis bound = 4 * loading + Millis(3000);
-  const Millis took = TimeToServe(cell, bound + Millis(5000));
+  const Millis took = TimeToServe(cluster, bound + Millis(5000));
   BOOST_TEST_MESSAGE("served after " << took.count() << " ms; loading alone "
                                      << loading.count() << " ms, bound "
                                      << bound.count() << " ms");
   BOOST_TEST(took <= bound);
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against heartbeat replies that overload the leader's link. With 97
@@ -145,13 +145,13 @@
 /// must not grow with the number of followers.
 BOOST_AUTO_TEST_CASE(HeartbeatReplySizeIsIndependentOfFleetSize) {
   const auto sent_to_each = [](int entries) {
-    JobCell cell({.entries = entries, .upstreams = 2});
-    cell.RunFor(Millis(15000));
-    const std::string leader = cell.Leader();
-    const int64_t before = cell.BytesSent(leader);
-    cell.RunFor(Millis(10000));
-    BOOST_TEST(cell.Leader() == leader);
-    return static_cast<double>(cell.BytesSent(leader) - before) / entries;
+    JobCluster cluster({.entries = entries, .upstreams = 2});
+    cluster.RunFor(Millis(15000));
+    const std::string leader = cluster.Leader();
+    const int64_t before = cluster.BytesSent(leader);
+    cluster.RunFor(Millis(10000));
+    BOOST_TEST(cluster.Leader() == leader);
+    return static_cast<double>(cluster.BytesSent(leader) - before) / entries;
   };
   const double few = sent_to_each(12);
   const double many = sent_to_each(96);
--- a/tests/upstream_takeover_test.cc
+++ b/tests/upstream_takeover_test.cc
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "src/libs/rpc/codec.h"
-#include "tests/jobsim/job_cell.h"
+#include "tests/jobsim/job_cluster.h"
 #include "tests/jobsim/log_fixture.h"
 
 namespace mimosarail::jobsim {
@@ -15,12 +15,12 @@
 constexpr Millis kTakeoverTime{2500};
 
 /// Returns how many tasks of the job are running or done.
-int StartedTasks(JobCell& cell, JobId id, int32_t tasks) {
+int StartedTasks(JobCluster& cluster, JobId id, int32_t tasks) {
   int started = 0;
   for (int32_t i = 0; i < tasks; ++i) {
     const TaskId task{id, 0, 0, i};
-    if (!cell.upstreams().UpstreamRunning(task).empty() ||
-        cell.upstreams().DoneRuns(task) > 0) {
+    if (!cluster.upstreams().UpstreamRunning(task).empty() ||
+        cluster.upstreams().DoneRuns(task) > 0) {
       ++started;
     }
   }
@@ -37,53 +37,53 @@
 /// lost upstream runs and has to wait 6 s for its leases. None of the waiting
 /// tasks can run there, so they must start without this delay.
 BOOST_AUTO_TEST_CASE(LostUpstreamDoesNotDelayUnstartedTasks) {
-  JobCell cell({});
-  cell.RunFor(kStartupTime);
-  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
-  cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(500));
-  const std::string lost = cell.upstreams().UpstreamRunning({1, 0, 0, 0});
+  JobCluster cluster({});
+  cluster.RunFor(kStartupTime);
+  cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
+  cluster.Submit("entry-0", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(500));
+  const std::string lost = cluster.upstreams().UpstreamRunning({1, 0, 0, 0});
   BOOST_REQUIRE(!lost.empty());
-  cell.upstreams().faults(lost).unreachable = true;
-  cell.RunFor(kDetectionTime);
+  cluster.upstreams().faults(lost).unreachable = true;
+  cluster.RunFor(kDetectionTime);
   // Five upstreams remain, each with capacity for one of these tasks.
   constexpr int32_t kTasks = 10;
   for (int32_t i = 0; i < kTasks; ++i) {
-    cell.upstreams().behavior({2, 0, 0, i}).run_time = Millis(1000);
+    cluster.upstreams().behavior({2, 0, 0, i}).run_time = Millis(1000);
   }
-  cell.Submit("entry-0", OneStepJob(2, kTasks, 8000));
-  cell.RunFor(Millis(200));
-  BOOST_REQUIRE(StartedTasks(cell, 2, kTasks) == kTasks / 2);
-  cell.Kill(cell.Leader());
-  cell.RunFor(kTakeoverTime);
-  BOOST_TEST(StartedTasks(cell, 2, kTasks) == kTasks);
+  cluster.Submit("entry-0", OneStepJob(2, kTasks, 8000));
+  cluster.RunFor(Millis(200));
+  BOOST_REQUIRE(StartedTasks(cluster, 2, kTasks) == kTasks / 2);
+  cluster.Kill(cluster.Leader());
+  cluster.RunFor(kTakeoverTime);
+  BOOST_TEST(StartedTasks(cluster, 2, kTasks) == kTasks);
   // The task on the unreachable upstream must not start elsewhere before its
   // lease has certainly expired.
-  BOOST_TEST(cell.upstreams().starts() == 1 + kTasks);
-  BOOST_TEST(cell.RunUntilFinal(2, Millis(5000)));
-  cell.RunFor(Millis(8000));
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) != "");
-  BOOST_TEST(cell.Violations().empty());
+  BOOST_TEST(cluster.upstreams().starts() == 1 + kTasks);
+  BOOST_TEST(cluster.RunUntilFinal(2, Millis(5000)));
+  cluster.RunFor(Millis(8000));
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) != "");
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against an upstream that gets no work after its drain was cancelled.
 /// The drain closes the upstream in the store; tasks must start there again
 /// once the list no longer names it as draining.
 BOOST_AUTO_TEST_CASE(UpstreamTakesWorkAfterDrainIsCancelled) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(kStartupTime);
-  wire::UpstreamRecord entry = cell.ListEntry(0);
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(kStartupTime);
+  wire::UpstreamRecord entry = cluster.ListEntry(0);
   const std::string domain = entry.failure_domain;
   entry.failure_domain = "draining";
-  cell.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
-  cell.RunFor(Millis(600));
-  cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(1000));
-  BOOST_TEST(cell.upstreams().starts() == 0);
+  cluster.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
+  cluster.RunFor(Millis(600));
+  cluster.Submit("entry-0", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(1000));
+  BOOST_TEST(cluster.upstreams().starts() == 0);
   entry.failure_domain = domain;
-  cell.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(5000)));
-  BOOST_TEST(cell.Violations().empty());
+  cluster.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(5000)));
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against a second start of a task that is still running. An upstream
@@ -91,24 +91,24 @@
 /// the leader dies and the upstream becomes unreachable again. If the store
 /// still had it as closed, the next leader would start the task elsewhere.
 BOOST_AUTO_TEST_CASE(RecoveredUpstreamIsAwaitedByNextLeader) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(kStartupTime);
-  cell.upstreams().faults("up-0").unreachable = true;
-  cell.RunFor(kDetectionTime);
-  cell.upstreams().faults("up-0").unreachable = false;
-  cell.RunFor(Millis(1000));
-  cell.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
-  cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(500));
-  BOOST_REQUIRE(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
-  cell.upstreams().faults("up-0").unreachable = true;
-  cell.Kill(cell.Leader());
-  cell.RunFor(kTakeoverTime);
-  cell.upstreams().faults("up-0").unreachable = false;
-  cell.RunFor(Millis(3000));
-  BOOST_TEST(cell.upstreams().starts() == 1);
-  BOOST_TEST(cell.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(kStartupTime);
+  cluster.upstreams().faults("up-0").unreachable = true;
+  cluster.RunFor(kDetectionTime);
+  cluster.upstreams().faults("up-0").unreachable = false;
+  cluster.RunFor(Millis(1000));
+  cluster.upstreams().behavior({1, 0, 0, 0}).run_time = Millis(20000);
+  cluster.Submit("entry-0", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(500));
+  BOOST_REQUIRE(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  cluster.upstreams().faults("up-0").unreachable = true;
+  cluster.Kill(cluster.Leader());
+  cluster.RunFor(kTakeoverTime);
+  cluster.upstreams().faults("up-0").unreachable = false;
+  cluster.RunFor(Millis(3000));
+  BOOST_TEST(cluster.upstreams().starts() == 1);
+  BOOST_TEST(cluster.upstreams().UpstreamRunning({1, 0, 0, 0}) == "up-0");
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against tasks that run on an upstream which the store has as closed.
@@ -116,22 +116,22 @@
 /// until the reopening is stored; otherwise a later leader would act on the old
 /// record.
 BOOST_AUTO_TEST_CASE(NoTaskStartsBeforeUpstreamRecoveryIsStored) {
-  JobCell cell({.upstreams = 1});
-  cell.RunFor(kStartupTime);
-  cell.upstreams().faults("up-0").unreachable = true;
-  cell.RunFor(kDetectionTime);
-  cell.Submit("entry-0", OneStepJob(1, 1, 1000));
-  cell.RunFor(Millis(200));
-  BOOST_REQUIRE(cell.accepted(1));
-  cell.store().faults().down = true;
-  cell.RunFor(Millis(100));
-  cell.upstreams().faults("up-0").unreachable = false;
-  cell.RunFor(Millis(1500));
-  BOOST_TEST(cell.upstreams().starts() == 0);
-  cell.store().faults().down = false;
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(10000)));
-  BOOST_TEST(cell.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
-  BOOST_TEST(cell.Violations().empty());
+  JobCluster cluster({.upstreams = 1});
+  cluster.RunFor(kStartupTime);
+  cluster.upstreams().faults("up-0").unreachable = true;
+  cluster.RunFor(kDetectionTime);
+  cluster.Submit("entry-0", OneStepJob(1, 1, 1000));
+  cluster.RunFor(Millis(200));
+  BOOST_REQUIRE(cluster.accepted(1));
+  cluster.store().faults().down = true;
+  cluster.RunFor(Millis(100));
+  cluster.upstreams().faults("up-0").unreachable = false;
+  cluster.RunFor(Millis(1500));
+  BOOST_TEST(cluster.upstreams().starts() == 0);
+  cluster.store().faults().down = false;
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(10000)));
+  BOOST_TEST(cluster.upstreams().DoneRuns({1, 0, 0, 0}) == 1);
+  BOOST_TEST(cluster.Violations().empty());
 }
 
 /// Guards against placement by outdated capacity. All upstreams shrink to a
@@ -140,21 +140,21 @@
 BOOST_AUTO_TEST_CASE(NewLeaderUsesCurrentUpstreamCapacity) {
   constexpr int kUpstreams = 4;
   constexpr int32_t kShrunk = 2000;
-  JobCell cell({.upstreams = kUpstreams});
-  cell.RunFor(kStartupTime);
+  JobCluster cluster({.upstreams = kUpstreams});
+  cluster.RunFor(kStartupTime);
   for (int i = 0; i < kUpstreams; ++i) {
-    wire::UpstreamRecord entry = cell.ListEntry(i);
+    wire::UpstreamRecord entry = cluster.ListEntry(i);
     entry.millicores = kShrunk;
-    cell.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
-    cell.upstreams().Resize(entry.id, kShrunk);
+    cluster.store().Put(kUpstreamTable, entry.id, rpc::Encode(entry));
+    cluster.upstreams().Resize(entry.id, kShrunk);
   }
-  cell.Kill(cell.Leader());
-  cell.RunFor(kTakeoverTime);
+  cluster.Kill(cluster.Leader());
+  cluster.RunFor(kTakeoverTime);
   constexpr int32_t kTasks = 40;
-  cell.Submit(cell.Leader(), OneStepJob(1, kTasks, 1000));
-  BOOST_TEST(cell.RunUntilFinal(1, Millis(30000)));
-  BOOST_TEST((cell.State(1) == JobState::kComplete));
-  for (const std::string& what : cell.Violations()) BOOST_ERROR(what);
+  cluster.Submit(cluster.Leader(), OneStepJob(1, kTasks, 1000));
+  BOOST_TEST(cluster.RunUntilFinal(1, Millis(30000)));
+  BOOST_TEST((cluster.State(1) == JobState::kComplete));
+  for (const std::string& what : cluster.Violations()) BOOST_ERROR(what);
 }
 
 }  // namespace mimosarail::jobsim
