--- a/tests/jobsim/host_fake.h
+++ b/tests/jobsim/host_fake.h
@@ -58,12 +58,14 @@
 
   HostApiFaults& faults() { return faults_; }
   sim::ManualClock& clock() { return clock_; }
-  /// Hosts whose maintenance for the wave has begun.
+  /// Names of the hosts whose maintenance for the wave has begun.
   std::set<std::string> Begun(int64_t wave) const;
   /// The status of the wave that operators read; empty if there is none.
   std::string Status(int64_t wave);
   /// Checks that no wave is reported as complete before all of its hosts are.
   void CheckStatus();
+  /// Number of calls to the host API: all, those that list hosts, and those
+  /// that order a maintenance.
   int calls() const { return calls_; }
   int lists() const { return lists_; }
   int orders() const { return calls_ - lists_; }
@@ -71,6 +73,7 @@
     ++calls_;
     if (list) ++lists_;
   }
+  /// The upstream that runs on the host; empty if there is none.
   std::string UpstreamOf(const std::string& host) const;
   /// Number of maintenances begun; a host counts once per wave.
   int begins() const { return begins_; }
--- a/tests/jobsim/job_cluster.cc
+++ b/tests/jobsim/job_cluster.cc
@@ -111,7 +111,7 @@
   wire::UpstreamRecord record = list_entries_[crashed];
   // The adviser decides by the last digit, so it stays the same.
   record.id =
-      "life-" + std::to_string(++upstreams_created_) + "-" + crashed.back();
+      "life-" + std::to_string(++replacements_created_) + "-" + crashed.back();
   list_entries_[record.id] = record;
   upstreams_.Add(record.id, record.millicores, record.memory_mb);
   store_.Put(kUpstreamTable, crashed, "");
@@ -260,13 +260,13 @@
   const size_t call = RecordCall(CallKind::kSubmit, entry, id);
   auto& process = processes_[entry];
   if (!process) return;
-  ++submits_[id];
+  ++submissions_[id];
   auto* target = process->entry.get();
   process->executor.Post([this, target, spec, id, call] {
     target->Submit(
         spec, kCallTimeout, [this, id, call](jobentry::JobAnswer answer) {
           RecordAnswer(call, answer.verdict);
-          answers_[id].push_back(answer.verdict);
+          submission_answers_[id].push_back(answer.verdict);
           if (answer.verdict == coordinator::JobVerdict::kConfirmed) {
             accepted_.insert(id);
           }
@@ -285,14 +285,15 @@
 }
 
 bool JobCluster::answered(JobId id) const {
-  const auto found = answers_.find(id);
-  return found != answers_.end() && found->second.size() >= submits_.at(id);
+  const auto found = submission_answers_.find(id);
+  return found != submission_answers_.end() &&
+         found->second.size() >= submissions_.at(id);
 }
 
 bool JobCluster::refused(JobId id) const {
   // A call whose entry died was not refused: the job may have been accepted.
   if (!answered(id)) return false;
-  const auto found = answers_.find(id);
+  const auto found = submission_answers_.find(id);
   return std::all_of(found->second.begin(), found->second.end(), [](auto v) {
     return v == coordinator::JobVerdict::kRefused;
   });
@@ -303,7 +304,7 @@
   auto& process = processes_[entry];
   if (!process) return;
   auto* target = process->entry.get();
-  ++cancels_[id];
+  ++cancel_calls_[id];
   process->executor.Post([this, target, id, call] {
     target->Cancel(
         id, kCallTimeout, [this, id, call](jobentry::JobAnswer answer) {
@@ -318,16 +319,16 @@
               answer.verdict == coordinator::JobVerdict::kNoSuchJob &&
               accepted_.count(id) > 0;
           if (ended || answer.verdict == coordinator::JobVerdict::kConfirmed) {
-            upstreams_.NoteCancelled(id);
+            upstreams_.RecordCancelled(id);
           }
         });
   });
 }
 
 bool JobCluster::cancel_answered(JobId id) const {
-  const auto called = cancels_.find(id);
+  const auto called = cancel_calls_.find(id);
   const auto answered = cancel_answers_.find(id);
-  return called != cancels_.end() && answered != cancel_answers_.end() &&
+  return called != cancel_calls_.end() && answered != cancel_answers_.end() &&
          answered->second >= called->second;
 }
 
@@ -371,7 +372,7 @@
 std::vector<std::string> JobCluster::Violations() const {
   std::vector<std::string> out = upstreams_.violations();
   out.insert(out.end(), hosts_.violations().begin(), hosts_.violations().end());
-  for (const auto& [id, answers] : answers_) {
+  for (const auto& [id, answers] : submission_answers_) {
     if (refused(id) && upstreams_.HasRun(id)) {
       out.push_back("job ran although it was refused: " + JobIdText(id));
     }
--- a/tests/jobsim/job_cluster.h
+++ b/tests/jobsim/job_cluster.h
@@ -102,7 +102,7 @@
   explicit JobCluster(JobClusterOptions options);
   ~JobCluster();
 
-  /// Replaces the entry's process by one without its memory.
+  /// Kills the entry's process and starts a new one, with empty memory.
   void Restart(const std::string& entry);
   void Kill(const std::string& entry);
   void Pause(const std::string& entry);
@@ -139,7 +139,7 @@
   const std::vector<CallerCall>& calls() const { return calls_; }
   bool accepted(JobId id) const { return accepted_.count(id) > 0; }
   /// Whether a caller has asked to cancel the job, whatever the result.
-  bool cancel_called(JobId id) const { return cancels_.count(id) > 0; }
+  bool cancel_called(JobId id) const { return cancel_calls_.count(id) > 0; }
   bool cancelled(JobId id) const { return cancelled_.count(id) > 0; }
   /// Whether every call to cancel the job was answered, whatever the answer.
   bool cancel_answered(JobId id) const;
@@ -163,9 +163,10 @@
   sim::ManualClock& clock() { return clock_; }
   StoreFake& store() { return store_; }
   UpstreamsFake& upstreams() { return upstreams_; }
-  /// The record of an initial upstream in the list of upstreams.
+  /// The record of the initial upstream up-`number` in the upstream list.
   wire::UpstreamRecord ListEntry(int number) const;
-  /// The same for any incarnation of an upstream. Precondition: it was listed.
+  /// The list entry of any incarnation of an upstream. Precondition: the
+  /// incarnation has been listed.
   const wire::UpstreamRecord& ListEntryOf(const std::string& id) const {
     return list_entries_.at(id);
   }
@@ -204,16 +205,17 @@
   std::map<std::string, Millis> peer_latency_;
   /// The list entry of each incarnation of an upstream.
   std::map<std::string, wire::UpstreamRecord> list_entries_;
-  int upstreams_created_ = 0;
+  int replacements_created_ = 0;
   std::map<std::string, std::unique_ptr<MachineFake>> machines_;
   std::vector<CallerCall> calls_;
   std::set<JobId> accepted_;
   std::set<JobId> cancelled_;
-  std::map<JobId, size_t> submits_;
-  /// Number of cancel calls that were made and that were answered.
-  std::map<JobId, size_t> cancels_;
+  /// Number of submissions of each job to running entries.
+  std::map<JobId, size_t> submissions_;
+  /// Number of calls to cancel each job, and of answers to them.
+  std::map<JobId, size_t> cancel_calls_;
   std::map<JobId, size_t> cancel_answers_;
-  std::map<JobId, std::vector<coordinator::JobVerdict>> answers_;
+  std::map<JobId, std::vector<coordinator::JobVerdict>> submission_answers_;
 };
 
 /// A job with one step for the cluster's only queue.
--- a/tests/jobsim/store_fake.cc
+++ b/tests/jobsim/store_fake.cc
@@ -66,7 +66,7 @@
   return total > kMaxAppendBytes;
 }
 
-std::vector<std::string> ValuesOf(
+std::vector<std::string> ConfigDocumentsOf(
     const std::vector<ports::KeyedRecord>& records) {
   std::vector<std::string> out;
   for (const ports::KeyedRecord& record : records) {
@@ -117,7 +117,7 @@
   }
   if (call.writer) {
     Writer& writer = table.writers[call.writer->name];
-    if (const auto denied = Check(*call.writer, writer)) return *denied;
+    if (const auto denied = CheckWriter(*call.writer, writer)) return *denied;
     // An empty append sets the epoch but takes no sequence number.
     if (!call.records.empty()) writer.sequence = call.writer->sequence;
   }
@@ -134,7 +134,7 @@
   return done;
 }
 
-std::optional<ports::AppendReply> StoreFake::Check(
+std::optional<ports::AppendReply> StoreFake::CheckWriter(
     const ports::WriterIdentity& who, Writer& writer) {
   using ports::AppendVerdict;
   if (who.epoch < writer.epoch) {
@@ -342,7 +342,7 @@
       [this]() -> Result<ports::ConfigUpdate> {
         const auto page = store_.Newest(kConfigTable, "");
         return ports::ConfigUpdate{.cursor = page.end_offset,
-                                   .documents = ValuesOf(page.records),
+                                   .documents = ConfigDocumentsOf(page.records),
                                    .waves = store_.Waves(page.records)};
       },
       kReplyDelay);
@@ -358,7 +358,7 @@
         if (!tail.ok()) return tail.error();
         const auto& records = tail.value().records;
         return ports::ConfigUpdate{.cursor = tail.value().end_offset,
-                                   .documents = ValuesOf(records),
+                                   .documents = ConfigDocumentsOf(records),
                                    .waves = store_.Waves(records)};
       },
       kPollInterval);
@@ -366,7 +366,7 @@
 
 Result<ports::CellConfig> StoreClientFake::Decode(
     const std::string& document) const {
-  // A document of the fake is only its version; there is one queue.
+  // A document of the fake contains only its version; pool and queue are fixed.
   ports::CellConfig out;
   const char* const end = document.data() + document.size();
   const auto read = std::from_chars(document.data(), end, out.version);
--- a/tests/jobsim/store_fake.h
+++ b/tests/jobsim/store_fake.h
@@ -17,9 +17,11 @@
 
 namespace mimosarail::jobsim {
 
-/// Faults of the store, set by tests. Entries are named as in their calls.
+/// Faults of the store, set by tests. Entries are identified by their names.
 struct StoreFaults {
+  /// No call is executed or answered.
   bool down = false;
+  /// Entries whose calls do not reach the store.
   std::set<std::string> partitioned_entries;
   /// Number of upcoming appends that are executed without a reply.
   int drop_replies = 0;
@@ -60,6 +62,7 @@
   std::vector<ports::WaveRequest> Waves(
       const std::vector<ports::KeyedRecord>& records) const;
 
+  /// Writes a record; an empty value removes the key.
   void Put(const std::string& table, const std::string& key,
            const std::string& value);
   const std::map<std::string, std::string>& Records(const std::string& table) {
@@ -69,8 +72,8 @@
   const StoreFaults& faults() const { return faults_; }
   sim::ManualClock& clock() { return clock_; }
   int64_t appends() const { return appends_; }
-  /// Number of appends refused for their sequence numbers: they have overtaken
-  /// others.
+  /// Number of appends refused because they overtook an earlier append, as
+  /// their sequence numbers show.
   int64_t out_of_order() const { return out_of_order_; }
   /// Seeds all random decisions.
   void Seed(uint64_t seed) { random_.seed(seed); }
@@ -103,10 +106,10 @@
     std::map<std::string, Writer> writers;
   };
 
-  /// Adopts the writer's epoch. Returns the reply if the append is denied or
-  /// was executed before; nothing if it is to be executed.
-  std::optional<ports::AppendReply> Check(const ports::WriterIdentity& who,
-                                          Writer& writer);
+  /// Adopts the epoch of `who`. Returns the reply to an append that is denied
+  /// or was executed before; nothing if the append is to be executed.
+  std::optional<ports::AppendReply> CheckWriter(
+      const ports::WriterIdentity& who, Writer& writer);
 
   sim::ManualClock& clock_;
   StoreFaults faults_;
--- a/tests/jobsim/upstream_fake.cc
+++ b/tests/jobsim/upstream_fake.cc
@@ -311,7 +311,7 @@
   upstream.running[call.task] = {
       .attempt = call.attempt, .id = run, .started = clock_.now()};
   ExtendLease(upstream, call.lease_until_ms);
-  ExpireLease(target.id);
+  ScheduleLeaseExpiry(target.id);
   BeginWork(call.task, call.attempt);
   CrashLater(target.id, call.task, run);
   const wire::StepSpec* step = StepOf(call.task);
@@ -409,7 +409,7 @@
   }
 }
 
-void UpstreamsFake::ExpireLease(const std::string& id) {
+void UpstreamsFake::ScheduleLeaseExpiry(const std::string& id) {
   const TimePoint due = upstreams_[id].lease_end;
   clock_.At(due, [this, id, due] {
     Upstream& upstream = upstreams_[id];
@@ -418,7 +418,8 @@
     for (const auto& [task, run] : upstream.running) {
       all.emplace_back(task, run.id);
     }
-    // Ends before the expiry that no leader has acknowledged no longer count.
+    // Completions before the expiry that no leader has acknowledged no longer
+    // count.
     upstream.last_completion_before_expiry = upstream.last_completion;
     for (const auto& [task, run] : all) {
       End(id, task, run, EndKind::kLeaseExpired);
@@ -463,7 +464,7 @@
   reply.call.verdict = CallVerdict::kDone;
   if (call.lease_until_ms > 0) {
     ExtendLease(upstream, call.lease_until_ms);
-    ExpireLease(target.id);
+    ScheduleLeaseExpiry(target.id);
   }
   for (const ports::EndedTask& end : upstream.ended) {
     if (end.number <= call.acked_completions && end.kind == EndKind::kDone &&
--- a/tests/jobsim/upstream_fake.h
+++ b/tests/jobsim/upstream_fake.h
@@ -70,8 +70,8 @@
   void RegisterJob(const wire::JobSpec& spec);
   TaskBehavior& behavior(const TaskId& task) { return behaviors_[task]; }
 
-  /// Ends this incarnation at once, with its runs and all ends that no leader
-  /// has acknowledged. Its address refuses connections until another
+  /// Ends this incarnation at once. Its runs and all completions that no leader
+  /// has acknowledged are lost. Its address refuses connections until another
   /// incarnation answers there, which `OnReplacement` reports.
   void Crash(const std::string& id);
   void OnReplacement(
@@ -98,11 +98,11 @@
   /// long-running task of a step that already has max_unavailable tasks
   /// unavailable.
   void CheckTerminationAllowed(const std::string& id);
-  /// Some ends "done" of the upstream have not been acknowledged by any leader.
-  /// Counts these as lost together with the upstream.
+  /// Counts the successful runs of the upstream whose completion no leader has
+  /// acknowledged as lost.
   void DropUnacknowledgedCompletions(const std::string& id);
-  /// Number of runs that ended "done", without those that were lost by
-  /// DropUnacknowledgedCompletions().
+  /// Number of successful runs of the task, without those that
+  /// DropUnacknowledgedCompletions() counted as lost.
   int DurableDoneRuns(const TaskId& task) const;
   /// Number of tasks that run on the upstream now.
   size_t Running(const std::string& id) const {
@@ -117,13 +117,13 @@
                           const ports::RenewCall& call);
   /// Records that a caller got the answer that the job is cancelled or does not
   /// exist.
-  void NoteCancelled(JobId job) { cancelled_at_.emplace(job, clock_.now()); }
+  void RecordCancelled(JobId job) { cancelled_at_.emplace(job, clock_.now()); }
   /// Records that a fault is active now; time bounds start again.
   void RecordFault() { last_fault_at_ = clock_.now(); }
   /// Whether any upstream has a fault that affects calls.
   bool HasActiveFault() const;
-  /// Checks a start that an entry sends: its job was not cancelled longer ago
-  /// than the bound.
+  /// Checks that an entry does not send a start of the task when its job was
+  /// cancelled longer ago than the bound.
   void CheckSentStart(const TaskId& task);
   /// Checks that no task of a cancelled job runs past its bound.
   void CheckCancelled();
@@ -140,7 +140,7 @@
 
   /// Violations of the rules so far, each with a description.
   const std::vector<std::string>& violations() const { return violations_; }
-  /// Number of runs of the task that ended "done".
+  /// Number of successful runs of the task.
   int DoneRuns(const TaskId& task) const;
   int starts() const { return starts_; }
   /// Whether any entry ever called the upstream.
@@ -167,7 +167,7 @@
     int64_t fence = 0;
     int64_t last_completion = 0;
     TimePoint lease_end{};
-    /// Number of the last end before a lease expired.
+    /// Number of the last completion before a lease expired.
     int64_t last_completion_before_expiry = 0;
     std::map<TaskId, Run> running;
     std::vector<ports::EndedTask> ended;
@@ -178,15 +178,23 @@
   void ExtendLease(Upstream& upstream, int64_t until_ms);
   void CheckStart(const std::string& id, const Upstream& upstream,
                   const ports::StartTask& call);
+  /// Lets the task work, or its whole gang once all members have started.
   void BeginWork(const TaskId& task, int64_t attempt);
   void End(const std::string& id, const TaskId& task, uint64_t run,
            ports::EndKind kind);
   /// Ends the other working members of a gang after one member ended early.
   void BreakGang(const TaskId& task, int64_t attempt);
-  void ExpireLease(const std::string& id);
+  /// Ends all runs of the upstream at the end of its current lease, unless the
+  /// lease is extended before.
+  void ScheduleLeaseExpiry(const std::string& id);
   const wire::StepSpec* StepOf(const TaskId& task) const;
+  /// Whether the task has worked for at least the run time of its behavior. For
+  /// a long-running task this is the time that it needs to become available.
   bool IsWorking(const TaskId& task) const;
+  /// Checks that an order may end the task: at most max_unavailable tasks of
+  /// its step are then unavailable.
   void CheckAvailable(const TaskId& task);
+  /// Checks that a task which crashes its upstreams is not started too often.
   void CheckCrashes(const TaskId& task);
   void CrashLater(const std::string& id, const TaskId& task, uint64_t run);
 
@@ -205,7 +213,7 @@
   std::function<void(const std::string& id)> on_crash_;
   Millis replacement_delay_{3000};
   bool replacement_at_new_address_ = false;
-  /// Tasks with an end "done" that a leader has acknowledged.
+  /// Tasks with a successful run that a leader has acknowledged.
   std::set<TaskId> acknowledged_done_;
   std::set<JobId> ran_;
   std::set<std::string> called_;
@@ -213,7 +221,8 @@
   TimePoint last_fault_at_{};
   /// Runs already reported as outlasting the cancellation of their job.
   std::set<uint64_t> reported_overruns_;
-  /// Tasks under a disruption budget that worked when an order ended them.
+  /// Tasks of steps with max_unavailable that were working when an order ended
+  /// them and that do not work again yet.
   std::set<TaskId> ended_by_order_;
   std::vector<std::string> violations_;
   uint64_t last_run_ = 0;
