--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -12,8 +12,8 @@
 /// only when its process ends.
 constexpr Millis kMaxIdle{50000};
 constexpr size_t kMaxConnections = 200;
-/// The entry may not have read a request sent this shortly before its
-/// connection closed.
+/// A request sent this shortly before its connection closed may not have been
+/// read by the entry.
 constexpr Millis kUnreadGrace{200};
 /// Answers of an entry are checked strictly if it got no signal but SIGTERM for
 /// this long.
@@ -35,7 +35,9 @@
 /// Shares among the calls about accepted jobs; the rest queries the state.
 constexpr size_t kCancelPercent = 10;
 constexpr size_t kResubmitPercent = 8;
+/// Share of calls to a random entry instead of the caller's home entry.
 constexpr size_t kOtherEntryPercent = 15;
+/// Share of refused submissions that are not retried.
 constexpr size_t kAbandonRefusedPercent = 50;
 /// All entries must know a job this long after its acceptance.
 constexpr Millis kVisibilityLimit{3000};
@@ -106,7 +108,7 @@
   return out;
 }
 
-Entry& Callers::Home(size_t caller) {
+Entry& Callers::PickEntry(size_t caller) {
   const size_t at = random_.Percent(kOtherEntryPercent)
                         ? random_.Below(entries_.size())
                         : caller % entries_.size();
@@ -115,15 +117,15 @@
 
 void Callers::Start(size_t callers) {
   active_ = callers;
-  for (size_t i = 0; i < callers; ++i) Next(i);
+  for (size_t i = 0; i < callers; ++i) ScheduleNextCall(i);
 }
 
-void Callers::Next(size_t caller) {
+void Callers::ScheduleNextCall(size_t caller) {
   executor_.RunAfter(random_.Between(kMinThinkTime, kMaxThinkTime),
-                     [this, caller] { Act(caller); });
+                     [this, caller] { MakeNextCall(caller); });
 }
 
-void Callers::Act(size_t caller) {
+void Callers::MakeNextCall(size_t caller) {
   if (ending_) {
     --active_;
     return;
@@ -133,7 +135,7 @@
   }
   const JobId id = accepted_[random_.Below(accepted_.size())];
   if (random_.Percent(kResubmitPercent)) {
-    return Submit(caller, id, Home(caller), kMaxRetries);
+    return Submit(caller, id, PickEntry(caller), kMaxRetries);
   }
   QueryOrCancel(caller, id, random_.Percent(kCancelPercent));
 }
@@ -151,10 +153,10 @@
     if (i > 0) steps.back()["dependsOn"] = {i - 1};
   }
   job.body = Json{{"spec", Payload(id)}, {"steps", steps}}.dump();
-  Submit(caller, id, Home(caller), 0);
+  Submit(caller, id, PickEntry(caller), 0);
 }
 
-void Callers::Submit(size_t caller, JobId id, Entry& entry, int tries) {
+void Callers::Submit(size_t caller, JobId id, Entry& entry, int retries) {
   JobRecord& job = checker_.jobs()[id];
   ++job.submissions;
   client_.Call(entry,
@@ -162,12 +164,12 @@
                 .job = id,
                 .body = job.body,
                 .limit = random_.Between(kMinCallTimeout, kMaxCallTimeout)},
-               [this, caller, id, &entry, tries](const CallerReply& reply) {
-                 OnSubmitReply(caller, id, entry, tries, reply);
+               [this, caller, id, &entry, retries](const CallerReply& reply) {
+                 OnSubmitReply(caller, id, entry, retries, reply);
                });
 }
 
-void Callers::OnSubmitReply(size_t caller, JobId id, Entry& entry, int tries,
+void Callers::OnSubmitReply(size_t caller, JobId id, Entry& entry, int retries,
                             const CallerReply& reply) {
   JobRecord& job = checker_.jobs()[id];
   if (reply.status == 200) {
@@ -176,22 +178,22 @@
       job.accepted_at = Clock::now();
       accepted_.push_back(id);
     }
-    return Next(caller);
+    return ScheduleNextCall(caller);
   }
   if (reply.refused()) ++job.refusals;
   const bool abandons =
       reply.refused() && random_.Percent(kAbandonRefusedPercent);
-  if (abandons || tries >= kMaxRetries) return Next(caller);
+  if (abandons || retries >= kMaxRetries) return ScheduleNextCall(caller);
   // Retries reach other entries.
   Entry& other = *entries_[random_.Below(entries_.size())];
   executor_.RunAfter(random_.Between(kMinRetryDelay, kMaxRetryDelay),
-                     [this, caller, id, &other, tries] {
-                       Submit(caller, id, other, tries + 1);
+                     [this, caller, id, &other, retries] {
+                       Submit(caller, id, other, retries + 1);
                      });
 }
 
 void Callers::QueryOrCancel(size_t caller, JobId id, bool cancel) {
-  Entry& entry = Home(caller);
+  Entry& entry = PickEntry(caller);
   JobRecord& job = checker_.jobs()[id];
   const bool uncancelled = !job.cancel_requested;
   job.cancel_requested = job.cancel_requested || cancel;
@@ -200,7 +202,7 @@
       entry, call,
       [this, caller, call, &entry, uncancelled](const CallerReply& reply) {
         if (reply.status == 410 && uncancelled) OnJobNotFound(call, entry);
-        Next(caller);
+        ScheduleNextCall(caller);
       });
 }
 
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -75,12 +75,14 @@
   size_t active() const { return active_; }
 
  private:
-  Entry& Home(size_t caller);
-  void Next(size_t caller);
-  void Act(size_t caller);
+  /// The caller's home entry or, at random, any entry.
+  Entry& PickEntry(size_t caller);
+  void ScheduleNextCall(size_t caller);
+  void MakeNextCall(size_t caller);
   void SubmitNew(size_t caller);
-  void Submit(size_t caller, JobId id, Entry& entry, int tries);
-  void OnSubmitReply(size_t caller, JobId id, Entry& entry, int tries,
+  /// `retries` counts the previous attempts of this submission.
+  void Submit(size_t caller, JobId id, Entry& entry, int retries);
+  void OnSubmitReply(size_t caller, JobId id, Entry& entry, int retries,
                      const CallerReply& reply);
   /// Queries or cancels an accepted job.
   void QueryOrCancel(size_t caller, JobId id, bool cancel);
--- a/tests/soak/consistency_checker.cc
+++ b/tests/soak/consistency_checker.cc
@@ -91,9 +91,9 @@
   }
   status.runs_on.insert(upstream);
   if (!status.done) return;
-  for (auto& [name, ends] : unacknowledged_) {
-    for (auto& [number, end] : ends) {
-      if (end.task == task) end.started_again = true;
+  for (auto& [name, completions] : unacknowledged_) {
+    for (auto& [number, completion] : completions) {
+      if (completion.task == task) completion.started_again = true;
     }
   }
 }
@@ -109,15 +109,16 @@
 
 void ConsistencyChecker::OnAcknowledged(const std::string& upstream,
                                         int64_t completion_number) {
-  auto& ends = unacknowledged_[upstream];
-  while (!ends.empty() && ends.begin()->first <= completion_number) {
-    const UnacknowledgedCompletion& end = ends.begin()->second;
-    tasks_[end.task].acknowledged = true;
-    if (end.started_again) {
+  auto& completions = unacknowledged_[upstream];
+  while (!completions.empty() &&
+         completions.begin()->first <= completion_number) {
+    const UnacknowledgedCompletion& completion = completions.begin()->second;
+    tasks_[completion.task].acknowledged = true;
+    if (completion.started_again) {
       AddFinding("completion acknowledged after another start: " +
-                 TaskIdText(end.task));
+                 TaskIdText(completion.task));
     }
-    ends.erase(ends.begin());
+    completions.erase(completions.begin());
   }
 }
 
--- a/tests/soak/consistency_checker.h
+++ b/tests/soak/consistency_checker.h
@@ -31,6 +31,7 @@
   /// The first final state that an entry reported, and when; empty before.
   std::string final_state;
   TimePoint final_reported_at{};
+  /// An upstream has started a task of the job.
   bool started = false;
 };
 
@@ -56,13 +57,14 @@
 
   void OnStart(const std::string& upstream, const TaskId& task,
                const std::string& payload);
-  /// `completion_number` is the number of the end if it is "done", 0 for other
-  /// ends.
+  /// A run ended. `completion_number` is the number of the completion if the
+  /// run was successful, 0 otherwise.
   void OnEnd(const std::string& upstream, const TaskId& task,
              int64_t completion_number);
-  /// A leader has acknowledged the ends up to `completion_number`.
+  /// A leader has acknowledged the completions up to `completion_number`.
   void OnAcknowledged(const std::string& upstream, int64_t completion_number);
-  /// Drops the ends that no leader has acknowledged: they no longer count.
+  /// Drops the completions that no leader has acknowledged: they no longer
+  /// count.
   void OnLeaseExpired(const std::string& upstream) {
     unacknowledged_[upstream].clear();
   }
@@ -71,10 +73,10 @@
   struct TaskStatus {
     std::set<std::string> runs_on;
     bool done = false;
-    /// A leader has acknowledged an end "done".
+    /// A leader has acknowledged a successful run.
     bool acknowledged = false;
   };
-  /// An end "done" that no leader has acknowledged.
+  /// A successful run that no leader has acknowledged.
   struct UnacknowledgedCompletion {
     TaskId task;
     bool started_again = false;
@@ -88,6 +90,7 @@
   std::vector<std::string> findings_;
   std::map<JobId, JobRecord> jobs_;
   std::map<TaskId, TaskStatus> tasks_;
+  /// By upstream and completion number.
   std::map<std::string, std::map<int64_t, UnacknowledgedCompletion>>
       unacknowledged_;
 };
--- a/tests/soak/entries.cc
+++ b/tests/soak/entries.cc
@@ -25,13 +25,15 @@
 constexpr Millis kMaxPause{3500};
 /// Time after SIGTERM until the process is killed.
 constexpr Millis kShutdownTimeout{6000};
+/// Share of faults that hit the leader; the others hit a random entry.
 constexpr size_t kLeaderPercent = 75;
-/// Share of kills among the faults, and of SIGTERM among the others; the rest
+/// Share of SIGKILL among the faults, and of SIGTERM among the others; the rest
 /// pauses the entry.
 constexpr size_t kKillPercent = 45;
 constexpr size_t kTerminatePercent = 55;
 /// Share of faults that come with a second fault at the same time.
 constexpr size_t kSecondFaultPercent = 20;
+/// Share of faults that kill all entries at once.
 constexpr size_t kKillAllPercent = 3;
 /// At least this many entries stay healthy, except when all are killed.
 constexpr int64_t kMinHealthy = 2;
@@ -82,10 +84,10 @@
 
 int64_t Entry::last_term_led() {
   std::ifstream log(Path(".log"));
-  log.seekg(log_read_);
+  log.seekg(log_offset_);
   std::string line;
   while (std::getline(log, line) && !log.eof()) {
-    log_read_ = log.tellg();
+    log_offset_ = log.tellg();
     last_term_led_ = std::max(last_term_led_, TermLed(line));
   }
   return last_term_led_;
--- a/tests/soak/entries.h
+++ b/tests/soak/entries.h
@@ -16,7 +16,7 @@
 struct EntryOptions {
   std::string name;
   std::string daemon;
-  /// Directory of settings and logs.
+  /// Directory of the entry's settings and log.
   std::string folder;
   /// "ip:port" for callers and for other entries.
   std::string front;
@@ -35,7 +35,7 @@
   explicit Entry(EntryOptions options);
 
   void Start();
-  /// SIGKILL, SIGTERM, SIGSTOP or SIGCONT.
+  /// Sends SIGKILL, SIGTERM, SIGSTOP or SIGCONT to the process.
   void Signal(int signal);
   bool alive() { return process_->Alive(); }
   /// The process runs, is not paused, and was not asked to end.
@@ -63,7 +63,8 @@
   bool shutdown_requested_ = false;
   bool killed_ = false;
   TimePoint last_fault_at_{};
-  std::streamoff log_read_ = 0;
+  /// Offset up to which the log has been read.
+  std::streamoff log_offset_ = 0;
   int64_t last_term_led_ = 0;
 };
 
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -27,8 +27,10 @@
 constexpr const char* kPool = "soak-pool";
 constexpr size_t kUpstreams = 4;
 constexpr size_t kCallers = 24;
-constexpr size_t kSeeds = 3;
+/// Number of entries that every entry asks for the leader.
+constexpr size_t kSeedEntries = 3;
 constexpr Millis kCallersPollInterval{50};
+/// Random seeds reserved for each run, so that no two runs share one.
 constexpr size_t kSeedsPerRun = 100;
 
 /// Faults of a store that is slow enough for the journal to have two appends in
@@ -59,7 +61,7 @@
   explicit Soak(const std::string& folder)
       : folder_(folder),
         checker_(folder + "/run.log"),
-        store_(io_, executor_, kStoreFaults, Seed()),
+        store_(io_, executor_, kStoreFaults, NextSeed()),
         client_(io_, checker_) {}
 
   bool Run() {
@@ -73,7 +75,7 @@
   }
 
  private:
-  uint64_t Seed() { return FLAGS_seed * kSeedsPerRun + ++seeds_drawn_; }
+  uint64_t NextSeed() { return FLAGS_seed * kSeedsPerRun + ++seeds_drawn_; }
 
   bool StartPlatform() {
     store_address_ = store_.Start();
@@ -81,7 +83,7 @@
     for (size_t i = 0; i < kUpstreams; ++i) {
       upstreams_.push_back(std::make_unique<UpstreamServerFake>(
           io_, executor_, checker_, "upstream-" + std::to_string(i),
-          kUpstreamFaults, Seed()));
+          kUpstreamFaults, NextSeed()));
       if (!upstreams_.back()->Start()) return false;
       store_.log().Put("keyed.servers", upstreams_.back()->id(),
                        upstreams_.back()->ListEntry(kPool));
@@ -92,7 +94,8 @@
   void StartEntries() {
     std::vector<std::string> peers;
     for (int i = 0; i < FLAGS_entries; ++i) peers.push_back(FreeAddress());
-    const std::vector<std::string> seeds(peers.begin(), peers.begin() + kSeeds);
+    const std::vector<std::string> seeds(peers.begin(),
+                                         peers.begin() + kSeedEntries);
     for (const std::string& peer : peers) {
       entries_.push_back(std::make_unique<Entry>(
           EntryOptions{.name = "entry-" + std::to_string(entries_.size()),
@@ -161,8 +164,9 @@
   std::vector<std::unique_ptr<UpstreamServerFake>> upstreams_;
   CallerClient client_;
   Entries entries_;
-  Callers callers_{executor_, client_, checker_, entries_, Seed()};
-  ProcessFaultInjector fault_injector_{executor_, checker_, entries_, Seed()};
+  Callers callers_{executor_, client_, checker_, entries_, NextSeed()};
+  ProcessFaultInjector fault_injector_{executor_, checker_, entries_,
+                                       NextSeed()};
   FinalCheck final_check_{executor_, client_, checker_, entries_};
 };
 
--- a/tests/soak/store_server_fake.cc
+++ b/tests/soak/store_server_fake.cc
@@ -13,11 +13,12 @@
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kOffsetBytes = 8;
 constexpr unsigned kBitsPerByte = 8;
+/// Number of a writer's newest appends whose replies are kept for repetitions.
 constexpr size_t kKeptReplies = 5;
 constexpr size_t kPageItems = 500;
 constexpr size_t kPageBytes = 1 << 20;
 /// Maximum size of a read reply.
-constexpr size_t kReadBytes = 1 << 20;
+constexpr size_t kMaxReadBytes = 1 << 20;
 
 void AppendNumber(std::string& out, uint64_t value, size_t bytes) {
   for (size_t at = bytes; at-- > 0;) {
@@ -157,8 +158,8 @@
   const std::string producer = target.Text("producer");
   Writer& writer = topic.writers[producer];
   if (!producer.empty()) {
-    const auto refusal = CheckWriter(writer, target, records->empty());
-    if (refusal) return *refusal;
+    const auto reply = CheckWriter(writer, target, records->empty());
+    if (reply) return *reply;
   }
   if (target.query.count("at") > 0 && target.Number("at") != end) {
     return Answer(412, {{"endOffset", end}});
@@ -180,7 +181,7 @@
   AppendNumber(out.body, records.size(), kOffsetBytes);
   AppendNumber(out.body, 0, kOffsetBytes);
   for (auto at = static_cast<size_t>(target.Number("from"));
-       at < records.size() && out.body.size() < kReadBytes; ++at) {
+       at < records.size() && out.body.size() < kMaxReadBytes; ++at) {
     const std::string& record = records[at];
     AppendNumber(out.body, record.size(), kLengthBytes);
     out.body += record;
--- a/tests/soak/store_server_fake.h
+++ b/tests/soak/store_server_fake.h
@@ -38,7 +38,7 @@
   http::Response Append(const Target& target, const std::string& body);
   http::Response Read(const Target& target);
   http::Response Newest(const Target& target);
-  /// Writes a record as the operator or an upstream would.
+  /// Writes a record as an operator or an upstream would.
   void Put(const std::string& topic, const std::string& key,
            const std::string& value);
   /// Offset of the next record.
@@ -51,7 +51,7 @@
  private:
   struct Writer {
     int64_t epoch = 0;
-    /// Sequence number of the last append with records.
+    /// Sequence number of the last append with records; unset before the first.
     std::optional<int64_t> last;
     /// Replies to the last appends, by their sequence numbers.
     std::deque<std::pair<int64_t, http::Response>> replies;
