--- a/tests/job_fault_injection_test.cc
+++ b/tests/job_fault_injection_test.cc
@@ -12,11 +12,11 @@
 namespace {
 
 /// Seeds that have failed before, kept as regression cases.
-/// 1549, 2931: a run ended "done" on an unreachable upstream, and its lease
-/// expired before the holder recorded the end. Such an end counts as never
-/// seen, but the check counted it as seen.
-/// 2059, 2550: one call was refused and a second one got no answer because its
-/// entry died; the check counted both as refused.
+/// 1549, 2931: a run succeeds on an unreachable upstream, and the lease expires
+/// before the leader records the completion. Such a completion does not count,
+/// but the check counted it.
+/// 2059, 2550: one call is refused and a second one gets no answer because its
+/// entry dies; the check counted both as refused.
 const std::vector<uint64_t> kRegressionSeeds{1549, 2931, 2059, 2550};
 constexpr uint64_t kDefaultSeedCount = 60;
 
