--- a/src/control/upstream_session.h
+++ b/src/control/upstream_session.h
@@ -17,18 +17,20 @@
   Millis lease{8000};
   /// Longest time between sending a call and its arrival at the upstream.
   Millis max_delay{2000};
-  /// Delay before the first retry of a failed attach; doubled up to the
-  /// maximum.
+  /// Delay before the first retry of a failed attach; doubled after each
+  /// further failure up to the maximum.
   Millis attach_retry{200};
   Millis attach_retry_max{2000};
-  /// Delay before an upstream that another controller has attached is attached
-  /// again; doubled after every further loss of control up to the maximum.
+  /// Delay before this entry attaches an upstream again after another
+  /// controller has attached it; doubled after every further loss of control up
+  /// to the maximum.
   Millis contention_backoff_initial{1000};
   Millis contention_backoff_max{30000};
   uint64_t seed = 1;
 };
 
-/// Receives the results of the tasks of a session. Control thread only.
+/// Receives the events of a session: tasks found in an inventory, results of
+/// tasks and changes of capacity. Control thread only.
 class SessionListener {
  public:
   virtual ~SessionListener() = default;
@@ -36,8 +38,8 @@
   /// is stopped before any lease is renewed.
   virtual bool OnFound(const std::string& upstream,
                        const wire::TaskSpec& task) = 0;
-  /// The upstream reports that the task ended. Release() the task once its
-  /// result is stored elsewhere.
+  /// The upstream reports that the task ended. Call UpstreamSession::Release()
+  /// once the owner has received the result.
   virtual void OnEnded(const std::string& upstream,
                        const wire::TaskStatus& status) = 0;
   /// Certain: the start did not and will not take effect.
@@ -62,8 +64,8 @@
 };
 
 enum class SessionPhase {
-  kIdle,       ///< Not assigned to this entry.
-  kAttaching,  ///< Assigned; control or the inventory is missing.
+  kIdle,       ///< Not attached: not preferred, or control was lost.
+  kAttaching,  ///< Attaching, or waiting to attach again after a failed call.
   kReady,      ///< In control, inventory adopted.
 };
 
@@ -115,7 +117,7 @@
   bool finished() const;
   size_t running() const { return tasks_.size(); }
 
-  /// Hash of the kind of work, used to spread tasks of one kind.
+  /// Returns a hash of TaskSpec::work, used to spread tasks with equal work.
   static uint64_t GroupOf(const wire::TaskSpec& task);
 
  private:
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -12,9 +12,9 @@
 /// Assumed number of upstreams that an advice call names, for estimates of its
 /// duration.
 constexpr double kAdviceUpstreams = 30;
-/// Number of failed attempts kept for a long-running task. No limit of failures
-/// applies to it, so they serve only to recognize an end that is reported
-/// twice.
+/// Number of failed attempts kept for a long-running task. They serve only to
+/// recognize an end that is reported twice, since such a task may fail any
+/// number of times.
 constexpr size_t kLongRunningFailuresKept = 8;
 
 }  // namespace
--- a/src/jobs/task_id.cc
+++ b/src/jobs/task_id.cc
@@ -9,8 +9,9 @@
 constexpr size_t kJobIdDigits = 16;
 constexpr int kHex = 16;
 
-/// Removes a number from the start of `text`, together with the '.' that must
-/// follow it, or up to the end of the text if `last` is set.
+/// Removes a number from the start of `text` and returns it, or nullopt if
+/// the text is malformed. A '.' must follow the number and is removed too; if
+/// `last` is set, the text must end after the number.
 std::optional<int32_t> ConsumeNumber(std::string_view& text, bool last) {
   int32_t value = 0;
   const char* const end = text.data() + text.size();
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -22,22 +22,22 @@
   /// 50 appends a second, the charge is less than a thousandth of the value of
   /// the work done.
   Millis min_append_interval{20};
-  /// Delay after which an append whose outcome is in doubt is repeated under
+  /// Delay before an append that is not confirmed as stored is repeated under
   /// its sequence number.
   Millis retry_delay{100};
-  Millis timeout{1500};
-  /// Size in bytes at which an append is full; the store takes 2 MB.
+  Millis timeout{1500};  ///< Time limit of one append call.
+  /// Size in bytes at which an append is full; the store accepts up to 2 MB.
   size_t max_bytes = 1 << 20;
   /// Maximum number of appends in flight to a store that is slow but answers. A
-  /// store carries out the appends of a table one by one, which takes only a
-  /// part of an append's time; the rest is network delay. With one append at a
-  /// time to a store 50 times slower than usual, a job waits for its own append
-  /// and for the rest of the one before. With two, 2 of 10,878 urgent jobs came
-  /// too late to be of use; with one, 36. With four, appends queued up at the
-  /// store, and jobs were refused that are stored with one at a time.
+  /// store carries out the appends of a table one by one, but much of the
+  /// duration of an append is network delay. With one append in flight to a
+  /// store 50 times slower than usual, a job waits for the rest of one append
+  /// and then for its own: 36 of 10,878 urgent jobs came too late to be of use.
+  /// With two appends in flight, 2 of them did. With four, appends queued up at
+  /// the store, and jobs were refused that would have been stored with one.
   size_t max_in_flight = 2;
-  /// A store whose last append took at least this long is slow. Three times the
-  /// interval between two appends.
+  /// A store whose last append took at least this long is slow. The default is
+  /// three times min_append_interval.
   Millis slow_append_threshold{60};
 };
 
@@ -49,8 +49,8 @@
 /// only.
 class Journal : public std::enable_shared_from_this<Journal> {
  public:
-  /// A callback that runs exactly once, since the code that passed it waits for
-  /// the answer. `stored` is true if everything put before the callback was
+  /// A callback that runs exactly once, so that the code that passed it always
+  /// gets an answer. `stored` is true if everything put before the callback was
   /// passed is stored, and false if the journal was closed first, which leaves
   /// the outcome in doubt.
   using StoredCallback = std::function<void(bool stored)>;
@@ -68,9 +68,8 @@
 
   void Put(const std::string& key, std::string value);
   void Remove(const std::string& key) { Put(key, {}); }
-  /// Withdraws the pending value of this key; false if there is none because
-  /// the value is in flight or stored. After a withdrawal, the withdrawn Put()
-  /// takes no effect.
+  /// Withdraws the pending value of this key, which is then never sent. Returns
+  /// false if there is none, for example because it is in flight or stored.
   bool Withdraw(const std::string& key);
   /// Runs `done` when everything put so far is stored or the journal is closed;
   /// never within this call.
@@ -84,6 +83,7 @@
   /// Time from the first sending of the last stored append to its confirmation,
   /// repeats included.
   Millis last_append_duration() const { return last_append_duration_; }
+  /// Number of appends sent, repeats included.
   int64_t appends() const { return appends_; }
   /// Number of appends that are not known to be stored yet.
   size_t in_flight() const { return in_flight_.size(); }
@@ -115,8 +115,8 @@
   /// confirmed by the answer to the later batch numbered `answered`.
   void LogStored(const Batch& batch, Millis took, int64_t answered,
                  int64_t end_offset) const;
-  /// Logs an answer that refuses a batch already regarded as stored. As the
-  /// late answer to a repeated append it is harmless.
+  /// Logs an answer that refuses a batch already regarded as stored. Such an
+  /// answer is harmless if it is the late answer to a repeated append.
   void OnLateReply(int64_t sequence, const ports::AppendReply& reply) const;
 
   Executor& executor_;
--- a/src/requests/peer_port.h
+++ b/src/requests/peer_port.h
@@ -7,8 +7,9 @@
 
 namespace mimosarail::requests {
 
-/// Calls between entry instances. Callbacks run on the control thread. After
-/// an error it is unknown whether the call took effect. Control thread only.
+/// Sends calls to other entry instances. Callbacks run on the control thread.
+/// After an error other than Errc::kUnavailable, the call may have taken
+/// effect. Control thread only.
 class PeerPort {
  public:
   virtual ~PeerPort() = default;
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -27,7 +27,7 @@
 namespace mimosarail::requests {
 
 struct RequestsOptions {
-  std::string self;
+  std::string self;  ///< Name of this entry.
   int64_t incarnation = 0;
   /// How long the outcome of an ended request can be queried.
   Millis outcome_window{600000};
@@ -36,7 +36,7 @@
   int64_t max_answer_bytes = 8 << 20;
   /// Duration of the lease of a task at its upstream.
   Millis lease{8000};
-  /// Longest time after which a sent call may still arrive.
+  /// Longest time between sending a call and its arrival.
   Millis max_delay{2000};
   /// The receiver refuses a placement call that is older than this.
   Millis place_validity{3000};
@@ -118,7 +118,7 @@
   /// Adds what this entry knows about the request as its owner.
   void DescribeTo(const wire::FindCall& call, wire::FindReply& reply) const;
   /// Handles a controller's report on one task. Returns false if the request
-  /// is unknown.
+  /// is unknown or was placed by an earlier process of this entry.
   bool OnReport(const wire::ReportCall& report);
   /// Peers were added or removed, or changed their state.
   void OnMembershipChanged();
@@ -181,8 +181,9 @@
   void SendStop(Record& record);
   void EvaluateAttempt(Record& record);
   void RetryOrEnd(Record& record);
-  /// Counts the upstreams lost in this attempt. Returns true if a task has lost
-  /// so many that it is considered the cause.
+  /// Adds the upstreams lost in this attempt to the count of each task that ran
+  /// on one. Returns true if the count of a task is so high that the task is
+  /// considered the cause.
   bool CrashesUpstreams(Record& record);
   void NextAttempt(Record& record, Millis delay);
 
@@ -216,9 +217,9 @@
   std::unordered_map<std::string, Record> records_;
   /// Ids of the unfinished requests by Record::serial.
   std::unordered_map<uint64_t, std::string> by_serial_;
-  /// Ids of the requests with a wait limit or deadline, ordered by its time.
+  /// Expiry time and id of each request with a wait limit or deadline.
   std::set<std::pair<TimePoint, std::string>> expiries_;
-  /// Ids of the ended requests in the order in which they ended.
+  /// Time of the end and id of the ended requests, oldest first.
   std::deque<std::pair<TimePoint, std::string>> retained_outcomes_;
   placement::WaitQueue queue_;
   placement::StarvationGuard starvation_guard_;
@@ -226,7 +227,8 @@
   PeerCapacity peer_capacity_;
   std::mt19937_64 random_;
   std::map<std::string, wire::TeamUse> own_team_use_;
-  /// Results of FindInfeasibleReason() by shape, for one version of the list.
+  /// Results of FindInfeasibleReason() by ShapeOf(), for the version
+  /// infeasible_list_version_ of the instance list.
   std::unordered_map<uint64_t, std::string> infeasible_reasons_;
   int64_t infeasible_list_version_ = -1;
   uint64_t next_serial_ = 0;
@@ -234,7 +236,7 @@
   int64_t answer_bytes_ = 0;  ///< Total size of the retained answers.
   bool placement_pass_pending_ = false;
   double start_rate_ = 1.0;  ///< Starts per second, smoothed.
-  TimePoint rate_since_{};
+  TimePoint rate_since_{};   ///< Start of the interval being measured.
   int64_t rate_starts_ = 0;  ///< Starts since rate_since_.
 };
 
@@ -242,7 +244,8 @@
 /// same upstreams.
 uint64_t ShapeOf(const wire::RequestSpec& spec);
 
-/// Digest of the content that identifies two submissions as the same request.
+/// Digest of the whole specification. Two submissions with the same key are the
+/// same request if their digests are equal.
 std::string ContentDigest(const wire::RequestSpec& spec);
 
 }  // namespace mimosarail::requests
--- a/src/requests/requests_attempts.cc
+++ b/src/requests/requests_attempts.cc
@@ -11,9 +11,10 @@
 
 constexpr Millis kInitialBackoff{200};
 constexpr Millis kMaxBackoff{30000};
-/// Delay of the next attempt if no task of the attempt was started.
+/// Delay before the next attempt if no task of the last one was started.
 constexpr Millis kNotStartedDelay{50};
-/// Lost or preempted attempts that are repeated without using a retry.
+/// Maximum number of lost or preempted attempts of a request that are repeated
+/// without using up a retry.
 constexpr int32_t kMaxLostAttempts = 10;
 /// Number of lost upstreams after which a task is considered their cause. Each
 /// lost upstream also ends the tasks of other requests that ran on it.
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -9,7 +9,8 @@
 namespace mimosarail::requests {
 namespace {
 
-/// Size of a task from which its request counts as large. See QueueItem::large.
+/// A request whose tasks each need at least this much is large; see
+/// QueueItem::large.
 constexpr int32_t kLargeMillicores = 8000;
 
 }  // namespace
--- a/src/requests/requests_resolving.cc
+++ b/src/requests/requests_resolving.cc
@@ -9,9 +9,9 @@
 namespace mimosarail::requests {
 
 /// Marks a task whose controller is unresponsive or has lost it. Answers of the
-/// round in flight are ignored for the task: an entry that answered that it
-/// controls the task may have lost it since. If such an answer were accepted,
-/// the request would stay in the running state for ever.
+/// round in flight are ignored for the task: an entry may have lost the task
+/// after it answered that it controls it. If such an answer were accepted, the
+/// request would stay in the running state forever.
 void Requests::MarkUnresolved(Record& record, TaskRecord& task) {
   task.phase = TaskPhase::kResolving;
   task.stale_round = record.resolve_round;
@@ -221,13 +221,15 @@
                "its former owner started it and is dead");
   }
   ResolutionInput input = MakeResolutionInput(record, answers, fence_below > 0);
+  // Matches no task: the attempts of the former owner are evaluated above.
   input.attempt = -1;
   const Resolution result = ResolveTask(input);
-  // If no entry or upstream has the request, it is not running. It may have
-  // run: the former owner may have received the answer and had the result
-  // released. A former owner that is only partitioned from this entry
-  // continues: after this round it may attach upstreams again and start its
-  // next attempt in parallel with the attempt of this entry.
+  // A request that no entry or upstream has is not running. It may have run:
+  // the former owner may have received its answer and released the result at
+  // the upstream. The death of the former owner must be confirmed, because an
+  // owner that is only partitioned from this entry continues: after this round
+  // it may attach upstreams again and start its next attempt in parallel with
+  // the attempt of this entry.
   const bool owner_dead = context_.members.IsConfirmedDead(
       record.former_owner, record.former_incarnation);
   const bool resolved =
--- a/src/requests/resolution.h
+++ b/src/requests/resolution.h
@@ -10,9 +10,10 @@
 
 namespace mimosarail::requests {
 
-/// The answers of all reachable entries about one task of an attempt.
+/// What is known about one task of an attempt, from the answers of all
+/// reachable entries and from the instance list.
 struct ResolutionInput {
-  int32_t attempt = 0;
+  int32_t attempt = 0;  ///< A negative number matches no task.
   int32_t index = 0;
   /// Answers of this round by entry name, including this entry's own.
   const std::map<std::string, wire::FindReply>* answers = nullptr;
@@ -21,13 +22,13 @@
   /// Whether every entry that answered in this round fenced the attempt.
   bool fenced = false;
   /// An upstream was removed from the instance list after the attempt was
-  /// placed.
+  /// placed or, if the request is being reclaimed, within the outcome window.
   bool upstream_removed = false;
-  /// Since the latest removal of an upstream from the list, more time has
-  /// passed than any lease lasts.
+  /// The leases of removed upstreams have expired: more than one lease plus the
+  /// maximum delay has passed since the latest removal from the list.
   bool removed_upstream_leases_expired = true;
-  /// The controller assumed that the lease had expired, and more than one
-  /// lease plus the maximum delay has passed since every entry was fenced.
+  /// The controller assumed that the lease had expired, and more than one lease
+  /// plus the maximum delay has passed since all live entries set the fence.
   bool lease_expiry_proved = false;
   /// The upstream had confirmed the start of the task.
   bool began = false;
@@ -43,8 +44,8 @@
 
 struct Resolution {
   ResolutionResult result = ResolutionResult::kWait;
-  std::string controller;  ///< Of a running task: the entry that controls it.
-  wire::ReportCall report;
+  std::string controller;   ///< Of a running task: the entry that controls it.
+  wire::ReportCall report;  ///< Of an ended task: its result.
 };
 
 /// Resolves the outcome of a task whose controller is unresponsive. Pure
--- a/src/requests/task_summary.cc
+++ b/src/requests/task_summary.cc
@@ -7,7 +7,8 @@
 namespace mimosarail::requests {
 namespace {
 
-/// Results that do not establish whether or where the task runs.
+/// Whether a report with this result leaves open how the task ended: the task
+/// may run elsewhere, or this attempt of it never started.
 bool IsInconclusive(wire::TaskEnd::type end) {
   return end == wire::TaskEnd::kMoved || end == wire::TaskEnd::kLapseAssumed ||
          end == wire::TaskEnd::kNotStarted;
--- a/src/scheduling/advice_requests.cc
+++ b/src/scheduling/advice_requests.cc
@@ -8,7 +8,7 @@
 namespace mimosarail::scheduling {
 namespace {
 
-/// After a failed advice call, the step makes no other one for this time.
+/// Time for which a step makes no further advice call after a failed one.
 constexpr Millis kAdviceRetryDelay{150};
 /// Maximum number of upstreams in one advice call; a limit of the adviser.
 constexpr int32_t kMaxUpstreamsPerCall = 100;
@@ -66,8 +66,8 @@
   for (const auto& [upstream, tasks] : plan.tasks_by_upstream) {
     if (advice.Ticket(upstream, start) == nullptr) out.push_back(upstream);
   }
-  // Requested any earlier, the tickets would expire while the gang waits for
-  // capacity.
+  // Tickets that are requested any earlier would expire while the gang waits
+  // for capacity.
   const Millis call = EstimatedCallTime(record.job.queue(), out.size());
   if (plan.ready_at > now + call) out.clear();
   return out;
@@ -83,10 +83,12 @@
   const TimePoint soon = now + kLearnHorizon;
   const std::set<UpstreamIndex>& excluded =
       record.step_state(id.occurrence, id.step).exclusion.excluded;
-  // Sorted by the tasks that fit soon, then by those that fit if it is empty.
+  // Upstreams that no call has asked about. The numbers of tasks that fit soon
+  // and that would fit if the upstream were empty are negated, so that sorting
+  // puts the highest first.
   std::vector<std::tuple<int32_t, int32_t, UpstreamIndex>> not_asked;
-  // Number of tasks that the allowed upstreams could run if empty; expected
-  // from pending answers, too.
+  // Number of tasks that the allowed upstreams could run if empty, plus the
+  // expected number for the upstreams whose answer is pending.
   double allowed_tasks = 0;
   for (const UpstreamIndex upstream : pool_.all()) {
     if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step)) {
@@ -140,10 +142,10 @@
       record.step_state(id.occurrence, id.step).exclusion.excluded;
   const Amount size = TaskResources(step);
   // A gang starts when the answer arrives, and needs valid tickets for all its
-  // tasks at that moment. A ticket that expires before is renewed together with
-  // the missing ones. If each ticket were renewed only after it expired, each
-  // would be missing for 0.5 s of every 2 s, at different times, and a gang of
-  // 45 would never have enough valid tickets at once.
+  // tasks at that moment. A ticket that expires before that is renewed together
+  // with the missing ones. If each ticket were renewed only after it expired,
+  // each would be missing for 0.5 s of every 2 s, at different times, and a
+  // gang of 45 would never have enough valid tickets at once.
   const Millis call =
       step.gang ? EstimatedCallTime(
                       record.job.queue(),
@@ -173,8 +175,8 @@
                      .candidate = {.tasks = fit * UnclaimedFraction(upstream),
                                    .allow_probability = probability}});
     } else if (pending || step.gang) {
-      // Tasks that are no gang have already started on the capacity for which
-      // there are valid tickets.
+      // For tasks that are not part of a gang, valid tickets are not counted:
+      // such tasks have already started on that capacity.
       expected_tasks += probability * fit;
     }
   }
