--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -86,10 +86,10 @@
 void Job::SetPhase(const TaskId& id, TaskPhase phase) {
   Task& task = this->task(id);
   StepCounts& counts = step_counts_[StepIndex(id.occurrence, id.step)];
-  const auto adjust_counts = [&](TaskPhase of, int32_t change) {
-    if (of == TaskPhase::kWaiting) {
+  const auto adjust_counts = [&](TaskPhase counted_phase, int32_t change) {
+    if (counted_phase == TaskPhase::kWaiting) {
       counts.waiting += change;
-    } else if (of == TaskPhase::kDone) {
+    } else if (counted_phase == TaskPhase::kDone) {
       counts.done += change;
       done_ = static_cast<size_t>(static_cast<int64_t>(done_) + change);
     } else {
--- a/src/jobs/task_id.cc
+++ b/src/jobs/task_id.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr size_t kJobIdDigits = 16;
-constexpr int kHex = 16;
+constexpr int kHexBase = 16;
 
 /// Removes a number from the start of `text` and returns it, or nullopt if
 /// the text is malformed. A '.' must follow the number and is removed too; if
@@ -33,16 +33,16 @@
     if (!digit) return std::nullopt;
   }
   JobId id = 0;
-  std::from_chars(text.data(), text.data() + text.size(), id, kHex);
+  std::from_chars(text.data(), text.data() + text.size(), id, kHexBase);
   return id;
 }
 
 std::string JobIdText(JobId id) {
   constexpr std::string_view kDigits = "0123456789abcdef";
-  constexpr unsigned kBits = 4;
+  constexpr unsigned kBitsPerDigit = 4;
   std::string out(kJobIdDigits, '0');
-  for (size_t at = kJobIdDigits; at-- > 0; id >>= kBits) {
-    out[at] = kDigits[id & (kHex - 1)];
+  for (size_t i = kJobIdDigits; i-- > 0; id >>= kBitsPerDigit) {
+    out[i] = kDigits[id & (kHexBase - 1)];
   }
   return out;
 }
--- a/src/journal/journal.cc
+++ b/src/journal/journal.cc
@@ -18,11 +18,11 @@
 using ports::AppendVerdict;
 
 Journal::Journal(Executor& executor, ports::RecordStorePort& store,
-                 JournalOptions options, std::function<void()> lost)
+                 JournalOptions options, std::function<void()> on_lost)
     : executor_(executor),
       store_(store),
       options_(std::move(options)),
-      on_lost_(std::move(lost)) {}
+      on_lost_(std::move(on_lost)) {}
 
 void Journal::Open(std::function<void()> done) {
   // Open the epoch with a record. An append without records also sets the
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -55,10 +55,10 @@
   /// the outcome in doubt.
   using StoredCallback = std::function<void(bool stored)>;
 
-  /// `lost` runs once, when another writer has taken over. The executor and the
-  /// store outlive the journal.
+  /// `on_lost` runs once, when another writer has taken over. The executor and
+  /// the store outlive the journal.
   Journal(Executor& executor, ports::RecordStorePort& store,
-          JournalOptions options, std::function<void()> lost);
+          JournalOptions options, std::function<void()> on_lost);
 
   /// Fences earlier writers; `done` runs when that has taken effect.
   void Open(std::function<void()> done);
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -143,7 +143,9 @@
   std::optional<SubmitResult> CheckAdmission(const wire::RequestSpec& spec,
                                              const wire::Treatment& treatment,
                                              const rules::RuleSet& rules);
-  std::string InfeasibleReason(const wire::RequestSpec& spec);
+  /// Returns why the request would not fit even if the listed upstreams were
+  /// empty, or an empty string if it would fit or none is listed.
+  std::string CachedInfeasibleReason(const wire::RequestSpec& spec);
   std::string FindInfeasibleReason(const wire::RequestSpec& spec) const;
   int64_t TeamWaiting(const std::string& team) const;
   int64_t TeamMillicores(const std::string& team) const;
@@ -184,7 +186,7 @@
   /// Adds the upstreams lost in this attempt to the count of each task that ran
   /// on one. Returns true if the count of a task is so high that the task is
   /// considered the cause.
-  bool CrashesUpstreams(Record& record);
+  bool CountCrashes(Record& record);
   void NextAttempt(Record& record, Millis delay);
 
   void MarkUnresolved(Record& record, TaskRecord& task);
--- a/src/requests/requests_admission.cc
+++ b/src/requests/requests_admission.cc
@@ -58,7 +58,7 @@
 
 /// A request that does not fit on any listed upstream, even an empty one, is
 /// refused instead of queued.
-std::string Requests::InfeasibleReason(const wire::RequestSpec& spec) {
+std::string Requests::CachedInfeasibleReason(const wire::RequestSpec& spec) {
   if (context_.controller.list_version() != infeasible_list_version_ ||
       infeasible_reasons_.size() > kMaxCachedShapes) {
     infeasible_list_version_ = context_.controller.list_version();
@@ -102,7 +102,7 @@
     refused.outcome.reason = treatment.refusal;
     return refused;
   }
-  const std::string infeasible = InfeasibleReason(spec);
+  const std::string infeasible = CachedInfeasibleReason(spec);
   if (!infeasible.empty()) {
     SubmitResult refused;
     refused.outcome.verdict = wire::Verdict::kRefused;
--- a/src/requests/requests_attempts.cc
+++ b/src/requests/requests_attempts.cc
@@ -93,7 +93,7 @@
   RetryOrEnd(record);
 }
 
-bool Requests::CrashesUpstreams(Record& record) {
+bool Requests::CountCrashes(Record& record) {
   bool is_cause = false;
   for (size_t i = 0; i < record.tasks.size(); ++i) {
     if (record.tasks[i].report.result != wire::TaskEnd::kLost) continue;
@@ -125,7 +125,7 @@
                "it started and did not finish, and is not repeatable (" +
                    reason + ")");
   }
-  if (CrashesUpstreams(record)) {
+  if (CountCrashes(record)) {
     return End(record, wire::Verdict::kUnknown,
                "several upstreams were lost while running it, and it may be "
                "the cause (" +
--- a/src/requests/requests_placing.cc
+++ b/src/requests/requests_placing.cc
@@ -20,14 +20,15 @@
   record.owned_by_other_entry = false;
   record.status_message = "in the queue";
   record.tasks.assign(static_cast<size_t>(record.spec.tasks), TaskRecord{});
-  const TimePoint from = record.started_attempts == 0 ? record.submitted_at
-                                                      : context_.executor.Now();
-  TimePoint limit = from + Millis(record.treatment.wait_limit_ms);
+  const TimePoint wait_start = record.started_attempts == 0
+                                   ? record.submitted_at
+                                   : context_.executor.Now();
+  TimePoint expiry = wait_start + Millis(record.treatment.wait_limit_ms);
   if (record.spec.deadline_ms > 0) {
-    limit =
-        std::min(limit, record.submitted_at + Millis(record.spec.deadline_ms));
+    expiry =
+        std::min(expiry, record.submitted_at + Millis(record.spec.deadline_ms));
   }
-  SetExpiry(record, limit);
+  SetExpiry(record, expiry);
   record.queue_key = queue_.Push(
       {.id = record.serial,
        .priority = record.treatment.priority,
@@ -99,10 +100,11 @@
   const auto rules = context_.rules();
   const rules::TeamLimit* limit =
       rules ? rules->LimitOf(record.spec.team) : nullptr;
-  const int64_t wanted =
+  const int64_t wanted_millicores =
       static_cast<int64_t>(record.spec.size.millicores) * record.spec.tasks;
   if (limit != nullptr && limit->millicores &&
-      TeamMillicores(record.spec.team) + wanted > *limit->millicores) {
+      TeamMillicores(record.spec.team) + wanted_millicores >
+          *limit->millicores) {
     record.status_message =
         "team " + record.spec.team + " has exhausted its quota of cores";
     return placement::VisitResult::kSkipped;
--- a/src/requests/task_summary.cc
+++ b/src/requests/task_summary.cc
@@ -9,7 +9,7 @@
 
 /// Whether a report with this result leaves open how the task ended: the task
 /// may run elsewhere, or this attempt of it never started.
-bool IsInconclusive(wire::TaskEnd::type end) {
+bool LacksOutcome(wire::TaskEnd::type end) {
   return end == wire::TaskEnd::kMoved || end == wire::TaskEnd::kLapseAssumed ||
          end == wire::TaskEnd::kNotStarted;
 }
@@ -18,9 +18,10 @@
 
 bool TaskSummary::done() const {
   return static_cast<int32_t>(results.size()) == tasks &&
-         std::all_of(results.begin(), results.end(), [](const auto& entry) {
-           return entry.second.result == wire::TaskEnd::kDone;
-         });
+         std::all_of(
+             results.begin(), results.end(), [](const auto& index_and_report) {
+               return index_and_report.second.result == wire::TaskEnd::kDone;
+             });
 }
 
 bool TaskSummary::failed() const {
@@ -38,7 +39,7 @@
         out.running = true;
         continue;
       }
-      if (IsInconclusive(task.report.result)) continue;
+      if (LacksOutcome(task.report.result)) continue;
       wire::ReportCall& result = out.results[task.index];
       const bool first = result.request_id.empty();
       if (first || task.report.result == wire::TaskEnd::kDone) {
--- a/src/scheduling/advice_requests.cc
+++ b/src/scheduling/advice_requests.cc
@@ -68,8 +68,8 @@
   }
   // Tickets that are requested any earlier would expire while the gang waits
   // for capacity.
-  const Millis call = EstimatedCallTime(record.job.queue(), out.size());
-  if (plan.ready_at > now + call) out.clear();
+  const Millis call_time = EstimatedCallTime(record.job.queue(), out.size());
+  if (plan.ready_at > now + call_time) out.clear();
   return out;
 }
 
@@ -78,7 +78,7 @@
                                                         TimePoint now) const {
   const wire::StepSpec& step = record.job.step(id.step);
   const StepAdvice& advice = record.step_state(id.occurrence, id.step).advice;
-  const double allow_probability = std::max(
+  const double allowance_rate = std::max(
       kMinAllowanceRate, allowance_rates_.Rate(record.job.queue().name));
   const TimePoint soon = now + kLearnHorizon;
   const std::set<UpstreamIndex>& excluded =
@@ -102,7 +102,7 @@
     if (upstream_advice != advice.upstreams.end()) {
       allowed_tasks += upstream_advice->second.allowed ? fit_if_empty : 0;
     } else if (advice.pending.count(upstream) > 0) {
-      allowed_tasks += allow_probability * fit_if_empty;
+      allowed_tasks += allowance_rate * fit_if_empty;
     } else {
       const int32_t fit_soon =
           FittingTasks(upstream, record, id, pool_.FreeAt(upstream, soon));
@@ -146,12 +146,12 @@
   // with the missing ones. If each ticket were renewed only after it expired,
   // each would be missing for 0.5 s of every 2 s, at different times, and a
   // gang of 45 would never have enough valid tickets at once.
-  const Millis call =
+  const Millis call_time =
       step.gang ? EstimatedCallTime(
                       record.job.queue(),
                       std::min<size_t>(step.tasks, kMaxUpstreamsPerCall))
                 : Millis(0);
-  const TimePoint needed_at = now + call + kTicketMargin;
+  const TimePoint needed_at = now + call_time + kTicketMargin;
   std::vector<RankedCandidate> out;
   for (const UpstreamIndex upstream : pool_.all()) {
     if (!pool_.Usable(upstream, now) || !Matches(upstream, record, step)) {
