--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -12,9 +12,9 @@
 /// Assumed number of upstreams that an advice call names, for estimates of its
 /// duration.
 constexpr double kAdviceUpstreams = 30;
-/// Number of failed attempts kept for a long-running task. No limit of failures
-/// applies to it, so they serve only to recognize an end that is reported
-/// twice.
+/// Number of failed attempts kept for a long-running task. They serve only to
+/// recognize an end that is reported twice, since such a task may fail any
+/// number of times.
 constexpr size_t kLongRunningFailuresKept = 8;
 
 }  // namespace
@@ -86,10 +86,10 @@
 void Job::SetPhase(const TaskId& id, TaskPhase phase) {
   Task& task = this->task(id);
   StepCounts& counts = step_counts_[StepIndex(id.occurrence, id.step)];
-  const auto adjust_counts = [&](TaskPhase of, int32_t change) {
-    if (of == TaskPhase::kWaiting) {
+  const auto adjust_counts = [&](TaskPhase counted_phase, int32_t change) {
+    if (counted_phase == TaskPhase::kWaiting) {
       counts.waiting += change;
-    } else if (of == TaskPhase::kDone) {
+    } else if (counted_phase == TaskPhase::kDone) {
       counts.done += change;
       done_ = static_cast<size_t>(static_cast<int64_t>(done_) + change);
     } else {
