--- a/src/configlog/config_log_client.cc
+++ b/src/configlog/config_log_client.cc
@@ -131,8 +131,9 @@
 /// configuration would expire together with its last publish, and an instance
 /// that starts later would find none.
 void ConfigLogClient::AppendCheckpointIfDue() {
-  if (!replica_.revision_known() || replica_.revision() == 0 || !reader_.up())
+  if (!replica_.revision_known() || replica_.revision() == 0 || !reader_.up()) {
     return;
+  }
   // Without an extra delay all entries would append at the same moment. With a
   // delay derived from their names, the other entries read the checkpoint of
   // the first one and append none.
--- a/src/configlog/config_replica.h
+++ b/src/configlog/config_replica.h
@@ -21,8 +21,8 @@
 
 std::string_view DecisionName(Decision decision);
 
-/// The audit trail has one entry for each published record and for each record
-/// that does not decode.
+/// An entry of the audit trail, which has one for each published record and for
+/// each record that does not decode.
 struct AuditEntry {
   /// Offset of the record in the log.
   int64_t offset = 0;
@@ -64,8 +64,8 @@
   void ApplyRead(int64_t first_retained,
                  const std::vector<wire::LogRecord>& records);
 
-  /// Puts a revision into force that is in force at a peer. Returns false, and
-  /// changes nothing, if it is not newer or if records may be missing between
+  /// Puts a revision into force that is in force at a peer. Returns false if it
+  /// is not newer, if its text is invalid, or if records may be missing between
   /// it and the records read here.
   bool AdoptFromPeer(const Checkpoint& checkpoint);
 
--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -145,7 +145,7 @@
   });
 }
 
-bool WaveManager::ListDue() const {
+bool WaveManager::IsListReadDue() const {
   const TimePoint now = deps_.executor.Now();
   if (!list_read_once_) return true;
   if (now - list_read_at_ >= kIdleListPeriod) return true;
@@ -175,7 +175,7 @@
 
 void WaveManager::ReadListIfDue() {
   if (list_read_in_progress_ || deps_.executor.Now() < next_list_read_at_ ||
-      !ListDue())
+      !IsListReadDue())
     return;
   list_read_in_progress_ = true;
   auto reading = std::make_shared<ListReading>();
--- a/src/maintenance/wave_manager.h
+++ b/src/maintenance/wave_manager.h
@@ -141,7 +141,7 @@
   void AdoptRequestedWaves();
   bool HasOpenWave() const;
   void ReadListIfDue();
-  bool ListDue() const;
+  bool IsListReadDue() const;
   void ReadPage(const std::string& after, std::shared_ptr<ListReading> reading);
   void OnPage(const ports::HostPage& page,
               std::shared_ptr<ListReading> reading);
@@ -179,11 +179,14 @@
   std::map<std::string, ListedHost> listed_hosts_;
   bool list_read_once_ = false;
   bool list_read_in_progress_ = false;
+  /// When the last complete reading ended.
   TimePoint list_read_at_{};
   TimePoint next_list_read_at_{};
   TimePoint next_order_at_{};
   Millis backoff_{0};
+  /// Upstreams that this manager has cordoned.
   std::set<std::string> cordoned_;
+  /// Writes the statuses for operators; null until the first one.
   std::shared_ptr<journal::Journal> status_journal_;
 };
 
