--- a/src/coordinator/loading.cc
+++ b/src/coordinator/loading.cc
@@ -97,8 +97,9 @@
     const bool valid = wave_manager_ == nullptr || wave_manager_->Load(record);
     return valid ? "" : "does not decode";
   }
-  if (kind != kSpecPrefix && kind != kProgressPrefix)
+  if (kind != kSpecPrefix && kind != kProgressPrefix) {
     return "unknown key prefix";
+  }
   const auto id = ParseJobId(record.key.substr(1));
   if (!id) return "key contains no job id";
   return kind == kSpecPrefix ? DecodeSpec(*id, record.value)
--- a/src/coordinator/upstreams.cc
+++ b/src/coordinator/upstreams.cc
@@ -41,8 +41,9 @@
       if (again && !again->closed_) again->ReadUpstreamList();
     });
   };
-  if (whole)
+  if (whole) {
     return deps_.upstream_list.ReadAll(kStoreReadTimeout, std::move(done));
+  }
   deps_.upstream_list.ReadChanges(list_cursor_, kStoreReadTimeout,
                                   std::move(done));
 }
@@ -247,8 +248,9 @@
   if (scheduler_.resolved() && uncertain_job_count_ == 0) return;
   const auto uncertain = UncertainJobs();
   if (!uncertain) return;
-  if (scheduler_.resolved() && uncertain->size() == uncertain_job_count_)
+  if (scheduler_.resolved() && uncertain->size() == uncertain_job_count_) {
     return;
+  }
   uncertain_job_count_ = uncertain->size();
   logging::Event(
       Level::kInfo, "running tasks known",
@@ -295,8 +297,9 @@
         const auto self = weak.lock();
         if (!stored || !self || self->closed_) return;
         const auto link = self->links_.find(upstream);
-        if (link != self->links_.end())
+        if (link != self->links_.end()) {
           link->second->AcknowledgeCompletions(last_completion);
+        }
       });
 }
 
