--- a/tests/malformed_records_test.cc
+++ b/tests/malformed_records_test.cc
@@ -22,12 +22,11 @@
 constexpr char kUnknownKindPrefix = 'x';
 const std::string kMalformedBytes = "\xff\xfe\x01";
 
-/// Whether the leader's counter of malformed records of this kind has this
-/// value.
-bool HasMalformedRecordCount(JobCluster& cluster, const std::string& of,
-                             int times) {
+/// Whether the leader has counted `count` malformed records of this kind.
+bool HasMalformedRecordCount(JobCluster& cluster, const std::string& kind,
+                             int count) {
   const std::string line =
-      "bad_entries{of=\"" + of + "\"} " + std::to_string(times) + "\n";
+      "bad_entries{of=\"" + kind + "\"} " + std::to_string(count) + "\n";
   return cluster.Metrics(cluster.Leader()).find(line) != std::string::npos;
 }
 
