--- a/src/cost/cost_aggregator.cc
+++ b/src/cost/cost_aggregator.cc
@@ -102,8 +102,9 @@
   batch.entry = options_.entry;
   batch.number = ++last_batch_number_;
   batch.unix_ms = executor_.UnixMillis();
-  for (auto& [key, line] : pending_sums_)
+  for (auto& [key, line] : pending_sums_) {
     batch.lines.push_back(std::move(line));
+  }
   pending_sums_.clear();
   ++unconfirmed_batches_;
   auto bytes = std::make_shared<std::string>(rpc::Encode(batch));
--- a/src/fleet/upstream_link.cc
+++ b/src/fleet/upstream_link.cc
@@ -173,8 +173,9 @@
   ResolveStartsInDoubt(fence, reply);
   std::vector<ports::EndedTask> new_completions;
   for (const ports::EndedTask& completion : reply.ended) {
-    if (completion.number > last_reported_completion_)
+    if (completion.number > last_reported_completion_) {
       new_completions.push_back(completion);
+    }
   }
   if (!new_completions.empty()) {
     last_reported_completion_ = new_completions.back().number;
--- a/src/maintenance/wave_manager.cc
+++ b/src/maintenance/wave_manager.cc
@@ -175,8 +175,9 @@
 
 void WaveManager::ReadListIfDue() {
   if (list_read_in_progress_ || deps_.executor.Now() < next_list_read_at_ ||
-      !IsListReadDue())
+      !IsListReadDue()) {
     return;
+  }
   list_read_in_progress_ = true;
   auto reading = std::make_shared<ListReading>();
   reading->begun_at = deps_.executor.Now();
@@ -349,8 +350,9 @@
   const WaveDecision decision = DecideWave(view);
   LogDecision(wave, view, decision);
   ApplyDrains(wave, decision, cordoned);
-  for (const std::string& name : decision.start_maintenance)
+  for (const std::string& name : decision.start_maintenance) {
     OrderMaintenance(wave, name);
+  }
   if (decision.status == WaveStatus::kComplete) ReportComplete(wave);
 }
 
--- a/src/maintenance/wave_records.cc
+++ b/src/maintenance/wave_records.cc
@@ -52,8 +52,9 @@
 }
 
 std::optional<WaveRecord> DecodeWave(const ports::KeyedRecord& record) {
-  if (record.key.empty() || record.key[0] != kWaveKeyPrefix)
+  if (record.key.empty() || record.key[0] != kWaveKeyPrefix) {
     return std::nullopt;
+  }
   const auto wave = ParseNumber(record.key.substr(1));
   const auto [status, first_seen] = Split(record.value, kFieldSeparator);
   const auto parsed_status = ports::kWaveStatusNames.Find(status);
@@ -65,8 +66,9 @@
 }
 
 std::optional<HostRecord> DecodeHost(const ports::KeyedRecord& record) {
-  if (record.key.empty() || record.key[0] != kWaveKeyPrefix)
+  if (record.key.empty() || record.key[0] != kWaveKeyPrefix) {
     return std::nullopt;
+  }
   const auto [number, host] = Split(record.key.substr(1), kHostSeparator);
   const auto wave = ParseNumber(number);
   const auto [phase, upstream] = Split(record.value, kFieldSeparator);
--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -343,8 +343,9 @@
   if (when.min_cost_nanos && EstimatedCost(spec) < *when.min_cost_nanos) {
     return "min_cost";
   }
-  if (when.from_minute && !IsWithinHours(when, input.minute_of_day))
+  if (when.from_minute && !IsWithinHours(when, input.minute_of_day)) {
     return "from/to";
+  }
   return "";
 }
 
