--- a/src/app/job_daemon.h
+++ b/src/app/job_daemon.h
@@ -8,8 +8,8 @@
 
 /// Runs one entry instance on the users' platform until SIGTERM or SIGINT;
 /// returns the exit code. `settings_path` is read again on SIGHUP and
-/// periodically; changes are logged. Precondition: called once, from
-/// the main thread, before any other thread was started.
+/// periodically; changes are logged. Precondition: called once, from the main
+/// thread, before any other thread was started.
 int RunJobDaemon(const settings::JobSettings& settings,
                  const std::string& settings_path);
 
--- a/src/libs/http/server.cc
+++ b/src/libs/http/server.cc
@@ -246,8 +246,9 @@
                           std::error_code error, size_t) {
                         if (counted_as_open) --self->server_->open_requests;
                         if (error) return self->Close();
-                        if (!self->keep_alive_)
+                        if (!self->keep_alive_) {
                           return self->CloseAfterResponse();
+                        }
                         if (!self->requests_.empty()) return self->HandleNext();
                         self->ReadNext();
                       });
--- a/src/libs/rpc/server.h
+++ b/src/libs/rpc/server.h
@@ -16,7 +16,7 @@
 
 namespace mimosarail::rpc {
 
-/// Sends the reply to one call. Called at most once, on any thread.
+/// Sends the reply to a call. Call at most once, on any thread, at any time.
 using Responder = std::function<void(Result<std::string>)>;
 using Handler = std::function<void(std::string body, Responder respond)>;
 
