--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -52,8 +52,9 @@
   std::vector<wire::LogRecord> From(int64_t offset) const {
     std::vector<wire::LogRecord> out;
     for (const auto& record : records) {
-      if (record.offset >= std::max(offset, first_retained))
+      if (record.offset >= std::max(offset, first_retained)) {
         out.push_back(record);
+      }
     }
     return out;
   }
