--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -34,7 +34,8 @@
   /// Duration of the task leases at the upstreams, as opposed to the leader
   /// lease.
   Millis task_lease{4000};
-  /// How long an earlier leader may continue to renew task leases undetected.
+  /// How long an earlier leader may keep renewing task leases after this leader
+  /// has taken over: the duration of a leader lease.
   Millis previous_leader_timeout{2000};
   /// An upstream counts as ended if it is not listed, has not answered for this
   /// long and has no valid lease. Before that it may be only unreachable and
--- a/src/jobentry/job_entry.h
+++ b/src/jobentry/job_entry.h
@@ -70,7 +70,7 @@
   /// Makes the entry unready and, if it leads, resigns leadership.
   void BeginShutdown();
   /// Rejects further advice calls from the leader; accepted ones are still
-  /// answered.
+  /// answered. Calls of other kinds are not affected.
   void StopAccepting() { accepting_stopped_ = true; }
   /// Advice calls that were accepted and not yet answered.
   int64_t advice_in_flight() const { return advice_in_flight_; }
@@ -118,10 +118,12 @@
   /// Pools that the configuration names; null while no configuration is known.
   const std::set<std::string>* ConfiguredPools() const;
   void RememberFinalState(JobId id, JobState state);
-  /// Time since the leader last answered a heartbeat, in ms, for the log.
+  /// Time since a leader last answered a heartbeat, in ms, for the log; "never"
+  /// if none has.
   std::string LeaderHeartbeatAge() const;
   /// Checks whether the store serves this entry and passes the result to
-  /// `done`. A recent result is reused.
+  /// `done`. A recent result is reused. If an older check has failed, `done`
+  /// gets false at once, and a new check runs in the background.
   void CheckStore(std::function<void(bool served)> done);
   /// Runs the call at this entry if it leads, or else at the leader. Retries it
   /// as needed.
@@ -139,7 +141,8 @@
   bool shutting_down_ = false;
   bool accepting_stopped_ = false;
   int64_t advice_in_flight_ = 0;
-  /// When this entry answers its last calls; set when its shutdown begins.
+  /// Time by which this entry has to answer all calls; set when its shutdown
+  /// begins.
   TimePoint shutdown_reply_deadline_ = TimePoint::max();
   /// Result of the last check of the store.
   bool store_serves_ = true;
--- a/src/jobentry/job_service.h
+++ b/src/jobentry/job_service.h
@@ -43,7 +43,9 @@
 using JobDone = std::function<void(JobAnswer)>;
 
 /// Operations that an entry offers to callers. Control thread only. `done` runs
-/// once, on the control thread, after `caller_timeout` at the latest.
+/// once, on the control thread, possibly within the call. It runs after
+/// `caller_timeout` at the latest, unless a try at this entry or a check of the
+/// store is under way then: that is awaited first.
 class JobService {
  public:
   virtual ~JobService() = default;
--- a/src/jobentry/waiting_calls.h
+++ b/src/jobentry/waiting_calls.h
@@ -8,9 +8,9 @@
 
 namespace mimosarail::jobentry {
 
-/// Holds calls at the entry that received them while no leader can accept them,
-/// so that they need not be repeated at the leader. Control thread only. Must
-/// outlive the callbacks queued in its executor.
+/// Holds calls at the entry that received them, while no leader can accept them
+/// or until their next retry, so that they need not be repeated at the leader.
+/// Control thread only. Must outlive the callbacks queued in its executor.
 class WaitingCalls {
  public:
   explicit WaitingCalls(Executor& executor) : executor_(executor) {}
@@ -23,7 +23,8 @@
  private:
   Executor& executor_;
   int64_t last_number_ = 0;
-  /// By number of the Wait().
+  /// Callbacks of the waiting calls, by a number that increases with each
+  /// Wait().
   std::map<int64_t, std::function<void()>> waiting_;
 };
 
--- a/src/libs/base/enum_table.h
+++ b/src/libs/base/enum_table.h
@@ -7,7 +7,7 @@
 
 namespace mimosarail {
 
-/// An enumerator and its name as shown to operators.
+/// An enumerator and its name in logs, error messages, settings and documents.
 template <typename E>
 struct EnumName {
   E value;
--- a/src/libs/base/executor.h
+++ b/src/libs/base/executor.h
@@ -17,8 +17,8 @@
   virtual ~Executor() = default;
   /// Thread-safe.
   virtual TimePoint Now() const = 0;
-  /// Wall-clock time in ms since 1970, for records and rules only, never for
-  /// leases.
+  /// Wall-clock time in ms since 1970, for records, schedules and rules, never
+  /// for leases.
   virtual int64_t UnixMillis() const = 0;
   /// Total time for which this machine has been suspended; the monotonic clock
   /// does not count it. Thread-safe.
--- a/src/libs/base/result.h
+++ b/src/libs/base/result.h
@@ -22,7 +22,8 @@
 /// Error category of Errc. Thread-safe.
 const std::error_category& ErrorCategory() noexcept;
 
-/// Found by argument-dependent lookup. Thread-safe.
+/// Converts an Errc for std::error_code, whose constructor finds this function
+/// by argument-dependent lookup under this name. Thread-safe.
 std::error_code make_error_code(Errc code) noexcept;
 
 /// An error code and a message for operators.
